--- a/internal/kept/daemon/daemon.go
+++ b/internal/kept/daemon/daemon.go
@@ -180,7 +180,7 @@
 		Direct:      &relay.HTTP{Address: s.Store, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}},
 		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
 		Orders:      d.orders,
-		Lists: vm.Lists{
+		Layout: vm.StoreLayout{
 			WorkerPrefix:  WorkerPrefix,
 			DecodeWorker:  decodeWorker,
 			CatalogPrefix: CatalogPrefix,
@@ -189,8 +189,8 @@
 
 			EvacuationPrefix: EvacuationPrefix,
 		},
-		LeaseMost: time.Duration(s.LeaseMillis) * time.Millisecond,
-		Policy:    s.Policy,
+		MaxLease: time.Duration(s.LeaseMillis) * time.Millisecond,
+		Policy:   s.Policy,
 	})
 	d.http = wire.NewServer(d.handler(), nil)
 	serve.Listen(d.http, callers)
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -83,7 +83,7 @@
 // takeShard begins to hold a shard.
 func (e *engine) takeShard(holding site.Holding) {
 	// Runs that the earlier holder started and that no worker lists are over then.
-	barrierAt := e.at + e.vm.config.LeaseMost + leaseSlack
+	barrierAt := e.at + e.vm.config.MaxLease + leaseSlack
 	if !holding.Clean {
 		barrierAt += authorityOver
 	}
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -26,7 +26,7 @@
 	s := &scripted{answers: answers}
 	v := &VM{now: func() time.Duration { return time.Hour }}
 	v.config.Orders = s
-	v.config.LeaseMost = time.Second
+	v.config.MaxLease = time.Second
 	extend := &atomic.Bool{}
 	extend.Store(true)
 	h := &workerSession{vm: v, extend: extend, seenNow: make(chan struct{}, 1)}
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -31,7 +31,7 @@
 	listFirst   = 400 * time.Millisecond // without a first word for longer, a new holder reads it itself
 )
 
-// Times of the lists of workers, as shares of Config.NoticeWithin.
+// Times of the lists of workers, as shares of Config.MaxLeaveNoticeDelay.
 const (
 	listWait  = 0.2   // for a change, before the store says that there is none
 	listTold  = 0.125 // between two words that the list stands
@@ -43,12 +43,12 @@
 // tasks from starting. Around an outage, or in a domain that is cut off, it is all there is.
 const storeSteady = 2500 * time.Millisecond
 
-// noticeWithin is Config.NoticeWithin where the settings do not say.
+// noticeWithin is Config.MaxLeaveNoticeDelay where the settings do not say.
 const noticeWithin = 2 * time.Second
 
 // noticeShare is a part of the time within which a notice must be in force.
 func (c *Config) noticeShare(share float64) time.Duration {
-	return time.Duration(share * float64(cmp.Or(c.NoticeWithin, noticeWithin)))
+	return time.Duration(share * float64(cmp.Or(c.MaxLeaveNoticeDelay, noticeWithin)))
 }
 
 // domainList is the list of the workers of a failure domain.
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -149,7 +149,7 @@
 	// lease is over, and what ran there starts nowhere else: on a played day what four dead
 	// workers had waited for 4.5 s, until they left the list.
 	if known && !silent && h.extend.Load() {
-		order.Deadline = now + h.vm.config.LeaseMost
+		order.Deadline = now + h.vm.config.MaxLease
 		h.sentDeadline(order.Deadline)
 	}
 	ctx, cancel := context.WithTimeout(ctx, order.Wait+holdWithin)
@@ -206,7 +206,7 @@
 	defer h.mu.Unlock()
 	if h.clock == 0 {
 		// An earlier holder may have extended the lease until this call fenced it.
-		h.deadline = max(h.deadline, r.Clock+h.vm.config.LeaseMost)
+		h.deadline = max(h.deadline, r.Clock+h.vm.config.MaxLease)
 	}
 	if r.Clock > h.clock {
 		h.clock = r.Clock
--- a/internal/kept/vm/session_test.go
+++ b/internal/kept/vm/session_test.go
@@ -13,7 +13,7 @@
 // earlier one had.
 func TestLeaseOfAnEarlierHolderIsNotOverAtOnce(t *testing.T) {
 	now := time.Hour
-	v := &VM{config: Config{LeaseMost: time.Second}, now: func() time.Duration { return now }}
+	v := &VM{config: Config{MaxLease: time.Second}, now: func() time.Duration { return now }}
 	h := &workerSession{vm: v}
 	if _, certain := h.leaseOver(now); certain {
 		t.Error("the lease of a worker that never answered is certain")
@@ -32,7 +32,7 @@
 // A worker's clock may be slow by 2%.
 func TestLeaseIsOverOnTheSlowestClock(t *testing.T) {
 	now := time.Hour
-	v := &VM{config: Config{LeaseMost: time.Second}, now: func() time.Duration { return now }}
+	v := &VM{config: Config{MaxLease: time.Second}, now: func() time.Duration { return now }}
 	h := &workerSession{vm: v}
 	h.learn(now, worker.Reply{Clock: 5 * time.Minute})
 	h.sentDeadline(5*time.Minute + 10*time.Second)
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -24,7 +24,7 @@
 )
 
 // Lists says where the platform keeps its lists in the store, and reads them.
-type Lists struct {
+type StoreLayout struct {
 	WorkerPrefix  string
 	DecodeWorker  func(store.Item) (worker.Info, error)
 	CatalogPrefix string
@@ -38,27 +38,27 @@
 
 // Config is what an entry VM is made of.
 type Config struct {
-	Name        string
-	Incarnation uint64 // of this process; no other process of the site ever has the same
-	Domain      string
-	Domains     []string // all failure domains of the site
-	PeerAddress string   // where peers reach this VM
-	PeerListen  net.Listener
-	PeerDial    wire.Dialer // nil: TCP
-	Direct      relay.Transport
-	Store       func(relay.Transport) store.Store // the store, over a way of making calls
-	Orders      worker.Orders
-	Lists       Lists
-	Policy      policy.Settings
-	Weight      float64 // processor of this VM, in cores; 0: not known
-	LinkBytes   float64 // what this VM's link carries a second, in bytes; 0: not known
-	StoreReads  float64 // reads of the store a second that all VMs may make together; 0: not known
-	// CatalogWithin is how soon a change of the configuration is in force; 0: in 2 s.
-	CatalogWithin time.Duration
-	// NoticeWithin is how soon a worker that says it leaves gets nothing new; 0: in 2 s.
-	NoticeWithin time.Duration
-	LeaseMost    time.Duration // longest lease of runs at a worker
-	Now          func() time.Duration
+	Name                string
+	Incarnation         uint64 // of this process; no other process of the site ever has the same
+	Domain              string
+	Domains             []string // all failure domains of the site
+	PeerAddress         string   // where peers reach this VM
+	PeerListen          net.Listener
+	PeerDial            wire.Dialer // nil: TCP
+	Direct              relay.Transport
+	Store               func(relay.Transport) store.Store // the store, over a way of making calls
+	Orders              worker.Orders
+	Layout              StoreLayout
+	Policy              policy.Settings
+	Cores               float64 // processor of this VM, in cores; 0: not known
+	LinkBytesPerSecond  float64 // what this VM's link carries a second, in bytes; 0: not known
+	StoreReadsPerSecond float64 // reads of the store a second that all VMs may make together; 0: not known
+	// MaxCatalogDelay is how soon a change of the configuration is in force; 0: in 2 s.
+	MaxCatalogDelay time.Duration
+	// MaxLeaveNoticeDelay is how soon a worker that says it leaves gets nothing new; 0: in 2 s.
+	MaxLeaveNoticeDelay time.Duration
+	MaxLease            time.Duration // longest lease of runs at a worker
+	Now                 func() time.Duration
 }
 
 // Bounds of an entry VM.
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -141,10 +141,10 @@
 // sitePause is how long changes of the site may gather after some were read.
 func (v *VM) sitePause(time.Duration, []store.Event) time.Duration {
 	vms := v.siteCalm.Load()
-	if vms == 0 || v.config.StoreReads <= 0 {
+	if vms == 0 || v.config.StoreReadsPerSecond <= 0 {
 		return 0
 	}
-	return min(time.Duration(float64(vms)/(siteShare*v.config.StoreReads)*float64(time.Second)), sitePauseMost)
+	return min(time.Duration(float64(vms)/(siteShare*v.config.StoreReadsPerSecond)*float64(time.Second)), sitePauseMost)
 }
 
 func (v *VM) watchSite(ctx context.Context) {
@@ -160,10 +160,10 @@
 
 func (v *VM) watchCatalog(ctx context.Context) {
 	take := func(it store.Item) {
-		if it.Key != v.config.Lists.CatalogKey {
+		if it.Key != v.config.Layout.CatalogKey {
 			return
 		}
-		c, err := v.config.Lists.DecodeCatalog(it)
+		c, err := v.config.Layout.DecodeCatalog(it)
 		if err != nil {
 			klog.ErrorS(err, "kept: the configuration cannot be read; the one in force stays", "revision", it.Revision)
 			return
@@ -176,7 +176,7 @@
 		v.post(servicesEvent{services: c.Services})
 		klog.InfoS("kept: configuration in force", "version", c.Version, "revision", it.Revision, "queues", len(c.Queues))
 	}
-	f := &follower{vm: v, prefix: v.config.Lists.CatalogPrefix, wait: time.Duration(catalogShare * float64(cmp.Or(v.config.CatalogWithin, catalogWithin)))}
+	f := &follower{vm: v, prefix: v.config.Layout.CatalogPrefix, wait: time.Duration(catalogShare * float64(cmp.Or(v.config.MaxCatalogDelay, catalogWithin)))}
 	f.whole = func(sent time.Duration, revision uint64, items []store.Item) {
 		for _, it := range items {
 			take(it)
@@ -201,14 +201,14 @@
 // workersPause is how long the changes of the list of workers may gather, after some that came in
 // a time.
 func (v *VM) workersPause(in time.Duration, events []store.Event) time.Duration {
-	if v.config.LinkBytes <= 0 || in <= 0 {
+	if v.config.LinkBytesPerSecond <= 0 || in <= 0 {
 		return workersPause
 	}
 	bytes := 0
 	for _, e := range events {
 		bytes += base64.StdEncoding.EncodedLen(len(e.Value)) + entryOverhead
 	}
-	fills := time.Duration(float64(bytes) / v.config.LinkBytes * float64(time.Second))
+	fills := time.Duration(float64(bytes) / v.config.LinkBytesPerSecond * float64(time.Second))
 	return min(max(time.Duration(float64(workersFill)*float64(in)/float64(fills)), workersPauseLeast), workersPause)
 }
 
@@ -268,7 +268,7 @@
 	send := func(sent time.Duration) {
 		v.post(workersEvent{sent: sent, list: slices.AppendSeq([]worker.Info{}, maps.Values(list))})
 	}
-	f := &follower{vm: v, prefix: v.config.Lists.WorkerPrefix, wait: v.config.noticeShare(listWait), pause: v.workersPause}
+	f := &follower{vm: v, prefix: v.config.Layout.WorkerPrefix, wait: v.config.noticeShare(listWait), pause: v.workersPause}
 	f.whole = func(sent time.Duration, _ uint64, items []store.Item) {
 		there := make(map[string]bool, len(items))
 		for _, it := range items {
@@ -298,7 +298,7 @@
 		Incarnation: v.config.Incarnation,
 		Domain:      v.config.Domain,
 		Address:     v.config.PeerAddress,
-		Weight:      v.config.Weight,
+		Weight:      v.config.Cores,
 	}
 	failures := 0
 	for ctx.Err() == nil {
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -87,7 +87,7 @@
 
 // workersOf reads the workers of a failure domain from their list.
 func (v *VM) workersOf(ctx context.Context, domain string, stale bool) ([]worker.Info, error) {
-	items, _, err := v.readAll(ctx, v.config.Lists.WorkerPrefix, stale)
+	items, _, err := v.readAll(ctx, v.config.Layout.WorkerPrefix, stale)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 // readWorker reads an entry of the list of workers. One that names no worker to use is left
 // out, and logged when it is read first.
 func (v *VM) readWorker(it store.Item) (info worker.Info, ok bool) {
-	info, err := v.config.Lists.DecodeWorker(it)
+	info, err := v.config.Layout.DecodeWorker(it)
 	if err == nil {
 		v.unreadable.forget(it.Key)
 		return info, true
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -132,7 +132,7 @@
 		Direct:      w.doors[name],
 		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
 		Orders:      w.fleet.From(domain),
-		Lists: Lists{
+		Layout: StoreLayout{
 			WorkerPrefix: "workers/",
 			DecodeWorker: func(it store.Item) (worker.Info, error) {
 				var info worker.Info
@@ -149,11 +149,11 @@
 				return &catalog.Catalog{Version: version, Services: []catalog.Service{{Name: "desk", GuardsRoom: true}, {Name: "lab"}}}, err
 			},
 		},
-		Weight:    w.weights[name],
-		LeaseMost: time.Second,
+		Cores:    w.weights[name],
+		MaxLease: time.Second,
 
-		StoreReads: w.storeReads,
-		Now:        func() time.Duration { return time.Hour + time.Since(w.began) },
+		StoreReadsPerSecond: w.storeReads,
+		Now:                 func() time.Duration { return time.Hour + time.Since(w.began) },
 	})
 }
 
