--- a/internal/kept/site/foreign_test.go
+++ b/internal/kept/site/foreign_test.go
@@ -16,7 +16,7 @@
 		{Key: MemberKey("a0"), Value: []byte("no member"), Revision: 1},
 		{Key: MemberKey("a2"), Value: Encode(member("a2")), Revision: 2},
 		{Key: DomainKey("a"), Value: []byte(`{"n":-4}`), Revision: 3},
-		{Key: DomainKey("b"), Value: Encode(Division{Shards: 2}), Revision: 4},
+		{Key: DomainKey("b"), Value: Encode(ShardLayout{Shards: 2}), Revision: 4},
 		{Key: ShardKey("b/0"), Value: []byte(`{"t":"first"}`), Revision: 5},
 		{Key: ShardKey("b/1"), Value: Encode(Holding{Holder: "a2", Incarnation: 1, Token: 3}), Revision: 6},
 	})
@@ -26,10 +26,10 @@
 	if len(s.Members()) != 1 || s.Holding("b/1").Token != 3 {
 		t.Errorf("members %v, holding %+v", s.Members(), s.Holding("b/1"))
 	}
-	if _, known := s.Division("a"); known {
+	if _, known := s.Layout("a"); known {
 		t.Error("a domain has a negative number of shards")
 	}
-	if d, known := s.Division("b"); !known || d.Shards != 2 {
+	if d, known := s.Layout("b"); !known || d.Shards != 2 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/kept/site/keys.go
+++ b/internal/kept/site/keys.go
@@ -21,7 +21,7 @@
 
 // Division says into how many shards the workers of a failure domain are divided. It is
 // written once, as workers would have to change hands with it.
-type Division struct {
+type ShardLayout struct {
 	Domain string `json:"-"`
 	Shards int    `json:"n"`
 }
@@ -31,25 +31,25 @@
 // VMs get smaller shards, as any of them may have to hold one: 20 workers at one VM of 0.12 core
 // made tasks wait 42 ms for their start on average, a third of their objective.
 const (
-	workersPerShard = 24
-	workersLeast    = 6 // a wide submission finds room in one shard
-	shardWeight     = 0.4
+	maxWorkersPerShard = 24
+	minWorkersPerShard = 6 // a wide submission finds room in one shard
+	coresPerFullShard  = 0.4
 )
 
-// shardsMost bounds the shards of a domain: 24,000 workers. More is no division that was
+// maxShardsPerDomain bounds the shards of a domain: 24,000 workers. More is no division that was
 // written here.
-const shardsMost = 1000
+const maxShardsPerDomain = 1000
 
-var errDivision = errors.New("a domain has from 1 to 1000 shards")
+var errShardCount = errors.New("a domain has from 1 to 1000 shards")
 
 // Divide returns the division of a domain with so many workers, the smallest of whose entry VMs
 // has so many cores; 0: it is not known.
-func Divide(domain string, workers int, least float64) Division {
-	size := workersPerShard
+func PlanLayout(domain string, workers int, least float64) ShardLayout {
+	size := maxWorkersPerShard
 	if least > 0 {
-		size = min(max(int(least/shardWeight*workersPerShard), workersLeast), workersPerShard)
+		size = min(max(int(least/coresPerFullShard*maxWorkersPerShard), minWorkersPerShard), maxWorkersPerShard)
 	}
-	return Division{Domain: domain, Shards: min(max((workers+size-1)/size, 1), shardsMost)}
+	return ShardLayout{Domain: domain, Shards: min(max((workers+size-1)/size, 1), maxShardsPerDomain)}
 }
 
 // ShardName names a shard of a failure domain.
@@ -65,7 +65,7 @@
 
 // ShardOf is the shard that the worker at an address belongs to. It stays the same when
 // the worker starts again.
-func (d Division) ShardOf(address string) string {
+func (d ShardLayout) ShardOf(address string) string {
 	best, most := 0, uint64(0)
 	for i := range d.Shards {
 		if s := score(ShardName(d.Domain, i), address); s >= most {
--- a/internal/kept/site/peers_test.go
+++ b/internal/kept/site/peers_test.go
@@ -118,7 +118,7 @@
 	}{
 		{184, 8, 0}, {184, 8, 0.8}, {184, 8, 0.4}, {184, 17, 0.192}, {20, 3, 0.12}, {20, 4, 0.01}, {1, 1, 0.01},
 	} {
-		if d := Divide("a", c.workers, c.least); d.Shards != c.shards {
+		if d := PlanLayout("a", c.workers, c.least); d.Shards != c.shards {
 			t.Errorf("%d workers, VMs of %v core: %d shards, want %d", c.workers, c.least, d.Shards, c.shards)
 		}
 	}
--- a/internal/kept/site/site.go
+++ b/internal/kept/site/site.go
@@ -81,7 +81,7 @@
 	contact   time.Duration   // when the store was asked last that answered
 	steady    time.Duration   // since when it has answered without a gap
 	domains   []string
-	divisions map[string]Division
+	layouts   map[string]ShardLayout
 	shards    map[string]*shardView
 	ordered   []*shardView // by the shard's name
 	leaving   bool
@@ -102,7 +102,7 @@
 		linked:    map[string]bool{},
 		shards:    map[string]*shardView{},
 		domains:   domains,
-		divisions: map[string]Division{},
+		layouts:   map[string]ShardLayout{},
 	}
 	return site
 }
@@ -126,14 +126,14 @@
 	if e.Deleted {
 		return nil
 	}
-	d := Division{Domain: domain}
+	d := ShardLayout{Domain: domain}
 	if err := json.Unmarshal(e.Value, &d); err != nil {
 		return &DecodeError{Key: e.Key, Err: err}
 	}
-	if d.Shards < 1 || d.Shards > shardsMost {
-		return &DecodeError{Key: e.Key, Err: errDivision}
+	if d.Shards < 1 || d.Shards > maxShardsPerDomain {
+		return &DecodeError{Key: e.Key, Err: errShardCount}
 	}
-	s.divisions[domain] = d
+	s.layouts[domain] = d
 	for i := range d.Shards {
 		name := ShardName(domain, i)
 		s.view(name)
@@ -143,18 +143,18 @@
 
 // Division returns how a failure domain is divided; ok is false if nobody has said so
 // yet.
-func (s *Site) Division(domain string) (d Division, ok bool) {
-	d, ok = s.divisions[domain]
+func (s *Site) Layout(domain string) (d ShardLayout, ok bool) {
+	d, ok = s.layouts[domain]
 	return d, ok
 }
 
 // Undivided returns the failure domains whose division this VM should write: its own,
 // and after a while those of others. The VMs take turns, as each reads the whole list of
 // workers for it.
-func (s *Site) Undivided(now time.Duration) []string {
+func (s *Site) DomainsWithoutLayout(now time.Duration) []string {
 	var out []string
 	for _, domain := range s.domains {
-		if _, known := s.divisions[domain]; known || s.leaving {
+		if _, known := s.layouts[domain]; known || s.leaving {
 			continue
 		}
 		wait := s.settings.Divide + time.Duration(s.turn(domain))*s.settings.DivideStep
@@ -303,7 +303,7 @@
 
 // Covered reports whether each shard of a failure domain has a holder that is there and not suspected.
 func (s *Site) Covered(domain string) bool {
-	d, known := s.divisions[domain]
+	d, known := s.layouts[domain]
 	if !known {
 		return false
 	}
--- a/internal/kept/site/site_test.go
+++ b/internal/kept/site/site_test.go
@@ -24,7 +24,7 @@
 	w := &world{t: t, now: time.Hour, keys: map[string]store.Item{}, vms: map[string]*Site{}, cut: map[string]bool{}}
 	domains := []string{"a", "b"}
 	for _, d := range domains {
-		w.put(DomainKey(d), Encode(Division{Shards: shards}))
+		w.put(DomainKey(d), Encode(ShardLayout{Shards: shards}))
 	}
 	for _, m := range members {
 		w.join(m)
@@ -242,7 +242,7 @@
 
 // Workers keep their shard when they start again, and are spread evenly.
 func TestWorkersAreSpreadOverShards(t *testing.T) {
-	d := Divide("a", 88, 0)
+	d := PlanLayout("a", 88, 0)
 	if d.Shards != 4 {
 		t.Fatalf("%d shards of 88 workers", d.Shards)
 	}
--- a/internal/kept/site/size_bench_test.go
+++ b/internal/kept/site/size_bench_test.go
@@ -29,7 +29,7 @@
 	}
 	perDomain := (vms*10/domains + 10) / 11
 	for d, domain := range names {
-		put(DomainKey(domain), Division{Shards: perDomain})
+		put(DomainKey(domain), ShardLayout{Shards: perDomain})
 		for i := range perDomain {
 			if h := holder(d, i); h != "" {
 				put(ShardKey(ShardName(domain, i)), Holding{Holder: h, Incarnation: 1, Token: 3})
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -58,7 +58,7 @@
 	version uint64        // at this VM, or at the one that told of it
 	from    string        // who told of it; "": it was read here
 
-	division site.Division            // that the workers are divided by
+	division site.ShardLayout         // that the workers are divided by
 	shards   map[string]string        // of the workers, by address
 	byShard  map[string][]worker.Info // nil: they are not divided yet
 
@@ -284,7 +284,7 @@
 
 // divide returns the workers of a list by shard. The shard of an address is worked out once: each is hashed
 // with each shard of the domain.
-func (l *domainList) divide(d site.Division) map[string][]worker.Info {
+func (l *domainList) divide(d site.ShardLayout) map[string][]worker.Info {
 	if l.division != d {
 		l.division, l.shards, l.byShard = d, nil, nil
 	}
--- a/internal/kept/vm/lists_test.go
+++ b/internal/kept/vm/lists_test.go
@@ -21,7 +21,7 @@
 // Guards against a worker that is held in a shard of which it is not, as shards are worked out once for an address.
 func TestListIsDividedLikeItsAddresses(t *testing.T) {
 	l := &domainList{}
-	d := site.Division{Domain: "a", Shards: 7}
+	d := site.ShardLayout{Domain: "a", Shards: 7}
 	check := func(infos []worker.Info) {
 		t.Helper()
 		l.infos, l.byShard = infos, nil
@@ -48,7 +48,7 @@
 func TestDividingAListAgainDoesNotGrow(t *testing.T) {
 	perWorker := func(workers int) float64 {
 		l := &domainList{infos: workersAt(workers)}
-		d := site.Division{Domain: "a", Shards: workers / 11}
+		d := site.ShardLayout{Domain: "a", Shards: workers / 11}
 		l.divide(d)
 		allocs := testing.AllocsPerRun(5, func() {
 			l.byShard = nil
@@ -66,7 +66,7 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, workers := range []int{100, 418, 836, 1670} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			d := site.Division{Domain: "a", Shards: workers / 11}
+			d := site.ShardLayout{Domain: "a", Shards: workers / 11}
 			infos := workersAt(workers)
 			l := &domainList{infos: infos}
 			l.divide(d)
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -16,7 +16,7 @@
 
 // divideDomains writes into how many shards a domain of a new site is divided.
 func (e *engine) divideDomains() {
-	for _, domain := range e.site.Undivided(e.at) {
+	for _, domain := range e.site.DomainsWithoutLayout(e.at) {
 		if e.dividing {
 			return
 		}
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimWithin)
 	defer cancel()
-	d := site.Divide(domain, n, least)
+	d := site.PlanLayout(domain, n, least)
 	_, err = v.store.Commit(ctx, store.Txn{
 		Expect: []store.Condition{{Key: site.DomainKey(domain)}},
 		Put:    []store.Put{{Key: site.DomainKey(domain), Value: site.Encode(d)}},
@@ -184,7 +184,7 @@
 func (e *engine) placeWorkers(h *held) {
 	var own []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
-	if d, known := e.site.Division(domain); known && e.lists[domain] != nil {
+	if d, known := e.site.Layout(domain); known && e.lists[domain] != nil {
 		for _, info := range e.lists[domain].divide(d)[h.holding.Shard] {
 			if e.serves(info) {
 				own = append(own, info)
