--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -42,7 +42,7 @@
 		weight := policy.Lost{Alone: t.alone, Ran: t.ran, Unrelated: unrelated}.Weight()
 		s.blame(now, t, submission.Loss{Worker: h.incarnation, Run: t.run, Weight: weight, Certain: ended})
 	}
-	s.out.Lost = append(s.out.Lost, LossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
+	s.out.WorkerLosses = append(s.out.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
 }
 
 // blame adds a loss to what a task has taken down, and has it stored, or told to its home, before the
@@ -52,7 +52,7 @@
 	t.lostAt = now
 	s.anyLosses = true
 	if t.job.rec.Transient {
-		s.out.Losses = append(s.out.Losses, LossesAction{Home: t.job.rec.Home, Task: t.ref, Losses: slices.Clone(t.losses)})
+		s.out.TaskLosses = append(s.out.TaskLosses, TaskLossesAction{Home: t.job.rec.Home, Task: t.ref, Losses: slices.Clone(t.losses)})
 		return
 	}
 	t.job.unsaved = max(now-s.settings.SaveAfter, 1)
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -85,7 +85,7 @@
 	id := h.info.ID
 	delete(s.workers, id)
 	delete(s.early, id)
-	s.out.Seen = slices.DeleteFunc(s.out.Seen, func(a SeenAction) bool { return a.Worker == id })
+	s.out.Acks = slices.DeleteFunc(s.out.Acks, func(a AckAction) bool { return a.Worker == id })
 	for ref, v := range h.voids {
 		h.unseen[runRef{ref, v.run}] = v.since
 	}
@@ -110,7 +110,7 @@
 	s.forgetHost(now, old)
 	s.admit(now, next)
 	s.giveUpTasks(now, tasks)
-	s.out.Looks = append(s.out.Looks, info.ID)
+	s.out.Probes = append(s.out.Probes, info.ID)
 	s.dirty = true
 	return next
 }
--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -98,8 +98,8 @@
 	w.shard.Listing(w.now+20*ms, "w0", w.now, l)
 	w.restart("w0")
 	w.list()
-	for _, s := range w.shard.Take().Seen {
-		t.Errorf("ends up to %d are acknowledged to the next incarnation", s.Seen)
+	for _, s := range w.shard.Take().Acks {
+		t.Errorf("ends up to %d are acknowledged to the next incarnation", s.UpTo)
 	}
 }
 
@@ -216,7 +216,7 @@
 	next.Revision++
 	s.Workers(w.now, []worker.Info{next})
 	s.Records(w.now, nil)
-	if slices.ContainsFunc(s.Take().Seen, func(a SeenAction) bool { return a.Seen == 40 }) {
+	if slices.ContainsFunc(s.Take().Acks, func(a AckAction) bool { return a.UpTo == 40 }) {
 		t.Error("an end of the earlier incarnation is acknowledged to the next one")
 	}
 }
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -99,7 +99,7 @@
 		if t.state == complete {
 			fails = 0
 		}
-		s.out.Notes = append(s.out.Notes, NoteAction{Home: t.job.rec.Home, Task: t.ref, Fails: fails})
+		s.out.Outcomes = append(s.out.Outcomes, OutcomeAction{Home: t.job.rec.Home, Task: t.ref, FailedRuns: fails})
 	}
 }
 
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -113,7 +113,7 @@
 		case unsure:
 			if now-t.since >= lookAgain {
 				t.since = now
-				s.out.Looks = append(s.out.Looks, t.host.info.ID)
+				s.out.Probes = append(s.out.Probes, t.host.info.ID)
 			}
 		}
 	}
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -42,13 +42,13 @@
 
 // take carries out the acknowledgements and puts off the writes of a holder.
 func (r *records) take(w *world, a Actions) {
-	for _, s := range a.Seen {
+	for _, s := range a.Acks {
 		for _, e := range r.listed[s.Worker] {
-			if e.N <= s.Seen {
+			if e.N <= s.UpTo {
 				r.note(e)
 			}
 		}
-		r.listed[s.Worker] = slices.DeleteFunc(r.listed[s.Worker], func(e worker.Ended) bool { return e.N <= s.Seen })
+		r.listed[s.Worker] = slices.DeleteFunc(r.listed[s.Worker], func(e worker.Ended) bool { return e.N <= s.UpTo })
 	}
 	for _, s := range a.Starts {
 		r.check(w, s)
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -45,7 +45,7 @@
 	case worker.Silent:
 		t.state = unsure
 		t.since = now
-		s.out.Looks = append(s.out.Looks, id)
+		s.out.Probes = append(s.out.Probes, id)
 	}
 }
 
@@ -73,7 +73,7 @@
 	if r.Verdict == worker.Accepted {
 		t.stopClock = r.Clock
 		t.stopAt = now
-		s.out.Looks = append(s.out.Looks, id)
+		s.out.Probes = append(s.out.Probes, id)
 		return
 	}
 	t.since = now // Tick repeats it
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -278,7 +278,7 @@
 		}
 		if seen != h.seen {
 			h.seen = seen
-			s.out.Seen = append(s.out.Seen, SeenAction{Worker: id, Seen: seen})
+			s.out.Acks = append(s.out.Acks, AckAction{Worker: id, UpTo: seen})
 		}
 	}
 }
--- a/internal/kept/shard/types.go
+++ b/internal/kept/shard/types.go
@@ -43,10 +43,10 @@
 	Why    string
 }
 
-// SeenAction acknowledges a worker's ends.
-type SeenAction struct {
+// AckAction acknowledges a worker's ends.
+type AckAction struct {
 	Worker string // its ID
-	Seen   uint64
+	UpTo   uint64
 }
 
 // FinalAction stores the end of a submission.
@@ -89,23 +89,23 @@
 	Revision uint64
 }
 
-// NoteAction tells the home of a transient submission what has become of a task, so
+// OutcomeAction tells the home of a transient submission what has become of a task, so
 // that a later holder can go on from there.
-type NoteAction struct {
-	Home  string
-	Task  submission.TaskRef
-	Fails int // runs that have failed; 0: the task has completed
+type OutcomeAction struct {
+	Home       string
+	Task       submission.TaskRef
+	FailedRuns int // runs that have failed; 0: the task has completed
 }
 
-// LossesAction tells the home of a transient submission which workers were lost under a task.
-type LossesAction struct {
+// TaskLossesAction tells the home of a transient submission which workers were lost under a task.
+type TaskLossesAction struct {
 	Home   string
 	Task   submission.TaskRef
 	Losses []submission.Loss
 }
 
-// LossAction tells of a worker that was lost with tasks on it.
-type LossAction struct {
+// WorkerLossAction tells of a worker that was lost with tasks on it.
+type WorkerLossAction struct {
 	Worker    string
 	Tasks     int
 	Unrelated bool // other workers were lost at the same moment: it says nothing of the tasks
@@ -119,19 +119,19 @@
 
 // Actions are what a Shard wants done, in no order but that within each list.
 type Actions struct {
-	Starts []StartAction
-	Stops  []StopAction
-	Looks  []string // IDs of workers to be asked for a listing at once
-	Seen   []SeenAction
-	Finals []FinalAction
-	Saves  []SaveAction
-	Moves  []MoveAction
-	States []StateAction
-	Notes  []NoteAction
-
-	Lost    []LossAction
-	Losses  []LossesAction
-	GivenUp []GivenUpAction
+	Starts   []StartAction
+	Stops    []StopAction
+	Probes   []string // IDs of workers to be asked for a listing at once
+	Acks     []AckAction
+	Finals   []FinalAction
+	Saves    []SaveAction
+	Moves    []MoveAction
+	States   []StateAction
+	Outcomes []OutcomeAction
+
+	WorkerLosses []WorkerLossAction
+	TaskLosses   []TaskLossesAction
+	GivenUp      []GivenUpAction
 }
 
 // Stored is a record with its revision.
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -307,8 +307,8 @@
 
 func (w *world) carryOut() {
 	a := w.shard.Take()
-	for _, s := range a.Seen {
-		w.seen[s.Worker] = s.Seen
+	for _, s := range a.Acks {
+		w.seen[s.Worker] = s.UpTo
 	}
 	for _, s := range a.States {
 		w.states[s.ID] = s.State
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -193,9 +193,9 @@
 
 // carryOut does what a shard has decided.
 func (e *engine) carryOut(name string, h *held, a shard.Actions) {
-	for _, s := range a.Seen {
+	for _, s := range a.Acks {
 		if ws := h.sessions[s.Worker]; ws != nil {
-			ws.acknowledge(s.Seen)
+			ws.acknowledge(s.UpTo)
 		}
 	}
 	for _, s := range a.Starts {
@@ -216,7 +216,7 @@
 		klog.InfoS("kept: stop", "id", s.Task.ID, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run,
 			"worker", s.Worker.ID, "shard", name, "why", s.Why)
 	}
-	for _, id := range a.Looks {
+	for _, id := range a.Probes {
 		e.order(h, id, func(ws *workerSession) { ws.look(h.ctx) })
 	}
 	for _, f := range a.Finals {
@@ -229,10 +229,10 @@
 		e.storeMove(name, h, m)
 	}
 	e.reportLosses(name, a)
-	for _, l := range a.Losses {
+	for _, l := range a.TaskLosses {
 		e.tellLosses(l)
 	}
-	for _, n := range a.Notes {
+	for _, n := range a.Outcomes {
 		e.tellNote(n) // before the state: what is told as returned has not completed
 	}
 	for _, s := range a.States {
--- a/internal/kept/vm/losses.go
+++ b/internal/kept/vm/losses.go
@@ -28,7 +28,7 @@
 
 // reportLosses logs and counts workers that were lost with tasks on them, and tasks given up for it.
 func (e *engine) reportLosses(name string, a shard.Actions) {
-	for _, l := range a.Lost {
+	for _, l := range a.WorkerLosses {
 		e.vm.figures.lostUnder(l.Unrelated, l.Tasks)
 		klog.InfoS("kept: worker lost under tasks", "worker", l.Worker, "shard", name, "tasks", l.Tasks, "others_lost_too", l.Unrelated)
 	}
@@ -40,7 +40,7 @@
 }
 
 // tellLosses tells a submission's home which workers were lost under a task.
-func (e *engine) tellLosses(a shard.LossesAction) {
+func (e *engine) tellLosses(a shard.TaskLossesAction) {
 	if a.Home == e.vm.config.Name {
 		e.learnLosses(a.Task, a.Losses)
 		return
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -396,9 +396,9 @@
 }
 
 // tellNote tells a submission's home what has become of a task.
-func (e *engine) tellNote(n shard.NoteAction) {
+func (e *engine) tellNote(n shard.OutcomeAction) {
 	if n.Home == e.vm.config.Name {
-		e.learnNote(n.Task, n.Fails)
+		e.learnNote(n.Task, n.FailedRuns)
 		return
 	}
 	f := e.frame(n.Home)
@@ -406,7 +406,7 @@
 		Id:    string(n.Task.ID),
 		Step:  uint32(n.Task.Step),
 		Index: uint32(n.Task.Index),
-		Fails: uint32(n.Fails),
+		Fails: uint32(n.FailedRuns),
 	})
 }
 
