--- a/internal/kept/site/decide.go
+++ b/internal/kept/site/decide.go
@@ -44,13 +44,13 @@
 	l := s.newLook()
 	for _, v := range s.ordered {
 		h := v.holding
-		if taken && !s.Mine(h) {
+		if taken && !s.HeldBySelf(h) {
 			continue // first it is to be seen that this VM holds one more
 		}
 		var c Claim
 		var due bool
 		switch {
-		case !s.Mine(h):
+		case !s.HeldBySelf(h):
 			c, due = s.takeOver(now, v, l)
 		case rank:
 			c, due = s.giveBack(now, v, l.held())
@@ -102,7 +102,7 @@
 	}
 	m, there := s.members[h.Holder]
 	switch {
-	case s.Gone(h):
+	case s.HolderRestarted(h):
 		return "its holder has started again", true
 	case !there && (s.linked[h.Holder] || s.inGrace(now, h)):
 		return "", false
@@ -176,10 +176,10 @@
 
 // burden is how much a VM has to do with so many shards.
 func burden(m Member, shards int) float64 {
-	if m.Weight <= 0 {
+	if m.Cores <= 0 {
 		return float64(shards)
 	}
-	return float64(shards) / m.Weight
+	return float64(shards) / m.Cores
 }
 
 // successor is who should hold a shard if this VM does not, as the VMs hold so many shards.
@@ -196,7 +196,7 @@
 	var out []Claim
 	held := s.held()
 	for _, h := range s.Holdings() {
-		if !s.Mine(h) {
+		if !s.HeldBySelf(h) {
 			continue
 		}
 		if successor, found := s.successor(h.Shard, held); found {
@@ -211,11 +211,11 @@
 	return Claim{
 		From: from,
 		To: Holding{
-			Shard:       from.Shard,
-			Holder:      to.Name,
-			Incarnation: to.Incarnation,
-			Token:       from.Token + 1,
-			Clean:       from.Holder == "" || s.Gone(from) || s.Mine(from),
+			Shard:              from.Shard,
+			Holder:             to.Name,
+			Incarnation:        to.Incarnation,
+			Token:              from.Token + 1,
+			PredecessorStopped: from.Holder == "" || s.HolderRestarted(from) || s.HeldBySelf(from),
 		},
 		Why: why,
 	}
@@ -287,7 +287,7 @@
 // mayTake reports whether this VM may take a shard that its own earlier process held.
 func (s *Site) mayTake(shard, except string) bool {
 	h := s.Holding(shard)
-	return except == s.self.Name && !s.Mine(h) && h.Holder == s.self.Name
+	return except == s.self.Name && !s.HeldBySelf(h) && h.Holder == s.self.Name
 }
 
 // countAble counts the entry VMs that are not suspected, by failure domain.
--- a/internal/kept/site/keys.go
+++ b/internal/kept/site/keys.go
@@ -88,7 +88,7 @@
 	Domain      string `json:"d"`
 	Address     string `json:"a"` // for links of other entry VMs
 	// Weight is the processor of the VM, in cores. Larger VMs hold more shards.
-	Weight float64 `json:"w,omitempty"`
+	Cores float64 `json:"w,omitempty"`
 }
 
 // Holding says who holds a shard.
@@ -100,7 +100,7 @@
 	Token       uint64 `json:"t"`
 	// Clean says that the holder before this one starts and holds nothing any more:
 	// its process had ended, or it gave the shard away itself.
-	Clean bool `json:"c,omitempty"`
+	PredecessorStopped bool `json:"c,omitempty"`
 }
 
 // Encode returns the value of a key in the store.
--- a/internal/kept/site/look_test.go
+++ b/internal/kept/site/look_test.go
@@ -34,13 +34,13 @@
 			return fmt.Sprintf("vm-%d", rng.IntN(30))
 		})
 		for name, m := range s.members {
-			m.Weight = []float64{0, 0.192, 1.6}[rng.IntN(3)]
+			m.Cores = []float64{0, 0.192, 1.6}[rng.IntN(3)]
 			s.members[name] = m
 			if rng.IntN(5) == 0 {
 				s.suspected[name] = true
 			}
 		}
-		s.self.Weight = s.members[s.self.Name].Weight
+		s.self.Cores = s.members[s.self.Name].Cores
 		s.self.Incarnation += uint64(rng.IntN(2))
 		l := s.newLook()
 		for _, v := range s.ordered {
@@ -74,7 +74,7 @@
 func TestLookSeesNewMembers(t *testing.T) {
 	s := siteOf(t, 12, nobody)
 	before, _ := s.newLook().rank("d0/0", "")
-	strong := Member{Name: "vm-strong", Domain: "d0", Incarnation: 1, Weight: 8}
+	strong := Member{Name: "vm-strong", Domain: "d0", Incarnation: 1, Cores: 8}
 	if err := s.Apply(time.Hour, store.Event{Item: store.Item{Key: MemberKey(strong.Name), Value: Encode(strong), Revision: 9}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/kept/site/peers.go
+++ b/internal/kept/site/peers.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// SmallSite is the number of other VMs up to which all keep links to all, and changes are followed
+// MaxFullMeshPeers is the number of other VMs up to which all keep links to all, and changes are followed
 // and told at once. Links of all to all grow with the square of the VMs: at 147 VMs their heartbeats alone
 // took all the processor that most of the VMs have (0.19 core).
-const SmallSite = 12
+const MaxFullMeshPeers = 12
 
 // foreignLeast is to how many holders of other failure domains a VM keeps links, however
 // little processor it has: they take its submissions while its own domain has no holder, and
@@ -29,7 +29,7 @@
 	Member
 	// Near says that the loss of the VM is to be noticed soon: it, or this VM, would take
 	// the other's shards over.
-	Near bool
+	FastDetection bool
 }
 
 // Peers returns the entry VMs that this VM needs links to. On a large site those are
@@ -40,19 +40,19 @@
 //
 // Whoever is on the other end keeps a link back for as long as it is told that it is needed.
 func (s *Site) Peers(now time.Duration) []Peer {
-	members := s.Links(now)
+	members := s.MembersAndLapsed(now)
 	holders := s.held()
 	holds := holders[s.self.Name] > 0
-	small := len(members) <= SmallSite
+	small := len(members) <= MaxFullMeshPeers
 	var out []Peer
 	var foreign []Member
 	for _, m := range members {
 		own, holder := m.Domain == s.self.Domain, holders[m.Name] > 0
 		switch {
 		case small:
-			out = append(out, Peer{Member: m, Near: true})
+			out = append(out, Peer{Member: m, FastDetection: true})
 		case own && (holds || holder):
-			out = append(out, Peer{Member: m, Near: holds && holder})
+			out = append(out, Peer{Member: m, FastDetection: holds && holder})
 		case holder && !own:
 			foreign = append(foreign, m)
 		}
@@ -63,10 +63,10 @@
 // affordable is how many links this VM's processor bears. Without a word of its processor it
 // bears them all.
 func (s *Site) affordable() int {
-	if s.self.Weight <= 0 {
+	if s.self.Cores <= 0 {
 		return len(s.members)
 	}
-	return int(linkShare * s.self.Weight / linkCost)
+	return int(linkShare * s.self.Cores / linkCost)
 }
 
 // someOf returns the first of some VMs by rendezvous hashing, so that the VMs of a site choose
@@ -93,11 +93,11 @@
 
 // Least returns the least processor of the entry VMs of a failure domain that are there, in cores;
 // 0: it is not known.
-func (s *Site) Least(domain string) float64 {
+func (s *Site) MinCores(domain string) float64 {
 	least := 0.0
 	for _, m := range s.members {
-		if m.Domain == domain && m.Weight > 0 && (least == 0 || m.Weight < least) {
-			least = m.Weight
+		if m.Domain == domain && m.Cores > 0 && (least == 0 || m.Cores < least) {
+			least = m.Cores
 		}
 	}
 	return least
--- a/internal/kept/site/peers_test.go
+++ b/internal/kept/site/peers_test.go
@@ -13,9 +13,9 @@
 	members := make(map[string]Member)
 	for d := range domains {
 		for i := range vms {
-			m := Member{Name: fmt.Sprintf("%c%d", 'a'+d, i), Incarnation: 1, Domain: string(rune('a' + d)), Weight: 0.192}
+			m := Member{Name: fmt.Sprintf("%c%d", 'a'+d, i), Incarnation: 1, Domain: string(rune('a' + d)), Cores: 0.192}
 			if i < holders {
-				m.Weight = 0.8
+				m.Cores = 0.8
 			}
 			members[m.Name] = m
 			names = append(names, m.Name)
@@ -69,7 +69,7 @@
 		if p.Domain == "a" {
 			own++
 		}
-		if p.Near {
+		if p.FastDetection {
 			near++
 		}
 	}
--- a/internal/kept/site/site.go
+++ b/internal/kept/site/site.go
@@ -242,7 +242,7 @@
 }
 
 // Suspect says whether the link to an entry VM is lost.
-func (s *Site) Suspect(name string, lost bool) {
+func (s *Site) SetLinkLost(name string, lost bool) {
 	s.learnt = true
 	if lost {
 		s.suspected[name] = true
@@ -256,13 +256,13 @@
 // Unlinked says that this VM has closed its link to an entry VM, as it needs none. What was known by
 // the link holds no more: a VM that was out of reach once would pass for dead when it becomes a
 // holder, until a new link stands, and lose its shards at once.
-func (s *Site) Unlinked(name string) {
+func (s *Site) LinkClosed(name string) {
 	delete(s.suspected, name)
 	delete(s.linked, name)
 }
 
 // Contact says that the store has answered a call that left at a time.
-func (s *Site) Contact(sent, now time.Duration) {
+func (s *Site) StoreAnswered(sent, now time.Duration) {
 	if sent-s.contact > s.settings.Gap {
 		s.steady = now
 	}
@@ -270,7 +270,7 @@
 }
 
 // Leave says that this VM is about to stop: it claims nothing more.
-func (s *Site) Leave() { s.leaving = true }
+func (s *Site) StopClaiming() { s.leaving = true }
 
 // Members returns the entry VMs whose keys are there, by name.
 func (s *Site) Members() []Member {
@@ -284,7 +284,7 @@
 
 // Links returns the entry VMs to keep links to: the members, and those whose key
 // has lapsed lately.
-func (s *Site) Links(now time.Duration) []Member {
+func (s *Site) MembersAndLapsed(now time.Duration) []Member {
 	out := s.Members()
 	for name, l := range s.lapsed {
 		if now-l.at < 2*s.settings.Grace || s.linked[name] {
@@ -299,10 +299,10 @@
 }
 
 // Size is the number of entry VMs whose keys are there.
-func (s *Site) Size() int { return len(s.members) }
+func (s *Site) MemberCount() int { return len(s.members) }
 
 // Covered reports whether each shard of a failure domain has a holder that is there and not suspected.
-func (s *Site) Covered(domain string) bool {
+func (s *Site) AllShardsHeld(domain string) bool {
 	d, known := s.layouts[domain]
 	if !known {
 		return false
@@ -346,13 +346,13 @@
 }
 
 // Mine reports whether a holding is this process's.
-func (s *Site) Mine(h Holding) bool {
+func (s *Site) HeldBySelf(h Holding) bool {
 	return h.Holder == s.self.Name && h.Incarnation == s.self.Incarnation
 }
 
 // Gone reports whether the process that holds a shard has certainly ended: its VM
 // has started another one.
-func (s *Site) Gone(h Holding) bool {
+func (s *Site) HolderRestarted(h Holding) bool {
 	if h.Holder == s.self.Name {
 		return h.Incarnation != s.self.Incarnation
 	}
--- a/internal/kept/site/site_test.go
+++ b/internal/kept/site/site_test.go
@@ -45,8 +45,8 @@
 	}
 	w.put(MemberKey(m.Name), Encode(m))
 	for other := range w.vms {
-		s.Suspect(other, false)
-		w.vms[other].Suspect(m.Name, false)
+		s.SetLinkLost(other, false)
+		w.vms[other].SetLinkLost(m.Name, false)
 	}
 }
 
@@ -85,7 +85,7 @@
 				s.Decide(w.now)
 				continue
 			}
-			s.Contact(w.now, w.now)
+			s.StoreAnswered(w.now, w.now)
 			for _, c := range s.Decide(w.now) {
 				if key := ShardKey(c.From.Shard); w.keys[key].Revision == c.From.Revision {
 					w.put(key, Encode(c.To))
@@ -108,7 +108,7 @@
 func (w *world) kill(name string) {
 	delete(w.vms, name)
 	for _, s := range w.vms {
-		s.Suspect(name, true)
+		s.SetLinkLost(name, true)
 	}
 }
 
@@ -146,7 +146,7 @@
 	if after.Holder == before.Holder || after.Holder[:1] != "a" || after.Token != before.Token+1 {
 		t.Errorf("%+v, then %+v", before, after)
 	}
-	if after.Clean {
+	if after.PredecessorStopped {
 		t.Error("a holder whose link is lost counts as ended for certain")
 	}
 }
@@ -158,15 +158,15 @@
 	before := w.holder("b/0")
 	for _, name := range []string{"a1", "a2"} {
 		w.cut[name] = true
-		w.vms[name].Suspect("b1", true)
-		w.vms[name].Suspect("b2", true)
+		w.vms[name].SetLinkLost("b1", true)
+		w.vms[name].SetLinkLost("b2", true)
 	}
 	w.run(6 * time.Second)
 	w.cut["a1"], w.cut["a2"] = false, false
 	w.run(400 * ms)
 	for _, name := range []string{"a1", "a2"} {
-		w.vms[name].Suspect("b1", false)
-		w.vms[name].Suspect("b2", false)
+		w.vms[name].SetLinkLost("b1", false)
+		w.vms[name].SetLinkLost("b2", false)
 	}
 	w.run(5 * time.Second)
 	if after := w.holder("b/0"); after.Token != before.Token {
@@ -208,7 +208,7 @@
 	w.join(again)
 	w.run(3 * time.Second)
 	after := w.holder("a/0")
-	if after.Incarnation != 2 || after.Token <= before.Token || !after.Clean {
+	if after.Incarnation != 2 || after.Token <= before.Token || !after.PredecessorStopped {
 		t.Errorf("%+v, then %+v", before, after)
 	}
 }
@@ -221,7 +221,7 @@
 	}
 	w.join(member("a1"))
 	w.run(4 * time.Second)
-	if h := w.holder("a/0"); h.Holder != "a1" || !h.Clean {
+	if h := w.holder("a/0"); h.Holder != "a1" || !h.PredecessorStopped {
 		t.Errorf("a/0 is held by %+v", h)
 	}
 }
@@ -230,9 +230,9 @@
 	w := newWorld(t, 1, four()...)
 	h := w.holder("a/0")
 	s := w.vms[h.Holder]
-	s.Leave()
+	s.StopClaiming()
 	claims := s.HandOver()
-	if len(claims) != 1 || claims[0].To.Holder == h.Holder || claims[0].To.Holder[:1] != "a" || !claims[0].To.Clean {
+	if len(claims) != 1 || claims[0].To.Holder == h.Holder || claims[0].To.Holder[:1] != "a" || !claims[0].To.PredecessorStopped {
 		t.Errorf("%+v", claims)
 	}
 	if more := s.Decide(w.now); len(more) > 0 {
@@ -292,9 +292,9 @@
 // before.
 func TestStoppingVMSpreadsItsShards(t *testing.T) {
 	members := []Member{member("a1"), member("a2"), member("a3"), member("a4"), member("b1")}
-	members[0].Weight = 2
+	members[0].Cores = 2
 	for i := 1; i < len(members); i++ {
-		members[i].Weight = 0.192
+		members[i].Cores = 0.192
 	}
 	w := newWorld(t, 6, members...)
 	for i := range 6 {
@@ -303,7 +303,7 @@
 		}
 	}
 	s := w.vms["a1"]
-	s.Leave()
+	s.StopClaiming()
 	successors := make(map[string]int)
 	for _, c := range s.HandOver() {
 		successors[c.To.Holder]++
@@ -323,8 +323,8 @@
 	holder := w.holder("a/0").Holder
 	other := map[string]string{"a1": "a2", "a2": "a1"}[holder]
 	s := w.vms[other]
-	s.Suspect(holder, true)
-	s.Unlinked(holder)
+	s.SetLinkLost(holder, true)
+	s.LinkClosed(holder)
 	w.run(2 * time.Second)
 	if h := w.holder("a/0"); h.Holder != holder {
 		t.Errorf("%s has taken the shard of %s, which is there", h.Holder, holder)
--- a/internal/kept/site/size_bench_test.go
+++ b/internal/kept/site/size_bench_test.go
@@ -17,7 +17,7 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("d%d", i)
 	}
-	s := New(DefaultSettings(), Member{Name: "vm-0", Domain: names[0], Incarnation: 1, Weight: 0.19}, names, time.Hour)
+	s := New(DefaultSettings(), Member{Name: "vm-0", Domain: names[0], Incarnation: 1, Cores: 0.19}, names, time.Hour)
 	put := func(key string, value any) {
 		if err := s.Apply(time.Hour, store.Event{Item: store.Item{Key: key, Value: Encode(value), Revision: 5}}); err != nil {
 			tb.Fatal(err)
@@ -25,7 +25,7 @@
 	}
 	for i := range vms {
 		name := fmt.Sprintf("vm-%d", i)
-		put(MemberKey(name), Member{Name: name, Domain: names[i%domains], Incarnation: 1, Weight: 0.192})
+		put(MemberKey(name), Member{Name: name, Domain: names[i%domains], Incarnation: 1, Cores: 0.192})
 	}
 	perDomain := (vms*10/domains + 10) / 11
 	for d, domain := range names {
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -113,7 +113,7 @@
 
 func newEngine(ctx context.Context, v *VM) *engine {
 	c := v.config
-	self := site.Member{Name: c.Name, Incarnation: c.Incarnation, Domain: c.Domain, Address: c.PeerAddress, Weight: c.Cores}
+	self := site.Member{Name: c.Name, Incarnation: c.Incarnation, Domain: c.Domain, Address: c.PeerAddress, Cores: c.Cores}
 	return &engine{
 		vm:           v,
 		ctx:          ctx,
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		klog.ErrorS(err, "kept: a key of the site cannot be read")
 	}
-	e.site.Contact(ev.sent, e.at)
+	e.site.StoreAnswered(ev.sent, e.at)
 	e.followHoldings(ev.sent)
 	e.noteCalm()
 	e.linksDue = true
@@ -49,7 +49,7 @@
 // domain has a holder that it can reach. New holders speak up by themselves.
 func (e *engine) noteCalm() {
 	calm := 0
-	if n := e.site.Size(); n > site.SmallSite && len(e.shards) == 0 && e.at-e.startedAt > calmAfter && e.site.Covered(e.vm.config.Domain) {
+	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.at-e.startedAt > calmAfter && e.site.AllShardsHeld(e.vm.config.Domain) {
 		calm = n
 	}
 	e.vm.siteCalm.Store(int64(calm))
@@ -63,10 +63,10 @@
 func (e *engine) followHoldings(sent time.Duration) {
 	e.holdersChanged = true
 	all := e.site.Holdings()
-	e.vm.sweeps.Store(len(all) > 0 && e.site.Mine(all[0]))
+	e.vm.sweeps.Store(len(all) > 0 && e.site.HeldBySelf(all[0]))
 	for _, holding := range all {
 		h := e.shards[holding.Shard]
-		mine := e.site.Mine(holding)
+		mine := e.site.HeldBySelf(holding)
 		if h != nil && (!mine || h.holding.Token != holding.Token) {
 			e.dropShard(h, holding)
 			h = nil
@@ -84,7 +84,7 @@
 func (e *engine) takeShard(holding site.Holding) {
 	// Runs that the earlier holder started and that no worker lists are over then.
 	barrierAt := e.at + e.vm.config.MaxLease + leaseSlack
-	if !holding.Clean {
+	if !holding.PredecessorStopped {
 		barrierAt += authorityOver
 	}
 	h := &held{
@@ -302,7 +302,7 @@
 }
 
 func (ev drainEvent) apply(e *engine) {
-	e.site.Leave()
+	e.site.StopClaiming()
 	claims := e.site.HandOver()
 	klog.InfoS("kept: stopping, shards are handed over", "shards", len(claims))
 	for _, c := range claims {
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -124,7 +124,7 @@
 		h.load = load
 		e.vm.figures.shard(name).set(len(h.sessions), &load)
 		e.takeLoad(e.vm.config.Name, name, h.holding.Token, load)
-		far := e.at-h.farAt >= loadFar || len(e.links) <= site.SmallSite
+		far := e.at-h.farAt >= loadFar || len(e.links) <= site.MaxFullMeshPeers
 		if far {
 			h.farAt = e.at
 		}
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -83,7 +83,7 @@
 		delete(e.up, name)
 		delete(e.neededAt, name)
 		e.waiting.forget(name)
-		e.site.Unlinked(name)
+		e.site.LinkClosed(name)
 		e.vm.calls.set(name, nil)
 	}
 	for name, p := range wanted {
@@ -96,7 +96,7 @@
 
 func (e *engine) openLink(p site.Peer, own bool) {
 	settings := link.DefaultSettings()
-	if !p.Near {
+	if !p.FastDetection {
 		settings = link.Distant(settings)
 	}
 	settings.Now = e.vm.now
@@ -146,7 +146,7 @@
 // tidyLinks opens and closes links when VMs or holders have changed, and looks now and then whether
 // links are kept that nobody needs any more.
 func (e *engine) tidyLinks() {
-	due := e.linksDue && (len(e.links) <= site.SmallSite || e.at-e.linkedAt >= linksPace)
+	due := e.linksDue && (len(e.links) <= site.MaxFullMeshPeers || e.at-e.linkedAt >= linksPace)
 	if due || e.at-e.linkedAt >= linkLinger {
 		e.linksDue = false
 		e.followMembers()
@@ -165,7 +165,7 @@
 	e.doubt(ev.name)
 	e.tellEvacuations(ev.name)
 	e.forgetTold(ev.name)
-	e.site.Suspect(ev.name, false)
+	e.site.SetLinkLost(ev.name, false)
 	for _, h := range e.shards {
 		h.loadAt = e.at - loadEvery // the peer may have missed the last word
 	}
@@ -194,7 +194,7 @@
 	}
 	e.up[ev.name] = false
 	e.waiting.forget(ev.name)
-	e.site.Suspect(ev.name, true)
+	e.site.SetLinkLost(ev.name, true)
 	e.noteCalm()
 	e.vm.calls.setReach(ev.name, false)
 	e.homeLost(ev.name)
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -298,7 +298,7 @@
 		Incarnation: v.config.Incarnation,
 		Domain:      v.config.Domain,
 		Address:     v.config.PeerAddress,
-		Weight:      v.config.Cores,
+		Cores:       v.config.Cores,
 	}
 	failures := 0
 	for ctx.Err() == nil {
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -21,7 +21,7 @@
 			return
 		}
 		e.dividing = true
-		least := e.site.Least(domain)
+		least := e.site.MinCores(domain)
 		e.vm.duty(func() {
 			err := e.vm.divide(e.ctx, domain, least)
 			e.vm.post(dividedEvent{domain: domain, err: err})
