--- a/internal/connection/submissions/submissions.go
+++ b/internal/connection/submissions/submissions.go
@@ -62,11 +62,11 @@
 	defer cancel()
 	o := s.entry.Submit(ctx, rec)
 	switch o.Kind {
-	case vm.Taken:
+	case vm.Accepted:
 		return connect.NewResponse(&pb.SubmitWorkResponse{State: pb.WorkState_WORK_STATE_QUEUED}), nil
 	case vm.Ended:
 		return connect.NewResponse(&pb.SubmitWorkResponse{State: stateOf(o.State)}), nil
-	case vm.Busy:
+	case vm.Refused:
 		return nil, refusal(errors.New("not run: "+o.Why), o.RetryAfter)
 	default:
 		return nil, connect.NewError(connect.CodeUnknown, errors.New("it may have run: "+o.Why))
@@ -76,7 +76,7 @@
 // refusal says that nothing has run, and when to come back.
 func refusal(err error, after time.Duration) error {
 	out := connect.NewError(connect.CodeUnavailable, err)
-	out.Meta().Set("Retry-After", vm.RetrySeconds(after))
+	out.Meta().Set("Retry-After", vm.RetryAfterSeconds(after))
 	return out
 }
 
--- a/internal/kept/vm/callers.go
+++ b/internal/kept/vm/callers.go
@@ -10,27 +10,27 @@
 )
 
 // Kind is what became of a request to take a submission.
-type Kind uint8
+type OutcomeKind uint8
 
 // The answers to a submission.
 const (
-	Taken  Kind = iota // it is stored and will end
-	Ended              // it was transient, and this is its end
-	Busy               // it has not run and will not
-	Unsure             // it may have been stored
+	Accepted      OutcomeKind = iota // it is stored and will end
+	Ended                            // it was transient, and this is its end
+	Refused                          // it has not run and will not
+	Indeterminate                    // it may have been stored
 )
 
 // Outcome is the answer to a submission.
 type Outcome struct {
-	Kind       Kind
+	Kind       OutcomeKind
 	State      submission.State // if ended: done or failed
 	RetryAfter time.Duration    // if busy: when to come back
 	Why        string
 }
 
-// RetrySeconds is a time to come back after, in the whole seconds that a caller is told; 1
+// RetryAfterSeconds is a time to come back after, in the whole seconds that a caller is told; 1
 // at least.
-func RetrySeconds(after time.Duration) string {
+func RetryAfterSeconds(after time.Duration) string {
 	seconds := int64((after + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
@@ -48,14 +48,14 @@
 func (v *VM) Submit(ctx context.Context, r *submission.Record) Outcome {
 	reply := make(chan Outcome, 1)
 	if !v.post(submitEvent{record: r, reply: reply}) {
-		return Outcome{Kind: Busy, RetryAfter: retryAfter, Why: "this entry VM is overloaded"}
+		return Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "this entry VM is overloaded"}
 	}
 	select {
 	case o := <-reply:
 		return o
 	case <-ctx.Done():
 		v.post(abandonEvent{id: r.ID, reply: reply})
-		return Outcome{Kind: Unsure, Why: "no answer in time"}
+		return Outcome{Kind: Indeterminate, Why: "no answer in time"}
 	}
 }
 
--- a/internal/kept/vm/early_test.go
+++ b/internal/kept/vm/early_test.go
@@ -43,7 +43,7 @@
 		time.Sleep(10 * time.Second)
 		began := time.Now()
 		o := <-w.submit("a1", "job", 1, runhost.Work{Time: 500 * ms}, true)
-		if took := time.Since(began); o.Kind != Busy || took > 50*ms {
+		if took := time.Since(began); o.Kind != Refused || took > 50*ms {
 			t.Errorf("%+v after %v, want a refusal at once", o, took)
 		}
 	})
@@ -64,7 +64,7 @@
 		rec.Transient = true
 		ctx, cancel := context.WithTimeout(context.Background(), 5*ms)
 		defer cancel()
-		if o := w.vms["a1"].Submit(ctx, rec); o.Kind != Unsure {
+		if o := w.vms["a1"].Submit(ctx, rec); o.Kind != Indeterminate {
 			t.Errorf("%+v", o)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -175,7 +175,7 @@
 			continue
 		}
 		out := p.submit(names[at], id, p.tasks[id], work, false)
-		if o := <-out; o.Kind == Taken {
+		if o := <-out; o.Kind == Accepted {
 			p.stored = append(p.stored, id)
 		}
 	}
@@ -218,7 +218,7 @@
 		}
 		select {
 		case o := <-a.out:
-			if o.Kind == Unsure && a.tries < 5 {
+			if o.Kind == Indeterminate && a.tries < 5 {
 				a.againAt = time.Now().Add(sendAgain)
 				continue
 			}
@@ -268,7 +268,7 @@
 		switch {
 		case a.end == nil:
 			return fmt.Errorf("%s has no answer after %d tries", a.id, a.tries)
-		case a.end.Kind == Busy && a.tries == 1 && p.fleet.Starts(a.id) > 0:
+		case a.end.Kind == Refused && a.tries == 1 && p.fleet.Starts(a.id) > 0:
 			return fmt.Errorf("%s was refused as not run (%s), and has run", a.id, a.end.Why)
 		case a.end.Kind == Ended && !p.whole(a.id):
 			return fmt.Errorf("%s was answered as %s, and not all of its tasks have completed", a.id, a.end.State)
--- a/internal/kept/vm/evacuate_test.go
+++ b/internal/kept/vm/evacuate_test.go
@@ -240,7 +240,7 @@
 		w.evacuate("a")
 		w.evacuate("b")
 		began := time.Now()
-		if o := <-waits; o.Kind != Busy || o.RetryAfter == 0 {
+		if o := <-waits; o.Kind != Refused || o.RetryAfter == 0 {
 			t.Errorf("what waited is answered %+v, want busy with a time to come back", o)
 		}
 		if took := time.Since(began); took > 100*ms {
@@ -249,7 +249,7 @@
 		time.Sleep(inForce)
 		began = time.Now()
 		o := <-w.submit("a1", "late", 1, runhost.Work{Time: 40 * ms}, true)
-		if o.Kind != Busy || o.RetryAfter == 0 || time.Since(began) > 20*ms {
+		if o.Kind != Refused || o.RetryAfter == 0 || time.Since(began) > 20*ms {
 			t.Errorf("a new one is answered %+v after %v, want busy at once", o, time.Since(began))
 		}
 		w.wantEnd(full, submission.Done)
@@ -389,7 +389,7 @@
 		}
 		w.evacuate("a")
 		time.Sleep(inForce)
-		if o, took := ask("during"); o.Kind != Busy || o.RetryAfter == 0 || took > 20*ms {
+		if o, took := ask("during"); o.Kind != Refused || o.RetryAfter == 0 || took > 20*ms {
 			t.Errorf("answered %+v after %v, want busy at once", o, took)
 		}
 		w.giveBack("a")
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -57,7 +57,7 @@
 	}
 	if h := e.homes[id]; h != nil {
 		if h.created || h.state != submission.Unknown {
-			ev.reply <- Outcome{Kind: Taken}
+			ev.reply <- Outcome{Kind: Accepted}
 			return
 		}
 		if len(h.waiters) > 0 {
@@ -82,7 +82,7 @@
 	rec := h.record
 	shards, refusal := e.candidates(rec, h.came)
 	if refusal == nil && e.vm.router.Down() {
-		refusal = &Outcome{Kind: Busy, RetryAfter: retryAfter, Why: "the store does not answer"}
+		refusal = &Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "the store does not answer"}
 	}
 	if refusal != nil {
 		e.refuse(h, *refusal)
@@ -111,7 +111,7 @@
 		Done:   func(r journal.Result) { e.vm.post(createdEvent{record: rec, result: r}) },
 	})
 	if !added {
-		e.refuse(h, Outcome{Kind: Busy, RetryAfter: retryAfter, Why: "too many submissions wait for the store"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "too many submissions wait for the store"})
 	}
 }
 
@@ -163,16 +163,16 @@
 		q.stored.RecordDuration(e.at - h.came)
 		klog.InfoS("kept: accepted", "id", ev.record.ID, "queue", ev.record.Queue, "shard", h.shard, "token", ev.record.Token,
 			"revision", h.revision, "tasks", ev.record.Tasks(), "took", e.at-h.came, "tries", ev.result.Tries)
-		e.answer(h, Outcome{Kind: Taken})
+		e.answer(h, Outcome{Kind: Accepted})
 		e.assign(h)
 	case journal.Conflict:
 		e.createAgain(h, ev.result)
 	case journal.Refused:
-		e.refuse(h, Outcome{Kind: Busy, RetryAfter: retryAfter, Why: "the store takes nothing"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "the store takes nothing"})
 	case journal.Unsure:
 		klog.InfoS("kept: not known whether accepted", "id", ev.record.ID, "took", e.at-h.came)
 		delete(e.homes, ev.record.ID)
-		e.answer(h, Outcome{Kind: Unsure, Why: "the store did not answer"})
+		e.answer(h, Outcome{Kind: Indeterminate, Why: "the store did not answer"})
 	}
 }
 
@@ -190,12 +190,12 @@
 			h.created = true
 			h.state = finalState(it)
 			h.changed = e.at
-			e.answer(h, Outcome{Kind: Taken})
+			e.answer(h, Outcome{Kind: Accepted})
 			return
 		}
 	}
 	if h.tries >= intakeTries || e.at-h.came > intakeWithin {
-		e.refuse(h, Outcome{Kind: Busy, RetryAfter: retryAfter, Why: "its shard changes hands"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "its shard changes hands"})
 		return
 	}
 	e.create(h)
@@ -215,7 +215,7 @@
 		klog.ErrorS(err, "kept: a stored submission cannot be read")
 	}
 	klog.InfoS("kept: accepted before", "id", h.record.ID, "home", h.record.Home, "shard", h.shard, "revision", it.Revision)
-	e.answer(h, Outcome{Kind: Taken})
+	e.answer(h, Outcome{Kind: Accepted})
 	e.askHolder(h)
 }
 
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -20,10 +20,10 @@
 		if len(e.evacuations.Domains()) > 0 {
 			why = policy.Evacuated
 		}
-		return nil, &Outcome{Kind: Busy, RetryAfter: retryAfter, Why: string(why)}
+		return nil, &Outcome{Kind: Refused, RetryAfter: retryAfter, Why: string(why)}
 	}
 	if reason := policy.Admit(e.at, e.work(r, came), shards); reason.Refused() {
-		return nil, &Outcome{Kind: Busy, RetryAfter: e.comeBack(r, shards), Why: string(reason)}
+		return nil, &Outcome{Kind: Refused, RetryAfter: e.comeBack(r, shards), Why: string(reason)}
 	}
 	return shards, nil
 }
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -141,7 +141,7 @@
 		return
 	}
 	if state != submission.Unknown {
-		e.answer(h, Outcome{Kind: Taken}) // its holder can only know it from the store
+		e.answer(h, Outcome{Kind: Accepted}) // its holder can only know it from the store
 	}
 	if state == submission.Unknown {
 		e.lookUp(id)
--- a/internal/kept/vm/takeback_test.go
+++ b/internal/kept/vm/takeback_test.go
@@ -18,7 +18,7 @@
 		time.Sleep(300 * ms)
 		began := time.Now()
 		o := <-w.submit("b1", "wide", 8, runhost.Work{Time: 200 * ms}, true)
-		if took := time.Since(began); o.Kind != Busy || took > 1200*ms {
+		if took := time.Since(began); o.Kind != Refused || took > 1200*ms {
 			t.Errorf("%+v after %v, want a refusal once it cannot be done in time", o, took)
 		}
 		if n := w.fleet.Starts("wide"); n != 0 {
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -242,7 +242,7 @@
 func (e *engine) giveUp(t *transient, why string) {
 	e.vm.figures.queue(t.record.Queue).ended("given_up", e.at-t.came)
 	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.at-t.came, "parts", len(t.parts))
-	e.forgetTransient(t, Outcome{Kind: Unsure, Why: why})
+	e.forgetTransient(t, Outcome{Kind: Indeterminate, Why: why})
 }
 
 // forgetTransient ends all parts, answers the callers, and keeps nothing.
@@ -372,7 +372,7 @@
 	after := e.comeBack(t.record, e.reachableShards(t.record))
 	e.vm.figures.queue(t.record.Queue).ended("refused", e.at-t.came)
 	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.at-t.came, "retry_after", after, "parts", len(t.parts))
-	e.forgetTransient(t, Outcome{Kind: Busy, RetryAfter: after, Why: string(why)})
+	e.forgetTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
 }
 
 // endIfDone ends a submission of which each task has completed, and gives out what waited for the
--- a/internal/kept/vm/vm_test.go
+++ b/internal/kept/vm/vm_test.go
@@ -143,7 +143,7 @@
 		time.Sleep(5 * time.Second)
 		w.wantEnd(w.submit("a1", "job", 4, runhost.Work{Time: 100 * ms}, true), submission.Done)
 		o := <-w.submit("a1", "kept", 1, runhost.Work{Time: 100 * ms}, false)
-		if o.Kind != Busy || o.RetryAfter == 0 {
+		if o.Kind != Refused || o.RetryAfter == 0 {
 			t.Errorf("a submission that cannot be stored is %+v, want busy", o)
 		}
 		for _, d := range w.doors {
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -217,7 +217,7 @@
 
 func (w *world) wantTaken(out chan Outcome) {
 	w.t.Helper()
-	if o := <-out; o.Kind != Taken {
+	if o := <-out; o.Kind != Accepted {
 		w.t.Fatalf("the outcome is %+v, want taken", o)
 	}
 }
