--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -7,8 +7,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// moveAgain is between two tries to store a submission under another shard.
-const moveAgain = 300 * time.Millisecond
+// reassignRetryInterval is between two tries to store a submission under another shard.
+const reassignRetryInterval = 300 * time.Millisecond
 
 // SetEvacuated says whether anything may start in the shard's failure domain.
 //
@@ -39,7 +39,7 @@
 	case j.rec.Transient:
 		s.handBack(now, j, len(j.tasks))
 	default:
-		s.moveStored(now, j)
+		s.reassignStored(now, j)
 	}
 }
 
@@ -73,37 +73,37 @@
 	return !slices.ContainsFunc(j.tasks, func(t *task) bool { return t.occupies() || t.state == astray })
 }
 
-// moveStored has a stored submission written under another shard once nothing of it runs here.
-func (s *Shard) moveStored(now time.Duration, j *job) {
-	if j.moving || j.saving || now < j.moveAt || !j.atRest() {
+// reassignStored has a stored submission written under another shard once nothing of it runs here.
+func (s *Shard) reassignStored(now time.Duration, j *job) {
+	if j.reassigning || j.saving || now < j.reassignAt || !j.atRest() {
 		return
 	}
-	j.moving = true
+	j.reassigning = true
 	rec := *j.rec
 	rec.Progress = j.progress()
 	for _, t := range j.tasks {
 		rec.RunsBefore = max(rec.RunsBefore, t.run)
 	}
-	s.out.Moves = append(s.out.Moves, MoveAction{Record: &rec, Revision: j.revision})
+	s.out.Reassigns = append(s.out.Reassigns, ReassignAction{Record: &rec, Revision: j.revision})
 }
 
 // Moved says that a submission is stored under another shard at a revision.
-func (s *Shard) Moved(now time.Duration, id submission.ID, revision uint64) {
+func (s *Shard) Reassigned(now time.Duration, id submission.ID, revision uint64) {
 	j, open := s.jobs[id]
-	if !open || !j.moving {
+	if !open || !j.reassigning {
 		return
 	}
 	j.stored = true // its ends are in the record that names the other shard
-	s.past[id] = endedJob{moved: revision, at: now}
+	s.past[id] = endedJob{reassignedRevision: revision, at: now}
 	s.acknowledge()
 	delete(s.jobs, id)
 }
 
-// NotMoved says that a submission stays here for now.
-func (s *Shard) NotMoved(now time.Duration, id submission.ID) {
+// ReassignFailed says that a submission stays here for now.
+func (s *Shard) ReassignFailed(now time.Duration, id submission.ID) {
 	if j, open := s.jobs[id]; open {
-		j.moving = false
-		j.moveAt = now + moveAgain
+		j.reassigning = false
+		j.reassignAt = now + reassignRetryInterval
 		s.dirty = true
 	}
 }
--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -118,11 +118,11 @@
 	rec.Transient = false
 	w.shard.Assign(w.now, Stored{Record: rec, Revision: 5})
 	w.shard.Tick(w.now + 10*ms)
-	moves := w.shard.Take().Moves
+	moves := w.shard.Take().Reassigns
 	if len(moves) != 1 || moves[0].Revision != 5 {
 		t.Fatalf("moves: %v, want the one submission", moves)
 	}
-	w.shard.Moved(w.now, "a", 8)
+	w.shard.Reassigned(w.now, "a", 8)
 	w.shard.Records(w.now, []Stored{{Record: rec, Revision: 5}}) // read before it left
 	if n := len(w.shard.Unfinished()); n != 0 {
 		t.Errorf("%d submissions, it had left", n)
--- a/internal/kept/shard/job.go
+++ b/internal/kept/shard/job.go
@@ -66,27 +66,27 @@
 }
 
 type job struct {
-	rec      *submission.Record
-	revision uint64
-	state    submission.State
-	why      string
-	tasks    []*task
-	steps    []stepState
-	chain    time.Duration // by the caller's estimates
-	left     int           // tasks that have not completed
-	came     time.Duration // to its home
-	here     time.Duration // when it came to this shard
-	firstRun time.Duration // 0: none yet
-	saving   bool
-	unsaved  time.Duration // when the oldest end that is not stored came; 0: none
-	stored   bool          // its end is in the store, or need not be
-	blamed   *host         // the first worker on which a task of it failed
-	runBase  uint64        // run numbers begin above it
-	resumed  bool          // an earlier holder had it
-	offered  bool          // a start of it was sent
-	returned []ReturnedTask
-	moving   bool          // its record is being stored under another shard
-	moveAt   time.Duration // when that is tried again
+	rec         *submission.Record
+	revision    uint64
+	state       submission.State
+	why         string
+	tasks       []*task
+	steps       []stepState
+	chain       time.Duration // by the caller's estimates
+	left        int           // tasks that have not completed
+	came        time.Duration // to its home
+	here        time.Duration // when it came to this shard
+	firstRun    time.Duration // 0: none yet
+	saving      bool
+	unsaved     time.Duration // when the oldest end that is not stored came; 0: none
+	stored      bool          // its end is in the store, or need not be
+	blamed      *host         // the first worker on which a task of it failed
+	runBase     uint64        // run numbers begin above it
+	resumed     bool          // an earlier holder had it
+	offered     bool          // a start of it was sent
+	returned    []ReturnedTask
+	reassigning bool          // its record is being stored under another shard
+	reassignAt  time.Duration // when that is tried again
 }
 
 type stepState struct {
@@ -195,7 +195,7 @@
 }
 
 // startable reports whether a task waits and the steps before its own are done.
-func (j *job) startable(t *task) bool { return t.state == waiting && !j.moving && j.due(t) }
+func (j *job) startable(t *task) bool { return t.state == waiting && !j.reassigning && j.due(t) }
 
 // due reports whether the steps before a task's step are done.
 func (j *job) due(t *task) bool {
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -122,7 +122,7 @@
 // saveProgress stores the ends of a submission that goes on. Without it a worker
 // would list all its later ends again in each answer.
 func (s *Shard) saveProgress(now time.Duration, j *job) {
-	if j.rec.Transient || j.saving || j.moving || j.unsaved == 0 || j.state.Final() || now-j.unsaved < s.settings.SaveAfter {
+	if j.rec.Transient || j.saving || j.reassigning || j.unsaved == 0 || j.state.Final() || now-j.unsaved < s.settings.SaveAfter {
 		return
 	}
 	j.unsaved = 0
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -41,12 +41,12 @@
 // endedJob is what is remembered of a submission that has ended here. A message
 // or an answer of the store that left before its end would start it again.
 type endedJob struct {
-	state    submission.State // Unknown: it was stored under another shard
-	part     extent
-	serial   uint64
-	returned []ReturnedTask
-	moved    uint64 // revision of the record that names another shard; 0: it ended here
-	at       time.Duration
+	state              submission.State // Unknown: it was stored under another shard
+	part               extent
+	serial             uint64
+	returned           []ReturnedTask
+	reassignedRevision uint64 // revision of the record that names another shard; 0: it ended here
+	at                 time.Duration
 }
 
 // deadWorker is the newest incarnation of a worker that another has replaced.
@@ -137,7 +137,7 @@
 		return true
 	}
 	p, known := s.past[r.Record.ID]
-	return known && (p.moved == 0 || r.Revision <= p.moved)
+	return known && (p.reassignedRevision == 0 || r.Revision <= p.reassignedRevision)
 }
 
 // runBase keeps run numbers above those of earlier holders, also of runs that no
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -46,7 +46,7 @@
 	case open:
 		s.takeOverHome(r, state)
 		return true
-	case !open && s.past[r.ID].moved > 0:
+	case !open && s.past[r.ID].reassignedRevision > 0:
 		return false // a stored submission of that name went elsewhere
 	case s.past[r.ID].serial == r.Serial:
 		// Its home hands it over again, not knowing of its end: it must not run after
--- a/internal/kept/shard/types.go
+++ b/internal/kept/shard/types.go
@@ -83,8 +83,8 @@
 	Losses []submission.Loss // workers that were lost under it
 }
 
-// MoveAction stores a submission of which nothing runs here under another shard.
-type MoveAction struct {
+// ReassignAction stores a submission of which nothing runs here under another shard.
+type ReassignAction struct {
 	Record   *submission.Record
 	Revision uint64
 }
@@ -119,15 +119,15 @@
 
 // Actions are what a Shard wants done, in no order but that within each list.
 type Actions struct {
-	Starts   []StartAction
-	Stops    []StopAction
-	Probes   []string // IDs of workers to be asked for a listing at once
-	Acks     []AckAction
-	Finals   []FinalAction
-	Saves    []SaveAction
-	Moves    []MoveAction
-	States   []StateAction
-	Outcomes []OutcomeAction
+	Starts    []StartAction
+	Stops     []StopAction
+	Probes    []string // IDs of workers to be asked for a listing at once
+	Acks      []AckAction
+	Finals    []FinalAction
+	Saves     []SaveAction
+	Reassigns []ReassignAction
+	States    []StateAction
+	Outcomes  []OutcomeAction
 
 	WorkerLosses []WorkerLossAction
 	TaskLosses   []TaskLossesAction
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -225,7 +225,7 @@
 	for _, s := range a.Saves {
 		e.storeProgress(name, h, s)
 	}
-	for _, m := range a.Moves {
+	for _, m := range a.Reassigns {
 		e.storeMove(name, h, m)
 	}
 	e.reportLosses(name, a)
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -289,11 +289,11 @@
 // storeMove writes a stored submission, of which nothing runs, under a shard that may start it. The
 // write demands that its record is unchanged and that neither shard has changed hands: the next
 // holder of the old one could have started it.
-func (e *engine) storeMove(name string, h *held, m shard.MoveAction) {
+func (e *engine) storeMove(name string, h *held, m shard.ReassignAction) {
 	rec := m.Record
 	shards := e.reachableShards(rec)
 	if len(shards) == 0 {
-		h.core.NotMoved(e.at, rec.ID)
+		h.core.ReassignFailed(e.at, rec.ID)
 		return
 	}
 	rec.Shard = e.vm.config.Policy.Split(shards, demand(rec), false, longestEstimate(rec))[0].Shard
@@ -313,7 +313,7 @@
 		},
 	})
 	if !added {
-		h.core.NotMoved(e.at, rec.ID)
+		h.core.ReassignFailed(e.at, rec.ID)
 	}
 }
 
@@ -325,7 +325,7 @@
 	rec := ev.record
 	switch {
 	case ev.result.Outcome == journal.Stored:
-		h.core.Moved(e.at, rec.ID, ev.result.Revision)
+		h.core.Reassigned(e.at, rec.ID, ev.result.Revision)
 		e.vm.figures.sentAway.Inc(1)
 		klog.InfoS("kept: sent away from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
 			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.Tasks())
@@ -336,7 +336,7 @@
 	case ev.result.Outcome == journal.Conflict && ev.recordChanged():
 		h.core.Lost(e.at, rec.ID)
 	default:
-		h.core.NotMoved(e.at, rec.ID)
+		h.core.ReassignFailed(e.at, rec.ID)
 	}
 }
 
