--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -118,17 +118,17 @@
 	rec.Transient = false
 	w.shard.Assign(w.now, Stored{Record: rec, Revision: 5})
 	w.shard.Tick(w.now + 10*ms)
-	moves := w.shard.Take().Reassigns
+	moves := w.shard.TakeActions().Reassigns
 	if len(moves) != 1 || moves[0].Revision != 5 {
 		t.Fatalf("moves: %v, want the one submission", moves)
 	}
 	w.shard.Reassigned(w.now, "a", 8)
-	w.shard.Records(w.now, []Stored{{Record: rec, Revision: 5}}) // read before it left
+	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 5}}) // read before it left
 	if n := len(w.shard.Unfinished()); n != 0 {
 		t.Errorf("%d submissions, it had left", n)
 	}
 	w.shard.SetEvacuated(w.now, false)
-	w.shard.Records(w.now, []Stored{{Record: rec, Revision: 9}})
+	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 9}})
 	w.run(300 * ms)
 	if w.finals["a"] != submission.Done {
 		t.Errorf("it is %s after it came back, want done", w.finals["a"])
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -72,7 +72,7 @@
 
 // Workers takes the list of workers of the shard. A worker that is not in it any
 // more goes on until it stops answering: the list lapses while the store is down.
-func (s *Shard) Workers(now time.Duration, list []worker.Info) {
+func (s *Shard) UpdateWorkers(now time.Duration, list []worker.Info) {
 	present := make(map[string]bool, len(list))
 	for _, info := range newestLives(s.living(list)) {
 		h, known := s.workers[info.ID]
@@ -153,7 +153,7 @@
 // A worker that has started again writes its entry within some seconds, and where the domain is cut
 // off from the list nobody there reads it: its workers would be idle until the heal, all of them if
 // they came back together. The new life runs nothing, and may be cold.
-func (s *Shard) Succeed(now time.Duration, gone worker.Info, next worker.Incarnation) {
+func (s *Shard) WorkerRestarted(now time.Duration, gone worker.Info, next worker.Incarnation) {
 	s.dead[gone.ID] = deadWorker{born: gone.Born, at: now}
 	info := gone
 	info.ID, info.Born = next.ID, next.Born
@@ -204,7 +204,7 @@
 
 // Expect takes workers that earlier holders used. One that is not in the list may
 // still have runs: entries lapse while the store is down.
-func (s *Shard) Expect(now time.Duration, known []worker.Info) {
+func (s *Shard) AddWorkersOfPreviousHolder(now time.Duration, known []worker.Info) {
 	for _, info := range known {
 		h, there := s.workers[info.ID]
 		switch {
@@ -280,9 +280,9 @@
 	s.forgetHost(now, h)
 }
 
-// WorkerLapsed says that a worker's lease has certainly run out: nothing that was
+// WorkerLeaseExpired says that a worker's lease has certainly run out: nothing that was
 // started there before runs any more. One that left the list is forgotten.
-func (s *Shard) WorkerLapsed(now time.Duration, id string) {
+func (s *Shard) WorkerLeaseExpired(now time.Duration, id string) {
 	h, known := s.workers[id]
 	if !known {
 		return
--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -33,11 +33,11 @@
 		"listing": func(w *world, _ worker.Info) { w.run(10 * ms) },
 		"entry":   func(w *world, _ worker.Info) { w.list() },
 		"lease, then listing": func(w *world, old worker.Info) {
-			w.shard.WorkerLapsed(w.now, old.ID)
+			w.shard.WorkerLeaseExpired(w.now, old.ID)
 			w.run(10 * ms)
 		},
 		"lease, then entry": func(w *world, old worker.Info) {
-			w.shard.WorkerLapsed(w.now, old.ID)
+			w.shard.WorkerLeaseExpired(w.now, old.ID)
 			w.list()
 		},
 		"entry, then listing": func(w *world, _ worker.Info) {
@@ -95,10 +95,10 @@
 	old := w.hosts["w0"]
 	old.Advance(w.now + 20*ms)
 	l, _ := old.Hold(w.now+20*ms, worker.Hold{Token: w.shard.Token()})
-	w.shard.Listing(w.now+20*ms, "w0", w.now, l)
+	w.shard.HandleListing(w.now+20*ms, "w0", w.now, l)
 	w.restart("w0")
 	w.list()
-	for _, s := range w.shard.Take().Acks {
+	for _, s := range w.shard.TakeActions().Acks {
 		t.Errorf("ends up to %d are acknowledged to the next incarnation", s.UpTo)
 	}
 }
@@ -169,7 +169,7 @@
 	unborn := w.hosts["w0"].Info
 	unborn.Born, unborn.Revision, unborn.Leaving = 0, 1001, true
 	for _, late := range []worker.Info{old, unborn} {
-		w.shard.Workers(w.now, []worker.Info{late})
+		w.shard.UpdateWorkers(w.now, []worker.Info{late})
 		if info, _ := w.shard.WorkerInfo("w0"); info.Incarnation() != w.hosts["w0"].Info.Incarnation() || info.Leaving || info.CPUMilli == 1 {
 			t.Errorf("%+v is in force after %+v", info, late)
 		}
@@ -209,14 +209,14 @@
 	settings := DefaultSettings()
 	s := New(w.now, settings, 2, w.now+time.Second)
 	old := w.hosts["w0"].Info
-	s.Workers(w.now, []worker.Info{old})
-	s.Listing(w.now, "w0", w.now, worker.Listing{Clock: time.Hour, Ended: []worker.Ended{{N: 40}}})
+	s.UpdateWorkers(w.now, []worker.Info{old})
+	s.HandleListing(w.now, "w0", w.now, worker.Listing{Clock: time.Hour, Ended: []worker.Ended{{N: 40}}})
 	next := old
 	next.Born++
 	next.Revision++
-	s.Workers(w.now, []worker.Info{next})
-	s.Records(w.now, nil)
-	if slices.ContainsFunc(s.Take().Acks, func(a AckAction) bool { return a.UpTo == 40 }) {
+	s.UpdateWorkers(w.now, []worker.Info{next})
+	s.AddRecords(w.now, nil)
+	if slices.ContainsFunc(s.TakeActions().Acks, func(a AckAction) bool { return a.UpTo == 40 }) {
 		t.Error("an end of the earlier incarnation is acknowledged to the next one")
 	}
 }
@@ -230,15 +230,15 @@
 	delete(w.hosts, "w0")
 	w.addHost("w9", first.Address)
 	second := worker.Incarnation{ID: "w5"} // answered once, and crashed before anything else was heard of it
-	w.shard.Succeed(w.now, first, second)
+	w.shard.WorkerRestarted(w.now, first, second)
 	gone, _ := w.shard.WorkerInfo("w5")
-	w.shard.Succeed(w.now, gone, worker.Incarnation{ID: "w9"})
+	w.shard.WorkerRestarted(w.now, gone, worker.Incarnation{ID: "w9"})
 	w.run(50 * ms)
 	w.assign(w.submission("a", 2, runhost.Work{Time: 500 * ms}))
 	w.run(100 * ms)
 	late := gone
 	late.Born, late.Revision = 7, 1000
-	w.shard.Workers(w.now, []worker.Info{late})
+	w.shard.UpdateWorkers(w.now, []worker.Info{late})
 	w.run(time.Second)
 	w.want("a", submission.Done)
 	if n := w.runs("a"); n != 2 {
@@ -260,15 +260,15 @@
 			if !births {
 				earlier.Born, last.Born = 0, 0
 			}
-			w.shard.Workers(w.now, []worker.Info{last, earlier})
+			w.shard.UpdateWorkers(w.now, []worker.Info{last, earlier})
 			delete(w.hosts, "w0")
 			w.addHost("w9", last.Address) // the store is away: it has no entry yet
-			w.shard.Succeed(w.now, last, worker.Incarnation{ID: "w9"})
+			w.shard.WorkerRestarted(w.now, last, worker.Incarnation{ID: "w9"})
 			w.run(50 * ms)
 			w.assign(w.submission("a", 2, runhost.Work{Time: 500 * ms}))
 			w.run(100 * ms)
-			w.shard.Workers(w.now, []worker.Info{last, earlier})
-			w.shard.Workers(w.now, []worker.Info{earlier})
+			w.shard.UpdateWorkers(w.now, []worker.Info{last, earlier})
+			w.shard.UpdateWorkers(w.now, []worker.Info{earlier})
 			w.run(time.Second)
 			w.want("a", submission.Done)
 			if n := w.runs("a"); births && n != 2 {
@@ -284,7 +284,7 @@
 	w := newWorld(t, 2)
 	w.run(50 * ms)
 	info, _ := w.shard.WorkerInfo("w0")
-	w.shard.Succeed(w.now, info, worker.Incarnation{ID: "w0"})
+	w.shard.WorkerRestarted(w.now, info, worker.Incarnation{ID: "w0"})
 	if _, known := w.shard.WorkerInfo("w0"); known {
 		t.Error("it is still used")
 	}
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -10,7 +10,7 @@
 
 // Listing takes a worker's answer to a hold that was sent at a time. It returns the
 // ends in it that were new.
-func (s *Shard) Listing(now time.Duration, id string, sent time.Duration, l worker.Listing) (fresh []worker.Ended) {
+func (s *Shard) HandleListing(now time.Duration, id string, sent time.Duration, l worker.Listing) (fresh []worker.Ended) {
 	h, known := s.workers[id]
 	if !known {
 		return nil
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -108,7 +108,7 @@
 	}
 	id := o.record.ID
 	if r.open[id].Revision != o.revision || o.revision == 0 {
-		w.shard.Lost(w.now, id)
+		w.shard.RecordConflict(w.now, id)
 		return
 	}
 	if o.final != submission.Unknown {
@@ -118,7 +118,7 @@
 	}
 	r.revision++
 	r.open[id] = Stored{Record: o.record, Revision: r.revision}
-	w.shard.Saved(w.now, id, r.revision)
+	w.shard.ProgressSaved(w.now, id, r.revision)
 }
 
 func (r *records) end(id submission.ID, state submission.State) {
@@ -225,7 +225,7 @@
 		}
 		all = append(all, Stored{Record: rec, Revision: s.Revision})
 	}
-	p.shard.Records(p.now, all)
+	p.shard.AddRecords(p.now, all)
 }
 
 // rebirth ends a worker's life; another begins at its address.
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -7,8 +7,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// StartReply takes the answer to a start.
-func (s *Shard) StartReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
+// HandleStartReply takes the answer to a start.
+func (s *Shard) HandleStartReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
 	h, t := s.order(id, ref, run)
 	if h != nil && notRun(r.Verdict) {
 		h.seenStart(ref, run)
@@ -49,8 +49,8 @@
 	}
 }
 
-// StopReply takes the answer to a stop. A stop without an answer is repeated.
-func (s *Shard) StopReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
+// HandleStopReply takes the answer to a stop. A stop without an answer is repeated.
+func (s *Shard) HandleStopReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
 	h, known := s.workers[id]
 	if !known {
 		return
--- a/internal/kept/shard/room_test.go
+++ b/internal/kept/shard/room_test.go
@@ -56,7 +56,7 @@
 	w := newUnguardedWorld(t, 1)
 	old := w.hosts["w0"].Info
 	w.setRoom("w0", 7000)
-	w.shard.Workers(w.now, []worker.Info{old})
+	w.shard.UpdateWorkers(w.now, []worker.Info{old})
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
 	if n := w.runs("a"); n != 1 {
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -88,7 +88,7 @@
 func (s *Shard) Token() uint64 { return s.token }
 
 // Take returns the actions since the last call.
-func (s *Shard) Take() Actions {
+func (s *Shard) TakeActions() Actions {
 	out := s.out
 	s.out = Actions{}
 	return out
@@ -96,18 +96,18 @@
 
 // Records takes the unfinished submissions of the shard as the store has them.
 // Those that are known already stay as they are.
-func (s *Shard) Records(now time.Duration, records []Stored) {
+func (s *Shard) AddRecords(now time.Duration, records []Stored) {
 	first := !s.scanned
 	s.scanned = true
 	for _, r := range records {
-		if !s.Remembers(r) {
+		if !s.IsKnown(r) {
 			s.adopt(now, r)
 		}
 	}
 	if first {
 		for _, id := range slices.Sorted(maps.Keys(s.early)) {
 			e := s.early[id]
-			s.Listing(now, id, e.sent, e.listing)
+			s.HandleListing(now, id, e.sent, e.listing)
 		}
 		s.early = nil
 	}
@@ -132,7 +132,7 @@
 
 // Remembers reports whether a stored submission is one that is known here, or that has left this
 // shard for good: what was read before it left must not bring it back.
-func (s *Shard) Remembers(r Stored) bool {
+func (s *Shard) IsKnown(r Stored) bool {
 	if _, open := s.jobs[r.Record.ID]; open {
 		return true
 	}
@@ -157,10 +157,10 @@
 // Assign takes a submission of which nothing has run yet. It reports false if the
 // submission was known already.
 func (s *Shard) Assign(now time.Duration, r Stored) bool {
-	if !r.Record.Transient && s.Remembers(r) {
+	if !r.Record.Transient && s.IsKnown(r) {
 		return false
 	}
-	if state, known := s.Knows(r.Record.ID); known && r.Record.Transient && s.sent(now, r.Record, state) {
+	if state, known := s.State(r.Record.ID); known && r.Record.Transient && s.sent(now, r.Record, state) {
 		return false
 	}
 	s.add(newJob(now, r, 0))
@@ -175,7 +175,7 @@
 }
 
 // Knows returns the state of a submission here.
-func (s *Shard) Knows(id submission.ID) (submission.State, bool) {
+func (s *Shard) State(id submission.ID) (submission.State, bool) {
 	if j, open := s.jobs[id]; open {
 		return j.state, true
 	}
@@ -230,7 +230,7 @@
 }
 
 // Saved says that the progress of a submission is in the store.
-func (s *Shard) Saved(now time.Duration, id submission.ID, revision uint64) {
+func (s *Shard) ProgressSaved(now time.Duration, id submission.ID, revision uint64) {
 	j, known := s.jobs[id]
 	if !known {
 		return
@@ -252,7 +252,7 @@
 
 // Lost says that a record could not be changed as it is no longer what it was:
 // the submission was cancelled, or ended by another holder.
-func (s *Shard) Lost(now time.Duration, id submission.ID) {
+func (s *Shard) RecordConflict(now time.Duration, id submission.ID) {
 	j, known := s.jobs[id]
 	if !known {
 		return
@@ -351,8 +351,8 @@
 	return out
 }
 
-// KeepsAny reports whether an unfinished submission here is a stored one.
-func (s *Shard) KeepsAny() bool {
+// HasStored reports whether an unfinished submission here is a stored one.
+func (s *Shard) HasStored() bool {
 	for _, j := range s.jobs {
 		if !j.rec.Transient {
 			return true
--- a/internal/kept/shard/shard_test.go
+++ b/internal/kept/shard/shard_test.go
@@ -106,9 +106,9 @@
 	for _, h := range w.hosts {
 		known = append(known, h.Info)
 	}
-	w.shard.Workers(w.now, []worker.Info{w.hosts["w0"].Info})
-	w.shard.Expect(w.now, known)
-	w.shard.Records(w.now, nil)
+	w.shard.UpdateWorkers(w.now, []worker.Info{w.hosts["w0"].Info})
+	w.shard.AddWorkersOfPreviousHolder(w.now, known)
+	w.shard.AddRecords(w.now, nil)
 	w.shard.Resume(w.now, rec)
 	w.run(1500 * ms)
 	w.want("a", submission.Done)
@@ -129,11 +129,11 @@
 	w.addHost("w1", old.Address)
 	w.hosts["w1"].Info.Revision = old.Revision + 10
 	both := []worker.Info{w.hosts["w1"].Info, old}
-	w.shard.Workers(w.now, both)
+	w.shard.UpdateWorkers(w.now, both)
 	w.run(100 * ms)
 	w.assign(w.submission("a", 2, runhost.Work{Time: 500 * ms}))
 	w.run(100 * ms)
-	w.shard.Workers(w.now, both)
+	w.shard.UpdateWorkers(w.now, both)
 	w.run(time.Second)
 	w.want("a", submission.Done)
 	if n := w.runs("a"); n != 2 {
@@ -271,7 +271,7 @@
 		t.Error("an end was acknowledged before anything of it was stored")
 	}
 	w.hold(2, true)
-	w.shard.Records(w.now, []Stored{{Record: rec, Revision: 7}})
+	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 7}})
 	w.run(time.Second)
 	w.want("a", submission.Done)
 	if w.finals["a"] != submission.Done {
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -93,7 +93,7 @@
 // Resume takes a transient submission that its home had given to an earlier holder.
 // Some of its tasks may still run.
 func (s *Shard) Resume(now time.Duration, r *submission.Record) {
-	if state, known := s.Knows(r.ID); known && s.sent(now, r, state) {
+	if state, known := s.State(r.ID); known && s.sent(now, r, state) {
 		return
 	}
 	j := newJob(now, Stored{Record: r}, s.runBase(r))
@@ -147,8 +147,8 @@
 	return ended
 }
 
-// HasHome reports whether an entry VM is the home of an unfinished submission.
-func (s *Shard) HasHome(home string) bool {
+// HasSubmissionsOf reports whether an entry VM is the home of an unfinished submission.
+func (s *Shard) HasSubmissionsOf(home string) bool {
 	for _, j := range s.jobs {
 		if j.rec.Home == home && !j.state.Final() {
 			return true
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -121,7 +121,7 @@
 	w.shard = New(w.now, settings, token, barrier)
 	clear(w.seen)
 	w.list()
-	w.shard.Records(w.now, nil)
+	w.shard.AddRecords(w.now, nil)
 }
 
 func (w *world) list() {
@@ -129,7 +129,7 @@
 	for _, h := range w.hosts {
 		infos = append(infos, h.Info)
 	}
-	w.shard.Workers(w.now, infos)
+	w.shard.UpdateWorkers(w.now, infos)
 }
 
 // submission makes a transient submission of equal tasks.
@@ -255,7 +255,7 @@
 	if h == nil {
 		w.unanswered[id] = true
 		if last, answered := w.answers[id]; answered && w.now-last > 1100*ms {
-			w.shard.WorkerLapsed(w.now, id)
+			w.shard.WorkerLeaseExpired(w.now, id)
 		}
 		return
 	}
@@ -276,7 +276,7 @@
 	l, r := h.Hold(w.now, order)
 	if known := w.born[id]; known > 0 && r.Born > known {
 		info, _ := w.shard.WorkerInfo(id)
-		w.shard.Succeed(w.now, info, worker.Incarnation{ID: id, Born: r.Born})
+		w.shard.WorkerRestarted(w.now, info, worker.Incarnation{ID: id, Born: r.Born})
 		w.follow(id)
 		return
 	}
@@ -286,7 +286,7 @@
 		if w.records != nil {
 			w.records.listed[id] = slices.Clone(l.Ended)
 		}
-		w.shard.Listing(w.now, id, sent, l)
+		w.shard.HandleListing(w.now, id, sent, l)
 	}
 }
 
@@ -306,7 +306,7 @@
 }
 
 func (w *world) carryOut() {
-	a := w.shard.Take()
+	a := w.shard.TakeActions()
 	for _, s := range a.Acks {
 		w.seen[s.Worker] = s.UpTo
 	}
@@ -322,7 +322,7 @@
 		w.shard.FinalStored(w.now, f.ID)
 	}
 	for _, s := range a.Saves {
-		w.shard.Saved(w.now, s.Record.ID, s.Revision+1)
+		w.shard.ProgressSaved(w.now, s.Record.ID, s.Revision+1)
 	}
 	for _, s := range a.Starts {
 		w.start(s)
@@ -343,31 +343,31 @@
 	if w.late != nil {
 		if d := w.late(s); d > 0 {
 			w.pending = append(w.pending, pendingStart{at: w.now + d, worker: id, order: order})
-			w.shard.StartReply(w.now, id, s.Task, s.Run, silence)
+			w.shard.HandleStartReply(w.now, id, s.Task, s.Run, silence)
 			return
 		}
 	}
 	h := w.reach(id)
 	if h == nil {
-		w.shard.StartReply(w.now, id, s.Task, s.Run, silence)
+		w.shard.HandleStartReply(w.now, id, s.Task, s.Run, silence)
 		return
 	}
 	r := h.Start(w.now, order)
 	if w.silent != nil && w.silent(s) {
 		r = silence
 	}
-	w.shard.StartReply(w.now, id, s.Task, s.Run, r)
+	w.shard.HandleStartReply(w.now, id, s.Task, s.Run, r)
 }
 
 func (w *world) stop(s StopAction) {
 	w.stops = append(w.stops, s)
 	h := w.reach(s.Worker.ID)
 	if h == nil {
-		w.shard.StopReply(w.now, s.Worker.ID, s.Task, s.Run, worker.Reply{Verdict: worker.Silent})
+		w.shard.HandleStopReply(w.now, s.Worker.ID, s.Task, s.Run, worker.Reply{Verdict: worker.Silent})
 		return
 	}
 	r := h.Stop(w.now, worker.Stop{Task: s.Task, Run: s.Run, Token: w.shard.Token()})
-	w.shard.StopReply(w.now, s.Worker.ID, s.Task, s.Run, r)
+	w.shard.HandleStopReply(w.now, s.Worker.ID, s.Task, s.Run, r)
 }
 
 func (w *world) assign(r *submission.Record) { w.shard.Assign(w.now, Stored{Record: r}) }
--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -55,7 +55,7 @@
 	}
 	klog.InfoS("kept: an end was not stored", "id", id, "shard", ev.shard, "outcome", fmt.Sprint(ev.result.Outcome))
 	if ev.result.Outcome == journal.Conflict && !guardBroken(ev.result, h) {
-		h.core.Lost(e.at, id)
+		h.core.RecordConflict(e.at, id)
 	}
 }
 
@@ -98,8 +98,8 @@
 	id := submission.ID(ev.id)
 	switch {
 	case ev.result.Outcome == journal.Stored:
-		h.core.Saved(e.at, id, ev.result.Revision)
+		h.core.ProgressSaved(e.at, id, ev.result.Revision)
 	case ev.result.Outcome == journal.Conflict && !guardBroken(ev.result, h):
-		h.core.Lost(e.at, id)
+		h.core.RecordConflict(e.at, id)
 	}
 }
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -179,7 +179,7 @@
 
 // drive runs a shard that this VM holds.
 func (e *engine) drive(name string, h *held) {
-	h.extend.Store(e.at-h.confirmed < authorityFor || !h.core.KeepsAny())
+	h.extend.Store(e.at-h.confirmed < authorityFor || !h.core.HasStored())
 	if e.at-h.scannedAt >= rescanEvery && !h.scanning {
 		e.scan(name, h)
 	}
@@ -188,7 +188,7 @@
 	if h.core.WorkerCount() != len(h.sessions) {
 		e.alignSessions(h) // it has dropped a worker; new ones come with the list only
 	}
-	e.carryOut(name, h, h.core.Take())
+	e.carryOut(name, h, h.core.TakeActions())
 }
 
 // carryOut does what a shard has decided.
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -334,7 +334,7 @@
 		}
 		e.assign(&home{id: rec.ID, record: rec, revision: ev.result.Revision, shard: rec.Shard})
 	case ev.result.Outcome == journal.Conflict && ev.recordChanged():
-		h.core.Lost(e.at, rec.ID)
+		h.core.RecordConflict(e.at, rec.ID)
 	default:
 		h.core.ReassignFailed(e.at, rec.ID)
 	}
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -286,16 +286,16 @@
 	if ev.evacuations != nil {
 		ev.evacuations.apply(e) // before the first start here
 	}
-	h.core.Expect(e.at, ev.known)
+	h.core.AddWorkersOfPreviousHolder(e.at, ev.known)
 	e.alignSessions(h)
 	for _, r := range ev.records {
-		if !h.core.Remembers(r) {
+		if !h.core.IsKnown(r) {
 			e.vm.figures.adopted.Inc(1)
 			klog.InfoS("kept: adopted", "id", r.Record.ID, "shard", ev.shard, "token", ev.token,
 				"revision", r.Revision, "stored_under", r.Record.Token, "home", r.Record.Home)
 		}
 	}
-	h.core.Records(e.at, ev.records)
+	h.core.AddRecords(e.at, ev.records)
 	if first {
 		klog.InfoS("kept: shard recovered", "shard", ev.shard, "token", ev.token, "unfinished", len(ev.records))
 	}
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, h := range e.shards {
-		if h.core.HasHome(name) {
+		if h.core.HasSubmissionsOf(name) {
 			return true
 		}
 	}
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -50,7 +50,7 @@
 
 // tellOwn takes the state of a submission from a shard that this VM holds itself.
 func (e *engine) tellOwn(id submission.ID, own *held) {
-	state, known := own.core.Knows(id)
+	state, known := own.core.State(id)
 	if known {
 		e.learnState(id, stateReport{shard: own.holding.Shard, token: own.holding.Token, state: state})
 		return
@@ -295,7 +295,7 @@
 // forgetAskers drops what no end will be told of any more.
 func (h *held) forgetAskers() {
 	maps.DeleteFunc(h.asked, func(id submission.ID, _ []string) bool {
-		state, known := h.core.Knows(id)
+		state, known := h.core.State(id)
 		return !known || state.Final()
 	})
 }
@@ -325,7 +325,7 @@
 		return
 	}
 	for _, own := range e.shards {
-		if state, known := own.core.Knows(ev.id); known && state != submission.Unknown {
+		if state, known := own.core.State(ev.id); known && state != submission.Unknown {
 			e.watchOwn(ev, own, state)
 			ev.reply <- StateAnswer{State: state}
 			return
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -191,7 +191,7 @@
 			}
 		}
 	}
-	h.core.Workers(e.at, own)
+	h.core.UpdateWorkers(e.at, own)
 	e.alignSessions(h)
 	e.noteWorkers(h)
 }
@@ -241,7 +241,7 @@
 		return
 	}
 	id := ev.session.info.Load().ID
-	for _, end := range h.core.Listing(e.at, id, ev.sent, ev.listing) {
+	for _, end := range h.core.HandleListing(e.at, id, ev.sent, ev.listing) {
 		e.vm.figures.end(end.How.String())
 		if end.How != worker.Completed {
 			klog.InfoS("kept: run ended", "id", end.Task.ID, "step", end.Task.Step, "index", end.Task.Index, "run", end.Run,
@@ -269,7 +269,7 @@
 	gone := *ws.info.Load()
 	gone.Born = ws.born.Load()
 	klog.InfoS("kept: worker gone", "worker", gone.Incarnation(), "shard", ws.shard, "successor", next, "why", "another incarnation answers")
-	h.core.Succeed(e.at, gone, next)
+	h.core.WorkerRestarted(e.at, gone, next)
 	e.alignSessions(h)
 }
 
@@ -281,7 +281,7 @@
 	id := ev.session.info.Load().ID
 	e.vm.figures.workersLost.Inc(1)
 	klog.InfoS("kept: worker lost", "worker", id, "shard", ev.session.shard, "why", "it does not answer, and its lease is over")
-	h.core.WorkerLapsed(e.at, id)
+	h.core.WorkerLeaseExpired(e.at, id)
 }
 
 func (ev startReplyEvent) apply(e *engine) {
@@ -299,7 +299,7 @@
 		e.succeed(h, ev.session, ev.reply.Successor)
 		return
 	}
-	h.core.StartReply(e.at, id, ev.task, ev.run, ev.reply)
+	h.core.HandleStartReply(e.at, id, ev.task, ev.run, ev.reply)
 }
 
 func (ev stopReplyEvent) apply(e *engine) {
@@ -309,6 +309,6 @@
 	case ev.reply.Verdict == worker.Gone:
 		e.succeed(h, ev.session, ev.reply.Successor)
 	default:
-		h.core.StopReply(e.at, ev.session.info.Load().ID, ev.task, ev.run, ev.reply)
+		h.core.HandleStopReply(e.at, ev.session.info.Load().ID, ev.task, ev.run, ev.reply)
 	}
 }
