--- a/internal/kept/policy/admit.go
+++ b/internal/kept/policy/admit.go
@@ -7,12 +7,12 @@
 
 // The reasons. A refused submission has not run, and will not.
 const (
-	NoShard   Reason = "no_shard_reachable"
-	NoWorker  Reason = "no_worker_of_the_service"
-	Evacuated Reason = "domains_evacuated" // all that can be reached and have workers of the service
-	Forecast  Reason = "forecast_too_late"
-	Hopeless  Reason = "too_late_by_now"
-	OutOfTime Reason = "waited_its_share"
+	NoShardReachable    Reason = "no_shard_reachable"
+	NoWorkerForService  Reason = "no_worker_of_the_service"
+	AllDomainsEvacuated Reason = "domains_evacuated" // all that can be reached and have workers of the service
+	ForecastTooLate     Reason = "forecast_too_late"
+	TooLateByNow        Reason = "too_late_by_now"
+	WaitShareUsedUp     Reason = "waited_its_share"
 )
 
 // Refused reports whether there is a reason.
@@ -22,21 +22,21 @@
 // would do it while its caller has a use for the answer.
 func Admit(now time.Duration, w *Work, shards []Candidate) Reason {
 	if len(shards) == 0 {
-		return NoShard
+		return NoShardReachable
 	}
-	if w.Band(now+LeastWait(shards)) == TooLate {
-		return Forecast
+	if w.Band(now+MinWait(shards)) == TooLate {
+		return ForecastTooLate
 	}
 	return ""
 }
 
-// LeastWait is the time until a task would start at the shard where it would start first.
+// MinWait is the time until a task would start at the shard where it would start first.
 // There is one shard at least. One without room, as it has lost its workers, has nothing to
 // wait for either: it counts only if no other is there.
-func LeastWait(shards []Candidate) time.Duration {
+func MinWait(shards []Candidate) time.Duration {
 	least, found := time.Duration(0), false
 	for _, c := range shards {
-		if c.Room > 0 && (!found || c.Wait < least) {
+		if c.Capacity > 0 && (!found || c.Wait < least) {
 			least, found = c.Wait, true
 		}
 	}
@@ -48,9 +48,9 @@
 func (s *Settings) KeepWaiting(now time.Duration, w *Work) Reason {
 	switch {
 	case w.Band(now) == TooLate:
-		return Hopeless
-	case s.WaitShare > 0 && w.Patience > 0 && now-w.Came > time.Duration(s.WaitShare*float64(w.Patience)):
-		return OutOfTime
+		return TooLateByNow
+	case s.WaitShare > 0 && w.CallerTimeout > 0 && now-w.ReceivedAt > time.Duration(s.WaitShare*float64(w.CallerTimeout)):
+		return WaitShareUsedUp
 	default:
 		return ""
 	}
--- a/internal/kept/policy/order.go
+++ b/internal/kept/policy/order.go
@@ -10,32 +10,32 @@
 
 // Work is what the order and the admission of a submission depend on.
 type Work struct {
-	ID        submission.ID
-	Priority  int           // of its queue; 0 comes first
-	Came      time.Duration // when it came
-	Objective time.Duration // in which it should be done, since it came
-	Takes     time.Duration // if all its tasks start now
-	Patience  time.Duration // how long its caller waits, since it came; 0: not known
-	Begun     bool          // a task of it was given to a worker
-	Left      float64       // work of the tasks that have not started, cores times seconds
+	ID            submission.ID
+	Priority      int           // of its queue; 0 comes first
+	ReceivedAt    time.Duration // when it came
+	Objective     time.Duration // in which it should be done, since it came
+	RunTime       time.Duration // if all its tasks start now
+	CallerTimeout time.Duration // how long its caller waits, since it came; 0: not known
+	Started       bool          // a task of it was given to a worker
+	RemainingWork float64       // work of the tasks that have not started, cores times seconds
 }
 
 // Band says whether a submission can still be done in time.
-type Band uint8
+type LatenessBand uint8
 
 // The bands, in the order in which they are served.
 const (
-	InTime  Band = iota
-	Late         // within submission.LateFactor times its objective
-	TooLate      // of little use to its caller
+	InTime  LatenessBand = iota
+	Late                 // within submission.LateFactor times its objective
+	TooLate              // of little use to its caller
 )
 
 // Band returns the band of a submission that would start at a time.
-func (w *Work) Band(start time.Duration) Band {
-	switch ends := start + w.Takes; {
-	case ends <= w.Came+w.Objective:
+func (w *Work) Band(start time.Duration) LatenessBand {
+	switch ends := start + w.RunTime; {
+	case ends <= w.ReceivedAt+w.Objective:
 		return InTime
-	case ends <= w.Came+submission.LateFactor*w.Objective:
+	case ends <= w.ReceivedAt+submission.LateFactor*w.Objective:
 		return Late
 	default:
 		return TooLate
@@ -44,7 +44,7 @@
 
 // Urgency is a submission's place in the order of its shard.
 type Urgency struct {
-	band     Band
+	band     LatenessBand
 	priority int
 	size     int // of the work left, as a power of two
 	deadline time.Duration
@@ -53,15 +53,15 @@
 
 // Urgency returns the place of a submission in the order of its shard, now.
 func (s *Settings) Urgency(now time.Duration, w *Work) Urgency {
-	u := Urgency{priority: w.Priority, deadline: w.Came + w.Objective, id: w.ID}
+	u := Urgency{priority: w.Priority, deadline: w.ReceivedAt + w.Objective, id: w.ID}
 	if s.Bands {
 		u.band = w.Band(now)
 	}
-	if s.KeepBegun && w.Begun {
+	if s.KeepBegun && w.Started {
 		u.band = InTime
 	}
-	if s.SmallFirst && w.Left > 0 {
-		_, u.size = math.Frexp(w.Left)
+	if s.SmallFirst && w.RemainingWork > 0 {
+		_, u.size = math.Frexp(w.RemainingWork)
 	}
 	return u
 }
--- a/internal/kept/policy/order_test.go
+++ b/internal/kept/policy/order_test.go
@@ -14,20 +14,20 @@
 
 func TestOrderOfASharedRoom(t *testing.T) {
 	now := time.Hour
-	fresh := &Work{ID: "fresh", Came: now, Objective: 380 * ms, Takes: 200 * ms, Left: 4}
+	fresh := &Work{ID: "fresh", ReceivedAt: now, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 4}
 	for _, c := range []struct {
 		why   string
 		other Work
 		first bool // the other comes first
 	}{
-		{"the higher priority", Work{ID: "x", Priority: -1, Came: now, Objective: 380 * ms, Takes: 200 * ms, Left: 4}, true},
-		{"what is late", Work{ID: "x", Priority: -1, Came: now - 300*ms, Objective: 380 * ms, Takes: 200 * ms, Left: 4}, false},
-		{"what is late and has begun", Work{ID: "x", Came: now - 300*ms, Objective: 380 * ms, Takes: 200 * ms, Left: 4, Begun: true}, true},
-		{"what is too late and has begun", Work{ID: "x", Came: now - 2*time.Second, Objective: 380 * ms, Takes: 200 * ms, Left: 1, Begun: true}, true},
-		{"what is too late", Work{ID: "x", Priority: -1, Came: now - 2*time.Second, Objective: 380 * ms, Takes: 200 * ms, Left: 1}, false},
-		{"what is four times as large", Work{ID: "x", Came: now - 100*ms, Objective: 380 * ms, Takes: 200 * ms, Left: 16}, false},
-		{"what is half as large and came later", Work{ID: "x", Came: now + 10*ms, Objective: 380 * ms, Takes: 200 * ms, Left: 2}, true},
-		{"what came earlier and is as large", Work{ID: "x", Came: now - 50*ms, Objective: 380 * ms, Takes: 200 * ms, Left: 4}, true},
+		{"the higher priority", Work{ID: "x", Priority: -1, ReceivedAt: now, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 4}, true},
+		{"what is late", Work{ID: "x", Priority: -1, ReceivedAt: now - 300*ms, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 4}, false},
+		{"what is late and has begun", Work{ID: "x", ReceivedAt: now - 300*ms, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 4, Started: true}, true},
+		{"what is too late and has begun", Work{ID: "x", ReceivedAt: now - 2*time.Second, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 1, Started: true}, true},
+		{"what is too late", Work{ID: "x", Priority: -1, ReceivedAt: now - 2*time.Second, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 1}, false},
+		{"what is four times as large", Work{ID: "x", ReceivedAt: now - 100*ms, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 16}, false},
+		{"what is half as large and came later", Work{ID: "x", ReceivedAt: now + 10*ms, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 2}, true},
+		{"what came earlier and is as large", Work{ID: "x", ReceivedAt: now - 50*ms, Objective: 380 * ms, RunTime: 200 * ms, RemainingWork: 4}, true},
 	} {
 		if got := before(now, &c.other, fresh); got != c.first {
 			t.Errorf("%s: comes first %v, want %v", c.why, got, c.first)
--- a/internal/kept/policy/split_test.go
+++ b/internal/kept/policy/split_test.go
@@ -16,7 +16,7 @@
 	var out []Candidate
 	for i := range free {
 		f := min(free[i], room[i%len(room)])
-		out = append(out, Candidate{Shard: fmt.Sprint(i), Own: i == 0, Free: f, Room: room[i%len(room)], Wait: time.Duration(i) * time.Millisecond})
+		out = append(out, Candidate{Shard: fmt.Sprint(i), InOwnDomain: i == 0, Free: f, Capacity: room[i%len(room)], Wait: time.Duration(i) * time.Millisecond})
 	}
 	return out
 }
@@ -55,7 +55,7 @@
 }
 
 func TestOwnDomainComesFirstWhileItKeepsAReserve(t *testing.T) {
-	shards := []Candidate{{Shard: "own", Own: true, Free: 10, Room: 28}, {Shard: "other", Free: 20, Room: 28}}
+	shards := []Candidate{{Shard: "own", InOwnDomain: true, Free: 10, Capacity: 28}, {Shard: "other", Free: 20, Capacity: 28}}
 	if p := settings.Split(shards, 4, true, time.Second); len(p) != 1 || p[0].Shard != "own" {
 		t.Errorf("%+v", p)
 	}
@@ -68,7 +68,7 @@
 // has room, and what comes first waits nowhere. Cause: of equal shards the first by name was
 // taken, whatever else waits there.
 func TestEqualWaitsAreDecidedByAllThatWaits(t *testing.T) {
-	shards := []Candidate{{Shard: "a", Room: 28, Queue: 300 * time.Millisecond}, {Shard: "b", Room: 28, Queue: 100 * time.Millisecond}}
+	shards := []Candidate{{Shard: "a", Capacity: 28, QueueTime: 300 * time.Millisecond}, {Shard: "b", Capacity: 28, QueueTime: 100 * time.Millisecond}}
 	if p := settings.Split(shards, 1, true, time.Second); len(p) != 1 || p[0].Shard != "b" {
 		t.Errorf("%+v", p)
 	}
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -47,7 +47,7 @@
 // queued sums what waits for room by band and priority.
 func (s *Shard) queued(now time.Duration, room int64) []Queued {
 	type key struct {
-		band     policy.Band
+		band     policy.LatenessBand
 		priority int
 	}
 	sums := make(map[key]*Queued)
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		w := s.work(j)
-		w.Left = j.workLeft()
+		w.RemainingWork = j.workLeft()
 		list = append(list, ranked{job: j, urgency: s.settings.Policy.Urgency(now, w)})
 	}
 	slices.SortFunc(list, func(a, b ranked) int { return a.urgency.Compare(b.urgency) })
@@ -203,13 +203,13 @@
 func (s *Shard) work(j *job) *policy.Work {
 	takes := s.remaining(j)
 	return &policy.Work{
-		ID:        j.rec.ID,
-		Priority:  j.rec.Terms.Priority,
-		Came:      j.came,
-		Objective: j.rec.Terms.Objective(takes),
-		Takes:     takes,
-		Patience:  j.rec.Patience,
-		Begun:     j.offered,
+		ID:            j.rec.ID,
+		Priority:      j.rec.Terms.Priority,
+		ReceivedAt:    j.came,
+		Objective:     j.rec.Terms.Objective(takes),
+		RunTime:       takes,
+		CallerTimeout: j.rec.Patience,
+		Started:       j.offered,
 	}
 }
 
--- a/internal/kept/shard/types.go
+++ b/internal/kept/shard/types.go
@@ -153,7 +153,7 @@
 // Queued is what waits for room in one band at one priority, but for tasks whose step has
 // not begun.
 type Queued struct {
-	Band     policy.Band
+	Band     policy.LatenessBand
 	Priority int
 	Milli    int64         // processor, thousandths of a core
 	Takes    time.Duration // on all usable workers
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -213,7 +213,7 @@
 	case t.anyBegun():
 		e.giveUp(t, "its failure domains are evacuated")
 	case t.ownTasks() == 0:
-		e.refuseTransient(t, policy.Evacuated)
+		e.refuseTransient(t, policy.AllDomainsEvacuated)
 	default: // what another shard has of it begins, or comes back
 	}
 }
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -16,9 +16,9 @@
 func (e *engine) candidates(r *submission.Record, came time.Duration) ([]policy.Candidate, *Outcome) {
 	shards := e.reachableShards(r)
 	if len(shards) == 0 && e.anyReachable() {
-		why := policy.NoWorker
+		why := policy.NoWorkerForService
 		if len(e.evacuations.Domains()) > 0 {
-			why = policy.Evacuated
+			why = policy.AllDomainsEvacuated
 		}
 		return nil, &Outcome{Kind: Refused, RetryAfter: retryAfter, Why: string(why)}
 	}
@@ -45,12 +45,12 @@
 		// What this VM has sent there since the shard's last word counts as waiting there.
 		sent := time.Duration(float64(task) * float64(l.sent) / float64(max(l.RoomMilli, 1)))
 		out = append(out, policy.Candidate{
-			Shard: name,
-			Own:   site.DomainOf(name) == e.vm.config.Domain,
-			Free:  max(l.Fit(size, ahead)-int(l.sent/size), 0),
-			Room:  int(l.RoomMilli / size),
-			Wait:  wait + sent,
-			Queue: queue + sent,
+			Shard:       name,
+			InOwnDomain: site.DomainOf(name) == e.vm.config.Domain,
+			Free:        max(l.Fit(size, ahead)-int(l.sent/size), 0),
+			Capacity:    int(l.RoomMilli / size),
+			Wait:        wait + sent,
+			QueueTime:   queue + sent,
 		})
 	}
 	return out
@@ -60,12 +60,12 @@
 func (e *engine) work(r *submission.Record, came time.Duration) *policy.Work {
 	takes := r.Chain()
 	return &policy.Work{
-		ID:        r.ID,
-		Priority:  r.Terms.Priority,
-		Came:      came,
-		Objective: r.Terms.Objective(takes),
-		Takes:     takes,
-		Patience:  r.Patience,
+		ID:            r.ID,
+		Priority:      r.Terms.Priority,
+		ReceivedAt:    came,
+		Objective:     r.Terms.Objective(takes),
+		RunTime:       takes,
+		CallerTimeout: r.Patience,
 	}
 }
 
@@ -74,7 +74,7 @@
 	if len(shards) == 0 {
 		return retryAfter
 	}
-	return e.turns.ComeBack(e.at, policy.LeastWait(shards), e.workTime(r))
+	return e.turns.ComeBack(e.at, policy.MinWait(shards), e.workTime(r))
 }
 
 // workTime is the time that a submission's work takes on this VM's share of all room.
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -284,7 +284,7 @@
 	}
 	for _, q := range l.Queued {
 		out.Queued = append(out.Queued, shard.Queued{
-			Band:     policy.Band(q.Band),
+			Band:     policy.LatenessBand(q.Band),
 			Priority: int(q.Priority),
 			Milli:    q.Milli,
 			Takes:    time.Duration(q.TakesNs),
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -363,7 +363,7 @@
 		e.giveUp(t, "what is left of it cannot be done in time")
 		return
 	}
-	e.refuseTransient(t, policy.Hopeless)
+	e.refuseTransient(t, policy.TooLateByNow)
 }
 
 // refuseTransient tells the callers of a submission, of which nothing has begun, when to come
