--- a/internal/kept/policy/crash.go
+++ b/internal/kept/policy/crash.go
@@ -18,65 +18,67 @@
 
 // What the loss of a worker weighs as evidence against a task there.
 const (
-	lossUnrelated = 0 // workers with nothing in common were lost at the same moment
-	lossShared    = 1 // other tasks ran there, or it is not known that this one did
-	lossAlone     = 2
+	weightUnrelated = 0 // workers with nothing in common were lost at the same moment
+	weightShared    = 1 // other tasks ran there, or it is not known that this one did
+	weightAlone     = 2
 )
 
 const (
-	lossesSuspect = 2 // losses that make a task a suspect, whatever they weigh
-	lossesMost    = 3 // losses after which a task is given up, whatever they weigh
+	suspectLossCount = 2 // losses that make a task a suspect, whatever they weigh
+	maxLossCount     = 3 // losses after which a task is given up, whatever they weigh
 )
 
-// The part of a shard's workers that suspects may have at a time: one in suspectShare, and suspectLeast at
+// The part of a shard's workers that suspects may have at a time: one in workersPerSuspect, and minSuspectWorkers at
 // least.
 const (
-	suspectShare = 4
-	suspectLeast = 2
+	workersPerSuspect = 4
+	minSuspectWorkers = 2
 )
 
 // Lost is the loss of a worker as it concerns a task there.
-type Lost struct {
-	Alone     bool // the task was started alone
-	Ran       bool // it is known to have run there
-	Unrelated bool // other workers, with other submissions, were lost at the same moment
+type LossContext struct {
+	StartedAlone    bool // the task was started alone
+	KnownToRun      bool // it is known to have run there
+	UnrelatedLosses bool // other workers, with other submissions, were lost at the same moment
 }
 
 // Weight is what a loss weighs against the task.
-func (l Lost) Weight() int {
+func (l LossContext) Weight() int {
 	switch {
-	case l.Unrelated:
-		return lossUnrelated
-	case l.Alone && l.Ran:
-		return lossAlone
+	case l.UnrelatedLosses:
+		return weightUnrelated
+	case l.StartedAlone && l.KnownToRun:
+		return weightAlone
 	default:
-		return lossShared
+		return weightShared
 	}
 }
 
 // Suspect reports whether a task must run alone.
-func (s *Settings) Suspect(losses []submission.Loss) bool {
-	return s.LossEvidence > 0 && (evidence(losses) > 0 || len(losses) >= lossesSuspect)
+func (s *Settings) IsSuspect(losses []submission.Loss) bool {
+	return s.LossEvidence > 0 && (totalWeight(losses) > 0 || len(losses) >= suspectLossCount)
 }
 
-// GivenUp reports whether a task starts no more, as the workers that start it are lost. Only a worker
+// ShouldGiveUp reports whether a task starts no more, as the workers that start it are lost. Only a worker
 // that has certainly ended counts, unless losses that are not certain suffice.
-func (s *Settings) GivenUp(losses []submission.Loss, uncertain bool) bool {
+func (s *Settings) ShouldGiveUp(losses []submission.Loss, uncertain bool) bool {
 	counted := losses
 	if !uncertain {
 		counted = slices.DeleteFunc(slices.Clone(losses), func(l submission.Loss) bool { return !l.Certain })
 	}
-	return s.LossEvidence > 0 && (evidence(counted) >= s.LossEvidence || len(counted) >= lossesMost)
+	return s.LossEvidence > 0 && (totalWeight(counted) >= s.LossEvidence || len(counted) >= maxLossCount)
 }
 
-// LossKnownWithin is how soon a lost worker, or its next incarnation, answers in most cases. A task that
+// LossConfirmationTime is how soon a lost worker, or its next incarnation, answers in most cases. A task that
 // may have to be given up waits for it.
-const LossKnownWithin = 5 * time.Second
+const LossConfirmationTime = 5 * time.Second
 
-// SuspectRoom is how many of a shard's workers suspects may have at a time.
-func (s *Settings) SuspectRoom(workers int) int { return max(workers/suspectShare, suspectLeast) }
+// MaxSuspectWorkers is how many of a shard's workers suspects may have at a time.
+func (s *Settings) MaxSuspectWorkers(workers int) int {
+	return max(workers/workersPerSuspect, minSuspectWorkers)
+}
 
-func evidence(losses []submission.Loss) int {
+func totalWeight(losses []submission.Loss) int {
 	sum := 0
 	for _, l := range losses {
 		sum += l.Weight
--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -39,7 +39,7 @@
 	unrelated := s.unrelatedLosses(now, h, lost.jobs)
 	s.losses = append(s.losses, lost)
 	for _, t := range tasks {
-		weight := policy.Lost{Alone: t.alone, Ran: t.ran, Unrelated: unrelated}.Weight()
+		weight := policy.LossContext{StartedAlone: t.alone, KnownToRun: t.ran, UnrelatedLosses: unrelated}.Weight()
 		s.blame(now, t, submission.Loss{Worker: h.incarnation, Run: t.run, Weight: weight, Certain: ended})
 	}
 	s.out.WorkerLosses = append(s.out.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
@@ -94,7 +94,7 @@
 
 // reweigh takes the loss of a worker for one that says nothing of the tasks that were there.
 func (s *Shard) reweigh(now time.Duration, incarnation string) {
-	s.correct(now, incarnation, func(l *submission.Loss) { l.Weight = policy.Lost{Unrelated: true}.Weight() })
+	s.correct(now, incarnation, func(l *submission.Loss) { l.Weight = policy.LossContext{UnrelatedLosses: true}.Weight() })
 }
 
 // lossCertain says that the incarnation of a worker that was lost has ended.
@@ -149,13 +149,13 @@
 // lossKnown reports whether it is known of a task's lost workers what became of them, if that decides
 // whether it starts again.
 func (s *Shard) lossKnown(now time.Duration, t *task) bool {
-	return len(t.losses) == 0 || now-t.lostAt > policy.LossKnownWithin || !s.settings.Policy.GivenUp(t.losses, true)
+	return len(t.losses) == 0 || now-t.lostAt > policy.LossConfirmationTime || !s.settings.Policy.ShouldGiveUp(t.losses, true)
 }
 
 // giveUpTasks ends the submissions of tasks that take down the workers that start them.
 func (s *Shard) giveUpTasks(now time.Duration, tasks []*task) {
 	for _, t := range tasks {
-		if t.job.state.Final() || !s.settings.Policy.GivenUp(t.losses, t.job.rec.Transient) {
+		if t.job.state.Final() || !s.settings.Policy.ShouldGiveUp(t.losses, t.job.rec.Transient) {
 			continue
 		}
 		s.out.GivenUp = append(s.out.GivenUp, GivenUpAction{Task: t.ref, Losses: slices.Clone(t.losses)})
@@ -165,7 +165,7 @@
 
 // suspect reports whether a task must run alone.
 func (s *Shard) suspect(t *task) bool {
-	return len(t.losses) > 0 && s.settings.Policy.Suspect(t.losses)
+	return len(t.losses) > 0 && s.settings.Policy.IsSuspect(t.losses)
 }
 
 // divideRooms returns the rooms for all tasks, and those for suspects: empty ones, which are kept while
@@ -176,7 +176,7 @@
 		return rooms, nil
 	}
 	wait, inUse := s.countSuspects()
-	kept := min(wait, s.settings.Policy.SuspectRoom(len(s.workers))-inUse)
+	kept := min(wait, s.settings.Policy.MaxSuspectWorkers(len(s.workers))-inUse)
 	byUse := slices.SortedStableFunc(slices.Values(rooms), func(a, b *room) int { return cmp.Compare(a.used(), b.used()) })
 	for _, r := range byUse {
 		switch {
