--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -27,7 +27,7 @@
 		return
 	}
 	// A hold waits for an end before it answers: what it says is of now, not of when it left.
-	t.progress.See(now, r.Percent)
+	t.progress.Update(now, r.Percent)
 	if t.startedAt == 0 || t.moves >= movesMost {
 		return // an earlier holder started it, or it was moved before
 	}
@@ -44,26 +44,26 @@
 
 func (s *Shard) standsStill(t *task) bool {
 	expected := time.Duration(float64(t.step.Estimate) * s.factor(t.job.rec.Queue))
-	return t.progress.StandsStill(t.startedAt, expected)
+	return t.progress.IsStalled(t.startedAt, expected)
 }
 
 // isHeldUp reports whether a run that was seen now would be done sooner at another worker,
 // which has room.
 func (s *Shard) isHeldUp(now time.Duration, t *task) bool {
 	age := t.progress.Age(t.startedAt)
-	total, known := t.progress.Total(age)
+	total, known := t.progress.EstimatedTotal(age)
 	if !known {
 		return false
 	}
-	run := policy.Run{Total: total, Left: total - age, Siblings: s.siblings(t)}
-	return run.IsHeldUp() && s.roomElsewhere(now, t)
+	run := policy.Run{Total: total, Remaining: total - age, Siblings: s.siblings(t)}
+	return run.ShouldMove() && s.roomElsewhere(now, t)
 }
 
 // anyGoesOn reports whether another run at the worker has made progress since this one
 // stands still. Then the fault is the task's own.
 func (s *Shard) anyGoesOn(h *host, t *task) bool {
 	return slices.ContainsFunc(s.on(h), func(other *task) bool {
-		return other != t && other.progress.MovedAfter(t.progress)
+		return other != t && other.progress.AdvancedAfter(t.progress)
 	})
 }
 
@@ -81,7 +81,7 @@
 		if other.state != running || other.host == t.host || other.startedAt == 0 {
 			continue
 		}
-		if total, known := other.progress.Total(other.progress.Age(other.startedAt)); known {
+		if total, known := other.progress.EstimatedTotal(other.progress.Age(other.startedAt)); known {
 			out = append(out, total)
 		}
 	}
