--- a/internal/kept/policy/trust_test.go
+++ b/internal/kept/policy/trust_test.go
@@ -9,22 +9,22 @@
 // Sequence: its tasks stand still, it is left alone for a while, and still hangs. Cause: it
 // was given all that it has room for at once.
 func TestAWorkerThatHungIsTriedWithOneTask(t *testing.T) {
-	var r Trust
+	var r WorkerHealth
 	now := time.Hour
-	r.Hung(now)
-	if r.Admits(now+time.Second, 0) {
+	r.RecordHang(now)
+	if r.CanAccept(now+time.Second, 0) {
 		t.Error("it gets a task at once")
 	}
-	now += ejectFirst
-	if !r.Admits(now, 0) || r.Admits(now, 1) {
+	now += baseEjectionTime
+	if !r.CanAccept(now, 0) || r.CanAccept(now, 1) {
 		t.Error("it is not tried with just one task")
 	}
-	r.Hung(now)
-	if r.Admits(now+ejectFirst, 0) {
+	r.RecordHang(now)
+	if r.CanAccept(now+baseEjectionTime, 0) {
 		t.Error("it is not left alone for longer the second time")
 	}
-	r.Completed(1)
-	if !r.Admits(now+2*ejectFirst, 2) {
+	r.RecordCompletion(1)
+	if !r.CanAccept(now+2*baseEjectionTime, 2) {
 		t.Error("it is doubted after a run that completed")
 	}
 }
@@ -39,10 +39,10 @@
 		s      Settings
 		admits bool
 	}{"on": {Defaults(), false}, "off": {off, true}} {
-		var r Trust
-		c.s.Failed(time.Hour, &r, "a")
-		c.s.Failed(time.Hour, &r, "b")
-		if r.Admits(time.Hour, 2) != c.admits {
+		var r WorkerHealth
+		c.s.RecordFailure(time.Hour, &r, "a")
+		c.s.RecordFailure(time.Hour, &r, "b")
+		if r.CanAccept(time.Hour, 2) != c.admits {
 			t.Errorf("eject %s: admits %v, want %v", name, !c.admits, c.admits)
 		}
 	}
--- a/internal/kept/policy/turns_test.go
+++ b/internal/kept/policy/turns_test.go
@@ -9,14 +9,14 @@
 // wait. For ten seconds callers come 1.4 times as fast, then half as fast. Refused callers
 // come back after the whole seconds they were told. It returns the share of the returns that
 // were served, and how many different times callers were told.
-func closedLoop(t *testing.T, comeBack func(turns *Turns, now, wait time.Duration) time.Duration) (served float64, different int) {
+func closedLoop(t *testing.T, comeBack func(turns *RetrySchedule, now, wait time.Duration) time.Duration) (served float64, different int) {
 	t.Helper()
 	const (
 		step    = 10 * time.Millisecond
 		each    = 100 * time.Millisecond
 		waiting = 3
 	)
-	var turns Turns
+	var turns RetrySchedule
 	var freeAt time.Duration
 	returns := make(map[time.Duration]int)
 	told := make(map[time.Duration]bool)
@@ -62,10 +62,10 @@
 // Sequence: an overload of ten seconds; all that are refused are told the same time. Cause:
 // they come back together, on top of those that come anew.
 func TestCallersThatComeBackAreServed(t *testing.T) {
-	served, different := closedLoop(t, func(turns *Turns, now, wait time.Duration) time.Duration {
-		return turns.ComeBack(now, wait, 100*time.Millisecond)
+	served, different := closedLoop(t, func(turns *RetrySchedule, now, wait time.Duration) time.Duration {
+		return turns.RetryAfter(now, wait, 100*time.Millisecond)
 	})
-	constant, _ := closedLoop(t, func(*Turns, time.Duration, time.Duration) time.Duration { return time.Second })
+	constant, _ := closedLoop(t, func(*RetrySchedule, time.Duration, time.Duration) time.Duration { return time.Second })
 	t.Logf("served at their return: %.2f with turns, %.2f with a constant", served, constant)
 	if served < 0.75 {
 		t.Errorf("%.2f of those that come back are served, want 0.75", served)
@@ -79,11 +79,11 @@
 }
 
 func TestTurnsKeepTheirOrderAndTheirBound(t *testing.T) {
-	var turns Turns
+	var turns RetrySchedule
 	last := time.Duration(0)
 	for range 1000 {
-		d := turns.ComeBack(time.Hour, 0, 100*time.Millisecond)
-		if d < last || d > comeBackMost || d < comeBackLeast {
+		d := turns.RetryAfter(time.Hour, 0, 100*time.Millisecond)
+		if d < last || d > maxRetryAfter || d < minRetryAfter {
 			t.Fatalf("%v after %v", d, last)
 		}
 		last = d
--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, h := range s.workers {
-		h.record.Prove()
+		h.record.BeginSlowStart()
 	}
 }
 
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -26,7 +26,7 @@
 	fullTill    time.Duration // it refused a run for want of room
 	sickTill    time.Duration // it refused a run as it is not in order
 	lapsed      bool          // it did not answer until its lease was over, and has not answered since
-	record      policy.Trust
+	record      policy.WorkerHealth
 	strays      map[submission.TaskRef]strayRun
 	unseen      unseenStarts
 	voids       map[submission.TaskRef]voidRun
@@ -96,7 +96,7 @@
 			continue // a late word: another reader's list may be older
 		}
 		if info.Cold && !cold {
-			h.record.Prove()
+			h.record.BeginSlowStart()
 		}
 		h.info = info
 		h.origin = FromList
@@ -171,7 +171,7 @@
 	}
 	s.lossesAt(now, info)
 	h := newHost(info, FromLastLife)
-	h.record.Prove()
+	h.record.BeginSlowStart()
 	s.admit(now, h)
 	s.dirty = true
 }
@@ -185,7 +185,7 @@
 	if !s.settings.guardsRoom(info.Service) {
 		info.CPUMilli, info.MemMB, info.GPU = 0, 0, 0 // its room is known with its entry
 	}
-	s.succeedUnderID(now, h, info, FromLastLife).record.Prove()
+	s.succeedUnderID(now, h, info, FromLastLife).record.BeginSlowStart()
 	s.lossesAt(now, info)
 }
 
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -137,10 +137,10 @@
 	t.failed[run] = struct{}{}
 	t.fails++
 	if first := t.job.blamed; first != nil && first != h {
-		first.record.Pardon(t.job.rec.ID) // it fails on several workers: the fault is its own
+		first.record.ForgiveFailure(t.job.rec.ID) // it fails on several workers: the fault is its own
 	} else {
 		t.job.blamed = h
-		s.settings.Policy.Failed(now, &h.record, t.job.rec.ID)
+		s.settings.Policy.RecordFailure(now, &h.record, t.job.rec.ID)
 	}
 	t.avoid = h
 	if t.fails >= t.job.rec.Terms.Attempts && t.state != complete && !t.job.state.Final() {
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -13,12 +13,12 @@
 	l := Load{Ready: s.scanned && s.anyListed() && !s.outdated, Waiting: make(map[string]int)}
 	for _, h := range s.workers {
 		if s.usable(now, h) || h.listed && now < h.fullTill && !s.closed() {
-			l.RoomMilli += int64(float64(h.info.CPUMilli) * h.record.Share())
+			l.RoomMilli += int64(float64(h.info.CPUMilli) * h.record.UsableShare())
 		}
 	}
 	open, _ := s.divideRooms(s.rooms(now))
 	for _, r := range open {
-		if r.host.record.Admits(now, s.runsOn(r)) {
+		if r.host.record.CanAccept(now, s.runsOn(r)) {
 			l.FreeMilli = append(l.FreeMilli, r.cpu)
 		}
 	}
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -322,12 +322,12 @@
 		if !s.fits(now, t, r) {
 			continue
 		}
-		cost := s.settings.Policy.Cost(policy.Place{
-			Trust:  &r.host.record,
-			Remote: t.step.DataRack != "" && t.step.DataRack != r.host.info.Rack,
-			Avoid:  t.avoid == r.host,
+		cost := s.settings.Policy.Cost(policy.Placement{
+			Health:        &r.host.record,
+			DataElsewhere: t.step.DataRack != "" && t.step.DataRack != r.host.info.Rack,
+			FailedBefore:  t.avoid == r.host,
 		})
-		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.Better(r.cpu, best.cpu) {
+		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.HasBetterFit(r.cpu, best.cpu) {
 			best, bestCost = r, cost
 		}
 	}
@@ -345,7 +345,7 @@
 	case step.MaxPerWorker > 0 && r.byTasks[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
 		return false
 	default:
-		return r.host.record.Admits(now, s.runsOn(r))
+		return r.host.record.CanAccept(now, s.runsOn(r))
 	}
 }
 
@@ -370,7 +370,7 @@
 		p = &policy.Pace{}
 		s.pace[queue] = p
 	}
-	h.record.Completed(s.settings.Policy.Learn(p, float64(now-t.startedAt)/float64(t.step.Estimate)))
+	h.record.RecordCompletion(s.settings.Policy.Learn(p, float64(now-t.startedAt)/float64(t.step.Estimate)))
 }
 
 func (s *Shard) start(now time.Duration, t *task, r *room) {
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -34,7 +34,7 @@
 	switch p := &s.settings.Policy; {
 	case p.MoveStill && s.standsStill(t):
 		if !s.anyGoesOn(h, t) {
-			h.record.Hung(now)
+			h.record.RecordHang(now)
 		}
 		s.move(now, t, "it stands still at its worker")
 	case p.MoveSlow && s.isHeldUp(now, t):
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -81,7 +81,7 @@
 	transients   map[submission.ID]*transient
 	early        []submitEvent // came before the shards are known
 	startedAt    time.Duration
-	turns        policy.Turns // of callers that were refused here
+	turns        policy.RetrySchedule // of callers that were refused here
 	links        map[string]*link.Link
 	up           map[string]bool          // peers whose link stands
 	wantedBy     sync.Map                 // peer to whether it needs the link from here
