--- a/internal/kept/site/keys.go
+++ b/internal/kept/site/keys.go
@@ -68,7 +68,7 @@
 func (d ShardLayout) ShardOf(address string) string {
 	best, most := 0, uint64(0)
 	for i := range d.Shards {
-		if s := score(ShardName(d.Domain, i), address); s >= most {
+		if s := rendezvousHash(ShardName(d.Domain, i), address); s >= most {
 			best, most = i, s
 		}
 	}
--- a/internal/kept/site/look_test.go
+++ b/internal/kept/site/look_test.go
@@ -11,12 +11,12 @@
 
 // rankOneByOne ranks this VM for a shard by comparing it with each other VM that may take it.
 func rankOneByOne(s *Site, shard, except string) (rank int, able bool) {
-	held := s.held()
-	for _, m := range s.able(shard, except) {
+	held := s.shardCounts()
+	for _, m := range s.eligible(shard, except) {
 		switch {
 		case m.Name == s.self.Name:
 			able = true
-		case compare(shard, held, m, s.self) < 0:
+		case compareCandidates(shard, held, m, s.self) < 0:
 			rank++
 		}
 	}
@@ -37,13 +37,13 @@
 			m.Cores = []float64{0, 0.192, 1.6}[rng.IntN(3)]
 			s.members[name] = m
 			if rng.IntN(5) == 0 {
-				s.suspected[name] = true
+				s.linkLost[name] = true
 			}
 		}
 		s.self.Cores = s.members[s.self.Name].Cores
 		s.self.Incarnation += uint64(rng.IntN(2))
-		l := s.newLook()
-		for _, v := range s.ordered {
+		l := s.newClaimPass()
+		for _, v := range s.sortedShards {
 			rank, able := l.rank(v.holding.Shard, v.holding.Holder)
 			wantRank, wantAble := rankOneByOne(s, v.holding.Shard, v.holding.Holder)
 			if rank != wantRank || able != wantAble {
@@ -59,10 +59,10 @@
 	perShard := func(vms int) float64 {
 		s := siteOf(t, vms, nobody)
 		allocs := testing.AllocsPerRun(5, func() {
-			s.learnt = true
+			s.changed = true
 			s.Decide(2 * time.Hour)
 		})
-		return allocs / float64(len(s.ordered))
+		return allocs / float64(len(s.sortedShards))
 	}
 	small, large := perShard(60), perShard(480)
 	if large > small {
@@ -73,12 +73,12 @@
 // Guards against a VM that goes by members of an earlier look.
 func TestLookSeesNewMembers(t *testing.T) {
 	s := siteOf(t, 12, nobody)
-	before, _ := s.newLook().rank("d0/0", "")
+	before, _ := s.newClaimPass().rank("d0/0", "")
 	strong := Member{Name: "vm-strong", Domain: "d0", Incarnation: 1, Cores: 8}
 	if err := s.Apply(time.Hour, store.Event{Item: store.Item{Key: MemberKey(strong.Name), Value: Encode(strong), Revision: 9}}); err != nil {
 		t.Fatal(err)
 	}
-	if after, _ := s.newLook().rank("d0/0", ""); after != before+1 {
+	if after, _ := s.newClaimPass().rank("d0/0", ""); after != before+1 {
 		t.Errorf("rank %d with a stronger VM, %d without", after, before)
 	}
 }
--- a/internal/kept/site/peers.go
+++ b/internal/kept/site/peers.go
@@ -12,17 +12,17 @@
 // took all the processor that most of the VMs have (0.19 core).
 const MaxFullMeshPeers = 12
 
-// foreignLeast is to how many holders of other failure domains a VM keeps links, however
+// minOtherDomainLinks is to how many holders of other failure domains a VM keeps links, however
 // little processor it has: they take its submissions while its own domain has no holder, and
 // carry its calls of the store.
-const foreignLeast = 2
+const minOtherDomainLinks = 2
 
-// linkCost is the processor of a link in both directions, in cores: the slope of idle sites of
+// linkCostCores is the processor of a link in both directions, in cores: the slope of idle sites of
 // 8 to 34 VMs (BenchmarkSite, vms=8 and vms=34 without load).
-const linkCost = 0.0013
+const linkCostCores = 0.0013
 
-// linkShare is the part of its processor that a VM may spend on links that it could do without.
-const linkShare = 0.03
+// optionalLinkShare is the part of its processor that a VM may spend on links that it could do without.
+const optionalLinkShare = 0.03
 
 // Peer is an entry VM to keep a link to.
 type Peer struct {
@@ -41,7 +41,7 @@
 // Whoever is on the other end keeps a link back for as long as it is told that it is needed.
 func (s *Site) Peers(now time.Duration) []Peer {
 	members := s.MembersAndLapsed(now)
-	holders := s.held()
+	holders := s.shardCounts()
 	holds := holders[s.self.Name] > 0
 	small := len(members) <= MaxFullMeshPeers
 	var out []Peer
@@ -57,26 +57,26 @@
 			foreign = append(foreign, m)
 		}
 	}
-	return append(out, s.someOf(foreign, s.affordable()-len(out))...)
+	return append(out, s.pickPeers(foreign, s.maxLinks()-len(out))...)
 }
 
 // affordable is how many links this VM's processor bears. Without a word of its processor it
 // bears them all.
-func (s *Site) affordable() int {
+func (s *Site) maxLinks() int {
 	if s.self.Cores <= 0 {
 		return len(s.members)
 	}
-	return int(linkShare * s.self.Cores / linkCost)
+	return int(optionalLinkShare * s.self.Cores / linkCostCores)
 }
 
-// someOf returns the first of some VMs by rendezvous hashing, so that the VMs of a site choose
+// pickPeers returns the first of some VMs by rendezvous hashing, so that the VMs of a site choose
 // evenly and each goes on with most of its choice as others come and go.
-func (s *Site) someOf(members []Member, n int) []Peer {
+func (s *Site) pickPeers(members []Member, n int) []Peer {
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(score(s.self.Name, b.Name), score(s.self.Name, a.Name)), strings.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(rendezvousHash(s.self.Name, b.Name), rendezvousHash(s.self.Name, a.Name)), strings.Compare(a.Name, b.Name))
 	})
 	var out []Peer
-	for _, m := range members[:min(max(n, foreignLeast), len(members))] {
+	for _, m := range members[:min(max(n, minOtherDomainLinks), len(members))] {
 		out = append(out, Peer{Member: m})
 	}
 	return out
@@ -87,7 +87,7 @@
 	if m, there := s.members[name]; there {
 		return m, true
 	}
-	l, lapsed := s.lapsed[name]
+	l, lapsed := s.lapsedMembers[name]
 	return l.member, lapsed
 }
 
--- a/internal/kept/site/peers_test.go
+++ b/internal/kept/site/peers_test.go
@@ -28,7 +28,7 @@
 	for d := range domains {
 		for i := range holders {
 			shard := ShardName(string(rune('a'+d)), i)
-			s.view(shard).holding = Holding{Shard: shard, Holder: fmt.Sprintf("%c%d", 'a'+d, i), Incarnation: 1, Token: 1}
+			s.shardState(shard).holding = Holding{Shard: shard, Holder: fmt.Sprintf("%c%d", 'a'+d, i), Incarnation: 1, Token: 1}
 		}
 	}
 	return s
@@ -45,7 +45,7 @@
 		}
 		own, foreign := 0, 0
 		for _, p := range peers {
-			if s.held()[p.Name] == 0 {
+			if s.shardCounts()[p.Name] == 0 {
 				t.Errorf("%d VMs a domain: a link to %s, which holds nothing", vms, p.Name)
 			}
 			if p.Domain == "a" {
@@ -54,7 +54,7 @@
 				foreign++
 			}
 		}
-		if own != 3 || foreign < foreignLeast {
+		if own != 3 || foreign < minOtherDomainLinks {
 			t.Errorf("%d VMs a domain: links to %d holders of the own domain, %d of others", vms, own, foreign)
 		}
 	}
--- a/internal/kept/site/site.go
+++ b/internal/kept/site/site.go
@@ -24,92 +24,92 @@
 
 // Settings are the times of a Site.
 type Settings struct {
-	RankStep time.Duration // between entry VMs that may take the same shard
-	Foreign  time.Duration // additional wait of those in other failure domains
-	Divide   time.Duration // after the start, for the other VMs to be known
-	// DivideStep is between VMs that may divide the same domain. Each reads the whole list of workers
+	ClaimStagger     time.Duration // between entry VMs that may take the same shard
+	OtherDomainDelay time.Duration // additional wait of those in other failure domains
+	LayoutDelay      time.Duration // after the start, for the other VMs to be known
+	// LayoutStagger is between VMs that may divide the same domain. Each reads the whole list of workers
 	// several times: 147 VMs that read 1,100 entries at once keep the store from all other calls for
 	// seconds.
-	DivideStep    time.Duration
-	DivideForeign time.Duration // additional wait of VMs in other failure domains
-	Settle        time.Duration // after the start, before shards of other domains are taken
-	ReturnWait    time.Duration // before a shard is given back to its own domain
-	Cooldown      time.Duration // between claims of the same shard by this VM
-	Grace         time.Duration // for a key that lapsed, before its VM counts as gone
-	Gap           time.Duration // between answers of the store, above which it was out of reach
-	Steady        time.Duration // of answers, before this VM acts on links that it has lost
+	LayoutStagger          time.Duration
+	OtherDomainLayoutDelay time.Duration // additional wait of VMs in other failure domains
+	StartupDelay           time.Duration // after the start, before shards of other domains are taken
+	HandbackDelay          time.Duration // before a shard is given back to its own domain
+	ClaimCooldown          time.Duration // between claims of the same shard by this VM
+	LapsedKeyGrace         time.Duration // for a key that lapsed, before its VM counts as gone
+	MaxStoreGap            time.Duration // between answers of the store, above which it was out of reach
+	MinStoreUptime         time.Duration // of answers, before this VM acts on links that it has lost
 }
 
 // DefaultSettings suit links whose silence is noticed after half a second.
 func DefaultSettings() Settings {
 	return Settings{
-		RankStep:      150 * time.Millisecond,
-		Foreign:       250 * time.Millisecond,
-		Divide:        400 * time.Millisecond,
-		DivideStep:    2500 * time.Millisecond,
-		DivideForeign: 4 * time.Second,
-		Settle:        1200 * time.Millisecond,
-		ReturnWait:    1500 * time.Millisecond,
-		Cooldown:      time.Second,
-		Grace:         2 * time.Second,
-		Gap:           2500 * time.Millisecond,
-		Steady:        900 * time.Millisecond,
+		ClaimStagger:           150 * time.Millisecond,
+		OtherDomainDelay:       250 * time.Millisecond,
+		LayoutDelay:            400 * time.Millisecond,
+		LayoutStagger:          2500 * time.Millisecond,
+		OtherDomainLayoutDelay: 4 * time.Second,
+		StartupDelay:           1200 * time.Millisecond,
+		HandbackDelay:          1500 * time.Millisecond,
+		ClaimCooldown:          time.Second,
+		LapsedKeyGrace:         2 * time.Second,
+		MaxStoreGap:            2500 * time.Millisecond,
+		MinStoreUptime:         900 * time.Millisecond,
 	}
 }
 
-type shardView struct {
+type shardState struct {
 	holding     Holding
 	vacantSince time.Duration // 0: it has a holder that is there
 	claimedAt   time.Duration // by this VM; 0: never
 	betterSince time.Duration // since when another VM should have it
 }
 
-type lapsedMember struct {
+type lapsedEntry struct {
 	member Member
 	at     time.Duration
 }
 
 // Site is what one entry VM knows of the site.
 type Site struct {
-	settings  Settings
-	self      Member
-	startedAt time.Duration
-	members   map[string]Member
-	lapsed    map[string]lapsedMember // whose key is gone and whose VM may still be there
-	suspected map[string]bool
-	linked    map[string]bool // the link to it stands
-	contact   time.Duration   // when the store was asked last that answered
-	steady    time.Duration   // since when it has answered without a gap
-	domains   []string
-	layouts   map[string]ShardLayout
-	shards    map[string]*shardView
-	ordered   []*shardView // by the shard's name
-	leaving   bool
-	learnt    bool // something since it was last decided
-	decidedAt time.Duration
-	rankedAt  time.Duration // when it was last looked whether another VM should have a shard of this one
+	settings          Settings
+	self              Member
+	startedAt         time.Duration
+	members           map[string]Member
+	lapsedMembers     map[string]lapsedEntry // whose key is gone and whose VM may still be there
+	linkLost          map[string]bool
+	linkUp            map[string]bool // the link to it stands
+	lastContact       time.Duration   // when the store was asked last that answered
+	contactSince      time.Duration   // since when it has answered without a gap
+	domains           []string
+	layouts           map[string]ShardLayout
+	shards            map[string]*shardState
+	sortedShards      []*shardState // by the shard's name
+	stopping          bool
+	changed           bool // something since it was last decided
+	decidedAt         time.Duration
+	handbackCheckedAt time.Duration // when it was last looked whether another VM should have a shard of this one
 }
 
 // New returns the site of some failure domains as seen by self.
 func New(s Settings, self Member, domains []string, now time.Duration) *Site {
 	site := &Site{
-		settings:  s,
-		self:      self,
-		startedAt: now,
-		members:   map[string]Member{},
-		lapsed:    map[string]lapsedMember{},
-		suspected: map[string]bool{},
-		linked:    map[string]bool{},
-		shards:    map[string]*shardView{},
-		domains:   domains,
-		layouts:   map[string]ShardLayout{},
+		settings:      s,
+		self:          self,
+		startedAt:     now,
+		members:       map[string]Member{},
+		lapsedMembers: map[string]lapsedEntry{},
+		linkLost:      map[string]bool{},
+		linkUp:        map[string]bool{},
+		shards:        map[string]*shardState{},
+		domains:       domains,
+		layouts:       map[string]ShardLayout{},
 	}
 	return site
 }
 
 // Apply takes a key of the site as it stands in the store.
 func (s *Site) Apply(now time.Duration, e store.Event) error {
-	s.learnt = true
+	s.changed = true
 	if name, is := strings.CutPrefix(e.Key, memberPrefix); is {
 		return s.applyMember(now, name, e)
 	}
@@ -136,7 +136,7 @@
 	s.layouts[domain] = d
 	for i := range d.Shards {
 		name := ShardName(domain, i)
-		s.view(name)
+		s.shardState(name)
 	}
 	return nil
 }
@@ -154,12 +154,12 @@
 func (s *Site) DomainsWithoutLayout(now time.Duration) []string {
 	var out []string
 	for _, domain := range s.domains {
-		if _, known := s.layouts[domain]; known || s.leaving {
+		if _, known := s.layouts[domain]; known || s.stopping {
 			continue
 		}
-		wait := s.settings.Divide + time.Duration(s.turn(domain))*s.settings.DivideStep
+		wait := s.settings.LayoutDelay + time.Duration(s.layoutRank(domain))*s.settings.LayoutStagger
 		if domain != s.self.Domain {
-			wait += s.settings.DivideForeign
+			wait += s.settings.OtherDomainLayoutDelay
 		}
 		if now-s.startedAt >= wait {
 			out = append(out, domain)
@@ -169,10 +169,10 @@
 }
 
 // turn is how many VMs are to do something for a failure domain before this one.
-func (s *Site) turn(domain string) int {
+func (s *Site) layoutRank(domain string) int {
 	before := 0
 	for _, m := range s.members {
-		if m.Domain == s.self.Domain && score(domain, m.Name) > score(domain, s.self.Name) {
+		if m.Domain == s.self.Domain && rendezvousHash(domain, m.Name) > rendezvousHash(domain, s.self.Name) {
 			before++
 		}
 	}
@@ -189,11 +189,11 @@
 		return &DecodeError{Key: e.Key, Err: err}
 	}
 	if old, known := s.members[name]; known && old.Incarnation != m.Incarnation {
-		delete(s.suspected, name)
-		delete(s.linked, name)
+		delete(s.linkLost, name)
+		delete(s.linkUp, name)
 	}
 	s.members[name] = m
-	delete(s.lapsed, name)
+	delete(s.lapsedMembers, name)
 	return nil
 }
 
@@ -205,11 +205,11 @@
 		return
 	}
 	delete(s.members, name)
-	s.lapsed[name] = lapsedMember{member: m, at: now}
+	s.lapsedMembers[name] = lapsedEntry{member: m, at: now}
 }
 
 func (s *Site) applyShard(shard string, e store.Event) error {
-	v := s.view(shard)
+	v := s.shardState(shard)
 	if e.Deleted || e.Revision <= v.holding.Revision {
 		return nil
 	}
@@ -243,34 +243,34 @@
 
 // Suspect says whether the link to an entry VM is lost.
 func (s *Site) SetLinkLost(name string, lost bool) {
-	s.learnt = true
+	s.changed = true
 	if lost {
-		s.suspected[name] = true
-		delete(s.linked, name)
+		s.linkLost[name] = true
+		delete(s.linkUp, name)
 		return
 	}
-	delete(s.suspected, name)
-	s.linked[name] = true
+	delete(s.linkLost, name)
+	s.linkUp[name] = true
 }
 
 // Unlinked says that this VM has closed its link to an entry VM, as it needs none. What was known by
 // the link holds no more: a VM that was out of reach once would pass for dead when it becomes a
 // holder, until a new link stands, and lose its shards at once.
 func (s *Site) LinkClosed(name string) {
-	delete(s.suspected, name)
-	delete(s.linked, name)
+	delete(s.linkLost, name)
+	delete(s.linkUp, name)
 }
 
 // Contact says that the store has answered a call that left at a time.
 func (s *Site) StoreAnswered(sent, now time.Duration) {
-	if sent-s.contact > s.settings.Gap {
-		s.steady = now
+	if sent-s.lastContact > s.settings.MaxStoreGap {
+		s.contactSince = now
 	}
-	s.contact = max(s.contact, sent)
+	s.lastContact = max(s.lastContact, sent)
 }
 
 // Leave says that this VM is about to stop: it claims nothing more.
-func (s *Site) StopClaiming() { s.leaving = true }
+func (s *Site) StopClaiming() { s.stopping = true }
 
 // Members returns the entry VMs whose keys are there, by name.
 func (s *Site) Members() []Member {
@@ -286,13 +286,13 @@
 // has lapsed lately.
 func (s *Site) MembersAndLapsed(now time.Duration) []Member {
 	out := s.Members()
-	for name, l := range s.lapsed {
-		if now-l.at < 2*s.settings.Grace || s.linked[name] {
+	for name, l := range s.lapsedMembers {
+		if now-l.at < 2*s.settings.LapsedKeyGrace || s.linkUp[name] {
 			out = append(out, l.member)
 		} else {
-			delete(s.lapsed, name)
-			delete(s.suspected, name)
-			delete(s.linked, name)
+			delete(s.lapsedMembers, name)
+			delete(s.linkLost, name)
+			delete(s.linkUp, name)
 		}
 	}
 	return slices.DeleteFunc(out, func(m Member) bool { return m.Name == s.self.Name })
@@ -309,7 +309,7 @@
 	}
 	for i := range d.Shards {
 		holder := s.Holding(ShardName(domain, i)).Holder
-		if _, there := s.members[holder]; !there || s.suspected[holder] {
+		if _, there := s.members[holder]; !there || s.linkLost[holder] {
 			return false
 		}
 	}
@@ -326,21 +326,21 @@
 
 // Holdings returns the holder of each shard, by the shard's name.
 func (s *Site) Holdings() []Holding {
-	out := make([]Holding, 0, len(s.ordered))
-	for _, v := range s.ordered {
+	out := make([]Holding, 0, len(s.sortedShards))
+	for _, v := range s.sortedShards {
 		out = append(out, v.holding)
 	}
 	return out
 }
 
 // view returns what is known of a shard.
-func (s *Site) view(shard string) *shardView {
+func (s *Site) shardState(shard string) *shardState {
 	v := s.shards[shard]
 	if v == nil {
-		v = &shardView{holding: Holding{Shard: shard}}
+		v = &shardState{holding: Holding{Shard: shard}}
 		s.shards[shard] = v
-		s.ordered = append(s.ordered, v)
-		slices.SortFunc(s.ordered, func(a, b *shardView) int { return strings.Compare(a.holding.Shard, b.holding.Shard) })
+		s.sortedShards = append(s.sortedShards, v)
+		slices.SortFunc(s.sortedShards, func(a, b *shardState) int { return strings.Compare(a.holding.Shard, b.holding.Shard) })
 	}
 	return v
 }
--- a/internal/kept/site/size_bench_test.go
+++ b/internal/kept/site/size_bench_test.go
@@ -57,7 +57,7 @@
 				s := siteOf(b, vms, holder)
 				now := 2 * time.Hour
 				for b.Loop() {
-					s.learnt = true
+					s.changed = true
 					if len(s.Decide(now)) > 0 {
 						b.Fatal("it is not this VM's turn")
 					}
