--- a/internal/kept/link/join_test.go
+++ b/internal/kept/link/join_test.go
@@ -32,7 +32,7 @@
 func TestJoinedFramesLoseNoField(t *testing.T) {
 	full := &pb.KeptFrame{}
 	messages(t, func(_ protoreflect.FieldDescriptor, set func(*pb.KeptFrame)) { set(full) })
-	joined := join([]*pb.KeptFrame{{}, full, {}})
+	joined := mergeFrames([]*pb.KeptFrame{{}, full, {}})
 	messages(t, func(f protoreflect.FieldDescriptor, _ func(*pb.KeptFrame)) {
 		if !joined.ProtoReflect().Has(f) {
 			t.Errorf("%s is lost", f.Name())
@@ -45,11 +45,11 @@
 func TestFrameWithOneMessageIsNoHeartbeat(t *testing.T) {
 	messages(t, func(f protoreflect.FieldDescriptor, set func(*pb.KeptFrame)) {
 		frame := &pb.KeptFrame{}
-		if set(frame); !Says(frame) {
+		if set(frame); !CarriesMessages(frame) {
 			t.Errorf("a frame with %s passes for a heartbeat", f.Name())
 		}
 	})
-	if Says(&pb.KeptFrame{EntryVm: "a", Incarnation: 1, ReachesStore: true, Wanted: true}) {
+	if CarriesMessages(&pb.KeptFrame{EntryVm: "a", Incarnation: 1, ReachesStore: true, Wanted: true}) {
 		t.Error("a heartbeat passes for more")
 	}
 }
--- a/internal/kept/link/link.go
+++ b/internal/kept/link/link.go
@@ -24,15 +24,15 @@
 
 // Settings of links.
 type Settings struct {
-	Heartbeat time.Duration // between heartbeats without other messages
-	Silence   time.Duration // without a heartbeat back, the peer is taken to be lost
-	Open      time.Duration // for a new stream to be answered
-	Redial    time.Duration // between tries, after the first
+	HeartbeatInterval time.Duration // between heartbeats without other messages
+	SilenceTimeout    time.Duration // without a heartbeat back, the peer is taken to be lost
+	OpenTimeout       time.Duration // for a new stream to be answered
+	RedialInterval    time.Duration // between tries, after the first
 	// Unmet is how long a peer that was never reached may be out of reach before it counts as lost.
 	// VMs that start together open hundreds of links at once, and a busy one answers late: its
 	// shards went from VM to VM before the site served anything.
-	Unmet time.Duration
-	Ring  int // frames that may wait
+	FirstContactTimeout time.Duration
+	QueueSize           int // frames that may wait
 
 	Now          func() time.Duration // since boot: the time of day may jump
 	ReachesStore func() bool          // whether this VM's own calls of the store are answered
@@ -41,12 +41,12 @@
 // DefaultSettings suit round trips of about a millisecond.
 func DefaultSettings() Settings {
 	return Settings{
-		Heartbeat: 120 * time.Millisecond,
-		Silence:   480 * time.Millisecond, // four heartbeats
-		Open:      250 * time.Millisecond,
-		Redial:    150 * time.Millisecond,
-		Unmet:     900 * time.Millisecond,
-		Ring:      1024,
+		HeartbeatInterval:   120 * time.Millisecond,
+		SilenceTimeout:      480 * time.Millisecond, // four heartbeats
+		OpenTimeout:         250 * time.Millisecond,
+		RedialInterval:      150 * time.Millisecond,
+		FirstContactTimeout: 900 * time.Millisecond,
+		QueueSize:           1024,
 
 		Now:          clock.Now,
 		ReachesStore: func() bool { return false },
@@ -58,10 +58,10 @@
 // Heartbeats of 120 ms to all of them would take more processor than the work. A holder ends the runs of a
 // home that it has lost, and the home's caller comes again 1.3 s after its connection broke: a longer
 // heartbeat would leave no time to end them where both fall silent at once.
-func Distant(s Settings) Settings {
-	s.Heartbeat = 300 * time.Millisecond
-	s.Silence = 1200 * time.Millisecond
-	s.Open = 500 * time.Millisecond
+func RelaxedSettings(s Settings) Settings {
+	s.HeartbeatInterval = 300 * time.Millisecond
+	s.SilenceTimeout = 1200 * time.Millisecond
+	s.OpenTimeout = 500 * time.Millisecond
 	return s
 }
 
@@ -70,8 +70,8 @@
 	PeerUp(name string, incarnation uint64)
 	PeerLost(name, why string)
 	Frame(from string, f *pb.KeptFrame)
-	// PeerLeft says that a stream from a peer has ended.
-	PeerLeft(from string)
+	// InboundStreamEnded says that a stream from a peer has ended.
+	InboundStreamEnded(from string)
 }
 
 // Link is the stream to one peer.
@@ -82,8 +82,8 @@
 	address  string
 	dial     wire.Dialer
 	events   Events
-	out      *ring.Ring[*pb.KeptFrame]
-	wanted   atomic.Bool
+	queue    *ring.Ring[*pb.KeptFrame]
+	needed   atomic.Bool
 	cancel   context.CancelFunc
 	done     chan struct{}
 }
@@ -98,7 +98,7 @@
 		address:  address,
 		dial:     dial,
 		events:   events,
-		out:      ring.New[*pb.KeptFrame](s.Ring),
+		queue:    ring.New[*pb.KeptFrame](s.QueueSize),
 		cancel:   cancel,
 		done:     make(chan struct{}),
 	}
@@ -110,11 +110,11 @@
 func (l *Link) Address() string { return l.address }
 
 // Send queues a frame. It reports false when too many wait.
-func (l *Link) Send(f *pb.KeptFrame) bool { return l.out.TryPush(f) }
+func (l *Link) Send(f *pb.KeptFrame) bool { return l.queue.TryPush(f) }
 
 // Want says whether this VM needs the link, or keeps it only because its peer does. The peer is
 // told with each frame.
-func (l *Link) Want(wanted bool) { l.wanted.Store(wanted) }
+func (l *Link) SetNeeded(wanted bool) { l.needed.Store(wanted) }
 
 // Close ends the link.
 func (l *Link) Close() {
@@ -138,13 +138,13 @@
 			met = true
 			continue
 		}
-		if !met && l.settings.Now()-began < l.settings.Unmet {
-			pause.For(ctx, l.settings.Redial)
+		if !met && l.settings.Now()-began < l.settings.FirstContactTimeout {
+			pause.For(ctx, l.settings.RedialInterval)
 			continue
 		}
 		l.events.PeerLost(l.name, why)
-		l.out.Drain() // what waited is out of date when the peer is back
-		pause.For(ctx, l.settings.Redial)
+		l.queue.Drain() // what waited is out of date when the peer is back
+		pause.For(ctx, l.settings.RedialInterval)
 	}
 }
 
@@ -158,13 +158,13 @@
 	defer client.Leave()
 	service := pumiceyardv1connect.NewKeptServiceClient(client.Client, "http://"+l.address,
 		wire.ClientOptions()...)
-	guard := time.AfterFunc(l.settings.Open, func() {
+	guard := time.AfterFunc(l.settings.OpenTimeout, func() {
 		cancel()
 		client.Leave()
 	})
 	defer guard.Stop()
 	conn := service.Link(ctx)
-	first := &pb.KeptFrame{EntryVm: l.self.EntryVm, Incarnation: l.self.Incarnation, Wanted: l.wanted.Load()}
+	first := &pb.KeptFrame{EntryVm: l.self.EntryVm, Incarnation: l.self.Incarnation, Wanted: l.needed.Load()}
 	if err := conn.Send(first); err != nil {
 		return false, err.Error()
 	}
@@ -192,7 +192,7 @@
 			last.Store(int64(l.settings.Now()))
 		}
 	}()
-	heartbeats := time.NewTicker(l.settings.Heartbeat)
+	heartbeats := time.NewTicker(l.settings.HeartbeatInterval)
 	defer heartbeats.Stop()
 	defer client.Leave() // ends a Send or Receive that hangs on a silent connection
 	busy := false        // a frame has left since the last heartbeat was due
@@ -204,7 +204,7 @@
 		case err := <-gone:
 			return err.Error()
 		case <-heartbeats.C:
-			if l.settings.Now()-time.Duration(last.Load()) > l.settings.Silence {
+			if l.settings.Now()-time.Duration(last.Load()) > l.settings.SilenceTimeout {
 				return "silent"
 			}
 			if busy {
@@ -212,15 +212,15 @@
 				continue
 			}
 			frame = &pb.KeptFrame{}
-		case <-l.out.Ready():
-			frame = join(l.out.Drain())
+		case <-l.queue.Ready():
+			frame = mergeFrames(l.queue.Drain())
 			busy = frame != nil
 		}
 		if frame == nil {
 			continue
 		}
 		frame.ReachesStore = l.settings.ReachesStore()
-		frame.Wanted = l.wanted.Load()
+		frame.Wanted = l.needed.Load()
 		if err := l.send(client, conn, frame); err != nil {
 			return err.Error()
 		}
@@ -230,13 +230,13 @@
 // send leaves the connection if a peer does not read for longer than silence is
 // borne: the write would block until the network gives up, minutes later.
 func (l *Link) send(client *wire.Client, conn *stream, f *pb.KeptFrame) error {
-	guard := time.AfterFunc(l.settings.Silence, client.Leave)
+	guard := time.AfterFunc(l.settings.SilenceTimeout, client.Leave)
 	defer guard.Stop()
 	return conn.Send(f)
 }
 
 // join merges waiting frames.
-func join(waiting []*pb.KeptFrame) *pb.KeptFrame {
+func mergeFrames(waiting []*pb.KeptFrame) *pb.KeptFrame {
 	if len(waiting) == 0 {
 		return nil
 	}
@@ -263,19 +263,19 @@
 }
 
 // Says reports whether a frame is more than a heartbeat.
-func Says(f *pb.KeptFrame) bool {
+func CarriesMessages(f *pb.KeptFrame) bool {
 	parts := len(f.Assign) + len(f.States) + len(f.Queries) + len(f.Cancelled) + len(f.Loads) + len(f.Calls) +
 		len(f.Replies) + len(f.Notes) + len(f.TakenBack) + len(f.Elsewhere) + len(f.Workers) + len(f.Evacuations) + len(f.Losses)
 	return parts > 0 || f.Unplaced != nil
 }
 
-// StaleAfter is the gap between frames of a stream after which what comes on it counts
+// MaxFrameGap is the gap between frames of a stream after which what comes on it counts
 // for nothing. It is that between the heartbeats of distant peers, four times.
 //
 // What was sent into a partition comes out of it at the heal, seconds later, on streams
 // that the sender has long left: a submission that was given up meanwhile, and that its
 // caller has sent to another VM, would run twice at once.
-const StaleAfter = 1200 * time.Millisecond
+const MaxFrameGap = 1200 * time.Millisecond
 
 // Server takes the streams of other entry VMs.
 type Server struct {
@@ -305,23 +305,23 @@
 // Close ends all streams.
 func (s *Server) Close() error { return s.http.Close() }
 
-var errStale = errors.New("the stream was held up")
+var errStreamDelayed = errors.New("the stream was held up")
 
-var errNoName = errors.New("the first frame names no entry VM")
+var errNoPeerName = errors.New("the first frame names no entry VM")
 
-// answerEvery is the least time between two answers on a stream. The shortest heartbeat is longer, so
+// minAnswerInterval is the least time between two answers on a stream. The shortest heartbeat is longer, so
 // each heartbeat is answered; frames that carry loads or submissions come more often, and an
 // answer to each would cost the receiver as much as the frame.
-const answerEvery = 100 * time.Millisecond
+const minAnswerInterval = 100 * time.Millisecond
 
 // Link implements the service: frames go to the events, and are answered by heartbeats.
 func (s *Server) Link(_ context.Context, conn *connect.BidiStream[pb.KeptFrame, pb.KeptHeartbeat]) error {
 	from := ""
 	last := s.now()
-	answered := last - answerEvery
+	answered := last - minAnswerInterval
 	defer func() {
 		if from != "" {
-			s.events.PeerLeft(from)
+			s.events.InboundStreamEnded(from)
 		}
 	}()
 	for {
@@ -330,18 +330,18 @@
 			return nil // the stream is over
 		}
 		now := s.now()
-		if now-last > StaleAfter {
+		if now-last > MaxFrameGap {
 			klog.InfoS("kept: a stream was held up, what comes on it is dropped", "peer", from, "for", now-last)
-			return connect.NewError(connect.CodeAborted, errStale)
+			return connect.NewError(connect.CodeAborted, errStreamDelayed)
 		}
 		last = now
 		if from == "" {
 			if from = f.EntryVm; from == "" {
-				return connect.NewError(connect.CodeInvalidArgument, errNoName)
+				return connect.NewError(connect.CodeInvalidArgument, errNoPeerName)
 			}
 		}
 		s.events.Frame(from, f)
-		if now-answered < answerEvery {
+		if now-answered < minAnswerInterval {
 			continue
 		}
 		answered = now
--- a/internal/kept/link/link_test.go
+++ b/internal/kept/link/link_test.go
@@ -33,7 +33,7 @@
 	r.lost = append(r.lost, why)
 }
 
-func (r *recorder) PeerLeft(string) {}
+func (r *recorder) InboundStreamEnded(string) {}
 
 func (r *recorder) Frame(_ string, f *pb.KeptFrame) {
 	r.mu.Lock()
@@ -160,13 +160,13 @@
 		m.Cut("b", true) // as if it did not get to answer
 		l := Open(ctx, s, &pb.KeptHeartbeat{EntryVm: "a", Incarnation: 1}, "b", "b:1", m.Dialer("a:1", "a"), mine)
 		defer l.Close()
-		time.Sleep(s.Unmet / 2)
+		time.Sleep(s.FirstContactTimeout / 2)
 		if _, lost := mine.counts(); lost != 0 {
 			t.Errorf("lost %d times before it was ever reached", lost)
 		}
-		time.Sleep(s.Unmet)
+		time.Sleep(s.FirstContactTimeout)
 		if _, lost := mine.counts(); lost == 0 {
-			t.Errorf("not lost %v after the first try", s.Unmet*3/2)
+			t.Errorf("not lost %v after the first try", s.FirstContactTimeout*3/2)
 		}
 	})
 }
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -31,7 +31,7 @@
 	e.vm.calls.setReach(from, f.ReachesStore)
 	e.noteWanted(from, f.Wanted)
 	f.Replies = nil // they have been handed over
-	if link.Says(f) {
+	if link.CarriesMessages(f) {
 		e.vm.post(frameEvent{from: from, frame: f})
 	}
 }
@@ -40,8 +40,8 @@
 // back within seconds, and a link that is closed takes what waits in it along.
 const linkLinger = 3 * time.Second
 
-// PeerLeft says that a stream from a peer has ended.
-func (e *engine) PeerLeft(from string) { e.noteWanted(from, false) }
+// InboundStreamEnded says that a stream from a peer has ended.
+func (e *engine) InboundStreamEnded(from string) { e.noteWanted(from, false) }
 
 // noteWanted takes whether a peer needs the link from here.
 func (e *engine) noteWanted(from string, wanted bool) {
@@ -70,12 +70,12 @@
 	})
 	for name, l := range e.links {
 		if p, still := wanted[name]; still && p.Address == l.Address() {
-			l.Want(own[name])
+			l.SetNeeded(own[name])
 			e.neededAt[name] = e.at
 			continue
 		}
 		if m, there := e.site.Member(name); there && m.Address == l.Address() && (e.at-e.neededAt[name] < linkLinger || e.busyWith(name)) {
-			l.Want(false)
+			l.SetNeeded(false)
 			continue
 		}
 		go l.Close()
@@ -97,12 +97,12 @@
 func (e *engine) openLink(p site.Peer, own bool) {
 	settings := link.DefaultSettings()
 	if !p.FastDetection {
-		settings = link.Distant(settings)
+		settings = link.RelaxedSettings(settings)
 	}
 	settings.Now = e.vm.now
 	settings.ReachesStore = e.vm.router.ReachesStore
 	l := link.Open(e.ctx, settings, e.vm.heartbeat(), p.Name, p.Address, e.vm.config.PeerDial, e)
-	l.Want(own)
+	l.SetNeeded(own)
 	e.links[p.Name] = l
 	e.neededAt[p.Name] = e.at
 	e.vm.calls.set(p.Name, l)
