--- a/client/pool.go
+++ b/client/pool.go
@@ -21,7 +21,7 @@
 }
 
 const (
-	// freshFor is the rest of its life that a ticket must have to be used: a job
+	// answerValidity is the rest of its life that a ticket must have to be used: a job
 	// has to be asked for again for that long.
 	freshFor = 30 * time.Second
 	// brokenFor is how long an endpoint that gave no tickets is passed over.
--- a/internal/kept/relay/http.go
+++ b/internal/kept/relay/http.go
@@ -13,7 +13,7 @@
 	Client  *http.Client
 }
 
-const answerMost = 16 << 20 // bytes
+const maxReplyBytes = 16 << 20 // bytes
 
 // Do implements Transport.
 func (t *HTTP) Do(ctx context.Context, c Call) (Reply, error) {
@@ -29,7 +29,7 @@
 		return Reply{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return Reply{}, err
 	}
--- a/internal/kept/relay/relay_test.go
+++ b/internal/kept/relay/relay_test.go
@@ -25,7 +25,7 @@
 	return Reply{Status: w.status}, nil
 }
 
-func (w *way) Reach() bool { return w.reach }
+func (w *way) AnyReachesStore() bool { return w.reach }
 
 func ways(t *testing.T, play func(r *Router, direct, peers *way)) {
 	t.Helper()
@@ -58,7 +58,7 @@
 			t.Error("it tells peers that it reaches the store, or takes the store for down")
 		}
 		direct.status = 200
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		if _, err := do(r); err != nil || !r.ReachesStore() {
 			t.Errorf("it does not go back to the direct way (%v)", err)
 		}
@@ -72,7 +72,7 @@
 		if status, err := do(r); status != 200 || err != nil {
 			t.Fatalf("%d, %v", status, err)
 		}
-		if took := time.Since(began); took > directWithin+50*time.Millisecond {
+		if took := time.Since(began); took > directTimeout+50*time.Millisecond {
 			t.Errorf("the first call took %v", took)
 		}
 		began = time.Now()
@@ -88,7 +88,7 @@
 		if status, _ := do(r); status != 503 {
 			t.Errorf("status %d", status)
 		}
-		time.Sleep(downAfter + 100*time.Millisecond)
+		time.Sleep(downThreshold + 100*time.Millisecond)
 		if _, err := do(r); err != nil || !r.Down() {
 			t.Errorf("it is not taken for down (%v)", err)
 		}
@@ -148,5 +148,5 @@
 // noPeer loses its last peer between the look and the call.
 type noPeer struct{}
 
-func (noPeer) Reach() bool                             { return true }
+func (noPeer) AnyReachesStore() bool                   { return true }
 func (noPeer) Do(context.Context, Call) (Reply, error) { return Reply{}, ErrNotSent }
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -207,7 +207,7 @@
 	wants := func(outdated bool, when string) {
 		t.Helper()
 		e.at = now
-		if got := e.listOutdated(e.lists["a"], v.router.Contact()); got != outdated {
+		if got := e.listOutdated(e.lists["a"], v.router.LastCalls()); got != outdated {
 			t.Errorf("the list is outdated: %v, want %v, %s", got, outdated, when)
 		}
 	}
@@ -249,4 +249,4 @@
 
 type noPeers struct{ *answering }
 
-func (noPeers) Reach() bool { return false }
+func (noPeers) AnyReachesStore() bool { return false }
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -88,7 +88,7 @@
 // followLists has the list of workers read here while nobody tells of it, and tells the other holders.
 func (e *engine) followLists() {
 	reading := false
-	contact := e.vm.router.Contact()
+	contact := e.vm.router.LastCalls()
 	for name, h := range e.shards {
 		domain := site.DomainOf(name)
 		l := e.lists[domain]
@@ -120,11 +120,11 @@
 
 // listOutdated reports whether nothing may start on a list as a newer one can be had; nil: there is none
 // yet. While the store does not answer, the list, or what the earlier holder has stored, is all there is.
-func (e *engine) listOutdated(l *domainList, c relay.Contact) bool {
+func (e *engine) listOutdated(l *domainList, c relay.LastCalls) bool {
 	if l == nil {
-		return c.Answered >= c.Unanswered
+		return c.AnsweredAt >= c.UnansweredAt
 	}
-	return e.at-c.Unanswered > storeSteady && c.Answered-l.at > e.vm.config.noticeShare(listMost)
+	return e.at-c.UnansweredAt > storeSteady && c.AnsweredAt-l.at > e.vm.config.noticeShare(listMost)
 }
 
 // tellWorkers tells the other holders of a domain of its workers: the whole list if it has changed, to a
--- a/internal/kept/vm/peercalls.go
+++ b/internal/kept/vm/peercalls.go
@@ -30,7 +30,7 @@
 }
 
 // Reach implements relay.Peers.
-func (p *peerCalls) Reach() bool {
+func (p *peerCalls) AnyReachesStore() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, ok := range p.reaches {
@@ -125,7 +125,7 @@
 	wait := min(time.Duration(c.WaitNs), maxRelayed)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	r, err := v.router.Direct(ctx, relay.Call{Method: c.Method, Target: c.Target, Body: c.Body, Wait: wait})
+	r, err := v.router.DoDirect(ctx, relay.Call{Method: c.Method, Target: c.Target, Body: c.Body, Wait: wait})
 	out := &pb.KeptReply{Seq: c.Seq, Status: int32(r.Status), Body: r.Body}
 	if err != nil {
 		out.Error = err.Error()
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -112,7 +112,7 @@
 	v.calls = newPeerCalls()
 	v.router = relay.New(c.Direct, v.calls, c.Now)
 	v.figures = newFigures(c.Name)
-	v.router.Count(func(answered bool) { v.figures.storeCalls[answered].Inc(1) })
+	v.router.SetCallObserver(func(answered bool) { v.figures.storeCalls[answered].Inc(1) })
 	v.store = c.Store(v.router)
 	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 4096, Flights: 4}, v.store)
 	v.ends = journal.New(journal.Settings{
