--- a/internal/kept/catalog/catalog.go
+++ b/internal/kept/catalog/catalog.go
@@ -20,7 +20,7 @@
 // Service is a kind of worker.
 type Service struct {
 	Name string
-	// GuardsRoom says that its workers refuse what does not fit. The room of others is known from
+	// EnforcesCapacity says that its workers refuse what does not fit. The room of others is known from
 	// their entries alone.
 	GuardsRoom bool
 }
--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -55,7 +55,7 @@
 		s.out.TaskLosses = append(s.out.TaskLosses, TaskLossesAction{Home: t.job.rec.Home, Task: t.ref, Losses: slices.Clone(t.losses)})
 		return
 	}
-	t.job.unsaved = max(now-s.settings.SaveAfter, 1)
+	t.job.unsaved = max(now-s.settings.SaveDelay, 1)
 }
 
 // unrelatedLosses reports whether another worker went at the same moment that had no submission of the
--- a/internal/kept/shard/crash_test.go
+++ b/internal/kept/shard/crash_test.go
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	w.hold(2, true)
-	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 2}})
+	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 2}})
 	w.run(10 * time.Second)
 	if w.finals["poison"] != submission.Failed {
 		t.Errorf("it is %s, want failed", w.finals["poison"])
--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -54,7 +54,7 @@
 	for _, t := range j.tasks {
 		// A suspect takes down no worker of another domain.
 		if t.state == waiting && len(j.returned)-before < most && (s.evacuated || !s.suspect(t)) {
-			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.run, Fails: t.fails, Losses: t.losses})
+			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.run, FailedRuns: t.fails, Losses: t.losses})
 			j.leave(t, absent)
 		}
 	}
--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -70,11 +70,11 @@
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	w.shard.SetEvacuated(w.now, true)
-	if l := w.shard.Load(w.now); l.RoomMilli != 0 || len(l.FreeMilli) != 0 {
+	if l := w.shard.Load(w.now); l.CapacityMilli != 0 || len(l.FreeMilli) != 0 {
 		t.Errorf("it tells of room: %+v", l)
 	}
 	w.shard.SetEvacuated(w.now, false)
-	if l := w.shard.Load(w.now); l.RoomMilli == 0 || len(l.FreeMilli) != 2 {
+	if l := w.shard.Load(w.now); l.CapacityMilli == 0 || len(l.FreeMilli) != 2 {
 		t.Errorf("it tells of no room after its return: %+v", l)
 	}
 }
@@ -116,19 +116,19 @@
 	w.shard.SetEvacuated(w.now, true)
 	rec := w.submission("a", 1, runhost.Work{Time: 50 * ms})
 	rec.Transient = false
-	w.shard.Assign(w.now, Stored{Record: rec, Revision: 5})
+	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 5})
 	w.shard.Tick(w.now + 10*ms)
 	moves := w.shard.TakeActions().Reassigns
 	if len(moves) != 1 || moves[0].Revision != 5 {
 		t.Fatalf("moves: %v, want the one submission", moves)
 	}
 	w.shard.Reassigned(w.now, "a", 8)
-	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 5}}) // read before it left
+	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 5}}) // read before it left
 	if n := len(w.shard.Unfinished()); n != 0 {
 		t.Errorf("%d submissions, it had left", n)
 	}
 	w.shard.SetEvacuated(w.now, false)
-	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 9}})
+	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 9}})
 	w.run(300 * ms)
 	if w.finals["a"] != submission.Done {
 		t.Errorf("it is %s after it came back, want done", w.finals["a"])
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -166,11 +166,11 @@
 	}
 	s.WorkerGone(now, gone.ID)
 	_, known := s.workers[next.ID]
-	if next.ID == "" || known || s.isDead(next) || s.addressTaken(gone) || !s.settings.guardsRoom(info.Service) {
+	if next.ID == "" || known || s.isDead(next) || s.addressTaken(gone) || !s.settings.enforcesCapacity(info.Service) {
 		return
 	}
 	s.lossesAt(now, info)
-	h := newHost(info, FromLastLife)
+	h := newHost(info, FromPreviousIncarnation)
 	h.record.BeginSlowStart()
 	s.admit(now, h)
 	s.dirty = true
@@ -182,10 +182,10 @@
 	if !known || !info.Incarnation().Succeeds(h.info.Incarnation()) {
 		return
 	}
-	if !s.settings.guardsRoom(info.Service) {
+	if !s.settings.enforcesCapacity(info.Service) {
 		info.CPUMilli, info.MemMB, info.GPU = 0, 0, 0 // its room is known with its entry
 	}
-	s.succeedUnderID(now, h, info, FromLastLife).record.BeginSlowStart()
+	s.succeedUnderID(now, h, info, FromPreviousIncarnation).record.BeginSlowStart()
 	s.lossesAt(now, info)
 }
 
@@ -209,11 +209,11 @@
 		h, there := s.workers[info.ID]
 		switch {
 		case there && info.Incarnation().Succeeds(h.info.Incarnation()):
-			h = s.succeedUnderID(now, h, info, FromHolder)
+			h = s.succeedUnderID(now, h, info, FromPreviousHolder)
 		case there, s.addressTaken(info):
 			continue
 		default:
-			h = newHost(info, FromHolder)
+			h = newHost(info, FromPreviousHolder)
 			s.admit(now, h)
 		}
 		h.missing = now
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -140,7 +140,7 @@
 	v := h.voids[ref]
 	v.sent = now
 	h.voids[ref] = v
-	s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: ref, Run: v.run, Why: "its order may reach the next incarnation"})
+	s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: ref, Run: v.run, Reason: "its order may reach the next incarnation"})
 }
 
 // repeatVoids repeats the stops of such runs that had no answer.
--- a/internal/kept/shard/job.go
+++ b/internal/kept/shard/job.go
@@ -94,7 +94,7 @@
 	left  int // tasks that have not completed
 }
 
-func newJob(now time.Duration, r Stored, runBase uint64) *job {
+func newJob(now time.Duration, r StoredRecord, runBase uint64) *job {
 	j := &job{
 		rec:      r.Record,
 		revision: r.Revision,
--- a/internal/kept/shard/limits_test.go
+++ b/internal/kept/shard/limits_test.go
@@ -17,7 +17,7 @@
 	rec.Transient = false
 	rec.Progress.Note(submission.Task{}, 1)
 	w.hold(2, true)
-	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 7}})
+	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(2 * time.Second)
 	w.want("a", submission.Failed)
 	if n := w.runs("a"); n != 1 {
@@ -34,13 +34,13 @@
 	second := rec.Steps[0]
 	second.After = []int{0}
 	rec.Steps = append(rec.Steps, second)
-	w.shard.Assign(w.now, Stored{Record: rec, Revision: 7})
+	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 7})
 	w.run(60 * ms)
 	if n := w.runs("a"); n != 2 {
 		t.Fatalf("%d starts while the first step runs, want its 2", n)
 	}
 	w.hold(2, true)
-	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 7}})
+	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(time.Second)
 	w.want("a", submission.Done)
 	if n := w.runs("a"); n != 4 {
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -224,7 +224,7 @@
 	}
 	if !st.asked && now-h.listedAt >= resumeWithin {
 		st.asked = true
-		s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Why: "no such run is wanted"})
+		s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "no such run is wanted"})
 	}
 	h.strays[r.Task] = st
 }
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -10,10 +10,10 @@
 
 // Load is what the shard could take.
 func (s *Shard) Load(now time.Duration) Load {
-	l := Load{Ready: s.scanned && s.anyListed() && !s.outdated, Waiting: make(map[string]int)}
+	l := Load{Ready: s.scanned && s.anyListed() && !s.outdated, UnstartedByQueue: make(map[string]int)}
 	for _, h := range s.workers {
 		if s.usable(now, h) || h.listed && now < h.fullTill && !s.closed() {
-			l.RoomMilli += int64(float64(h.info.CPUMilli) * h.record.UsableShare())
+			l.CapacityMilli += int64(float64(h.info.CPUMilli) * h.record.UsableShare())
 		}
 	}
 	open, _ := s.divideRooms(s.rooms(now))
@@ -24,10 +24,10 @@
 	}
 	for _, j := range s.jobs {
 		if j.firstRun == 0 && !j.state.Final() {
-			l.Waiting[j.rec.Queue]++
+			l.UnstartedByQueue[j.rec.Queue]++
 		}
 	}
-	l.Queued = s.queued(now, l.RoomMilli)
+	l.Queued = s.queued(now, l.CapacityMilli)
 	l.Services = s.services()
 	return l
 }
@@ -45,12 +45,12 @@
 }
 
 // queued sums what waits for room by band and priority.
-func (s *Shard) queued(now time.Duration, room int64) []Queued {
+func (s *Shard) queued(now time.Duration, room int64) []QueuedWork {
 	type key struct {
 		band     policy.LatenessBand
 		priority int
 	}
-	sums := make(map[key]*Queued)
+	sums := make(map[key]*QueuedWork)
 	for _, j := range s.jobs {
 		if j.state.Final() || !j.anyStartable() {
 			continue
@@ -58,29 +58,29 @@
 		k := key{s.work(j).Band(now), j.rec.Terms.Priority}
 		q := sums[k]
 		if q == nil {
-			q = &Queued{Band: k.band, Priority: k.priority}
+			q = &QueuedWork{Band: k.band, Priority: k.priority}
 			sums[k] = q
 		}
 		factor := s.factor(j.rec.Queue)
 		for _, t := range j.tasks {
 			if j.startable(t) {
-				q.Milli += t.step.CPUMilli
-				q.Takes += time.Duration(factor * float64(t.step.Estimate) * float64(t.step.CPUMilli) / float64(max(room, 1)))
+				q.CPUMilli += t.step.CPUMilli
+				q.DrainTime += time.Duration(factor * float64(t.step.Estimate) * float64(t.step.CPUMilli) / float64(max(room, 1)))
 			}
 		}
 	}
-	out := make([]Queued, 0, len(sums))
+	out := make([]QueuedWork, 0, len(sums))
 	for _, q := range sums {
 		out = append(out, *q)
 	}
-	slices.SortFunc(out, func(a, b Queued) int {
+	slices.SortFunc(out, func(a, b QueuedWork) int {
 		return cmp.Or(cmp.Compare(a.Band, b.Band), cmp.Compare(a.Priority, b.Priority))
 	})
 	return out
 }
 
 // Fit is how many tasks of a size could start beside what is served before them.
-func (l *Load) Fit(milli, ahead int64) int {
+func (l *Load) FreeSlots(milli, ahead int64) int {
 	if milli <= 0 {
 		return 0
 	}
--- a/internal/kept/shard/overload_test.go
+++ b/internal/kept/shard/overload_test.go
@@ -167,15 +167,15 @@
 	load := w.shard.Load(w.now)
 	p := policy.Defaults()
 	urgent := &policy.Work{ReceivedAt: w.now, Objective: 156 * ms, RunTime: 60 * ms}
-	_, all := load.Ahead(0, true)
-	_, ahead := load.Ahead(0, !p.ByPriority)
+	_, all := load.QueuedAhead(0, true)
+	_, ahead := load.QueuedAhead(0, !p.ByPriority)
 	if reason := policy.Admit(w.now, urgent, []policy.Candidate{{Shard: "a", Capacity: 4, Wait: ahead}}); reason.Refused() {
 		t.Errorf("refused (%s) with %v before it", reason, ahead)
 	}
 	if reason := policy.Admit(w.now, urgent, []policy.Candidate{{Shard: "a", Capacity: 4, Wait: all}}); !reason.Refused() {
 		t.Errorf("all that waits, %v, does not refuse it: the test shows nothing", all)
 	}
-	if _, same := load.Ahead(1, false); same < all/2 {
+	if _, same := load.QueuedAhead(1, false); same < all/2 {
 		t.Errorf("%v of %v are before work of the same priority", same, all)
 	}
 }
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -122,7 +122,7 @@
 // saveProgress stores the ends of a submission that goes on. Without it a worker
 // would list all its later ends again in each answer.
 func (s *Shard) saveProgress(now time.Duration, j *job) {
-	if j.rec.Transient || j.saving || j.reassigning || j.unsaved == 0 || j.state.Final() || now-j.unsaved < s.settings.SaveAfter {
+	if j.rec.Transient || j.saving || j.reassigning || j.unsaved == 0 || j.state.Final() || now-j.unsaved < s.settings.SaveDelay {
 		return
 	}
 	j.unsaved = 0
@@ -265,7 +265,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
 		// How much room a run takes whose submission is not known here is not known either.
-		if !s.usable(now, h) || len(h.strays) > 0 && !s.settings.guardsRoom(h.info.Service) {
+		if !s.usable(now, h) || len(h.strays) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
 			continue
 		}
 		r := &room{host: h, cpu: h.info.CPUMilli, mem: h.info.MemMB, gpu: h.info.GPU, byTasks: make(map[stepKey]int)}
@@ -399,7 +399,7 @@
 		Checkpoint: t.checkpoint,
 		Waited:     now - t.job.came,
 		Queue:      t.job.rec.Queue,
-		First:      first,
-		Known:      r.host.origin,
+		IsFirst:    first,
+		Origin:     r.host.origin,
 	})
 }
--- a/internal/kept/shard/progress_test.go
+++ b/internal/kept/shard/progress_test.go
@@ -118,6 +118,6 @@
 	w.assign(rec)
 	w.run(10 * time.Second)
 	if len(w.stops) != 0 {
-		t.Errorf("%d tasks were stopped, the first as %q", len(w.stops), w.stops[0].Why)
+		t.Errorf("%d tasks were stopped, the first as %q", len(w.stops), w.stops[0].Reason)
 	}
 }
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -22,7 +22,7 @@
 // writes that may take long. A write of a holder that has been replaced fails.
 type records struct {
 	revision uint64
-	open     map[submission.ID]Stored
+	open     map[submission.ID]StoredRecord
 	final    map[submission.ID]submission.State
 	delay    time.Duration
 	writes   []recordWrite
@@ -117,7 +117,7 @@
 		return
 	}
 	r.revision++
-	r.open[id] = Stored{Record: o.record, Revision: r.revision}
+	r.open[id] = StoredRecord{Record: o.record, Revision: r.revision}
 	w.shard.ProgressSaved(w.now, id, r.revision)
 }
 
@@ -135,7 +135,7 @@
 func newPlay(t *testing.T) *play {
 	w := newWorld(t, 3)
 	w.records = &records{
-		open:   make(map[submission.ID]Stored),
+		open:   make(map[submission.ID]StoredRecord),
 		final:  make(map[submission.ID]submission.State),
 		noted:  make(map[submission.TaskRef]bool),
 		failed: make(map[submission.TaskRef]int),
@@ -208,7 +208,7 @@
 	}
 	p.made[id] = p.works[id]
 	p.records.revision++
-	s := Stored{Record: rec, Revision: p.records.revision}
+	s := StoredRecord{Record: rec, Revision: p.records.revision}
 	p.records.open[id] = s
 	p.shard.Assign(p.now, s)
 }
@@ -216,14 +216,14 @@
 // takeOver replaces the holder; a clean one has certainly ended.
 func (p *play) takeOver(clean bool) {
 	p.hold(p.shard.Token()+1, clean)
-	var all []Stored
+	var all []StoredRecord
 	for _, id := range slices.Sorted(maps.Keys(p.records.open)) {
 		s := p.records.open[id]
 		rec, err := submission.DecodeRecord(id, s.Record.Encode())
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		all = append(all, Stored{Record: rec, Revision: s.Revision})
+		all = append(all, StoredRecord{Record: rec, Revision: s.Revision})
 	}
 	p.shard.AddRecords(p.now, all)
 }
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -96,7 +96,7 @@
 
 // Records takes the unfinished submissions of the shard as the store has them.
 // Those that are known already stay as they are.
-func (s *Shard) AddRecords(now time.Duration, records []Stored) {
+func (s *Shard) AddRecords(now time.Duration, records []StoredRecord) {
 	first := !s.scanned
 	s.scanned = true
 	for _, r := range records {
@@ -115,7 +115,7 @@
 }
 
 // adopt takes over a submission that may have runs somewhere.
-func (s *Shard) adopt(now time.Duration, r Stored) {
+func (s *Shard) adopt(now time.Duration, r StoredRecord) {
 	j := newJob(now, r, s.runBase(r.Record))
 	s.add(j)
 	for _, t := range j.tasks {
@@ -132,7 +132,7 @@
 
 // Remembers reports whether a stored submission is one that is known here, or that has left this
 // shard for good: what was read before it left must not bring it back.
-func (s *Shard) IsKnown(r Stored) bool {
+func (s *Shard) IsKnown(r StoredRecord) bool {
 	if _, open := s.jobs[r.Record.ID]; open {
 		return true
 	}
@@ -156,7 +156,7 @@
 
 // Assign takes a submission of which nothing has run yet. It reports false if the
 // submission was known already.
-func (s *Shard) Assign(now time.Duration, r Stored) bool {
+func (s *Shard) Assign(now time.Duration, r StoredRecord) bool {
 	if !r.Record.Transient && s.IsKnown(r) {
 		return false
 	}
@@ -298,7 +298,7 @@
 	if j.saving {
 		return // its record is being written; the end follows with the new revision
 	}
-	s.out.Finals = append(s.out.Finals, FinalAction{ID: j.rec.ID, Revision: j.revision, State: state, Why: why})
+	s.out.Finals = append(s.out.Finals, FinalAction{ID: j.rec.ID, Revision: j.revision, State: state, Reason: why})
 }
 
 // halt stops all runs of a submission.
@@ -322,7 +322,7 @@
 		Worker: t.host.info,
 		Task:   t.ref,
 		Run:    t.run,
-		Why:    why,
+		Reason: why,
 	})
 }
 
--- a/internal/kept/shard/shard_test.go
+++ b/internal/kept/shard/shard_test.go
@@ -265,13 +265,13 @@
 	w.run(100 * ms)
 	rec := w.submission("a", 4, runhost.Work{Time: 300 * ms})
 	rec.Transient = false
-	w.shard.Assign(w.now, Stored{Record: rec, Revision: 7})
+	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 7})
 	w.run(200 * ms)
 	if w.seen["w0"]+w.seen["w1"] != 0 {
 		t.Error("an end was acknowledged before anything of it was stored")
 	}
 	w.hold(2, true)
-	w.shard.AddRecords(w.now, []Stored{{Record: rec, Revision: 7}})
+	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(time.Second)
 	w.want("a", submission.Done)
 	if w.finals["a"] != submission.Done {
@@ -322,9 +322,9 @@
 	w.assign(rec)
 	w.run(50 * ms)
 	load := w.shard.Load(w.now)
-	milli, takes := load.Ahead(0, true)
-	if load.Fit(6800, milli) != 3 {
-		t.Errorf("%d tasks fit beside one running, want 3", load.Fit(6800, milli))
+	milli, takes := load.QueuedAhead(0, true)
+	if load.FreeSlots(6800, milli) != 3 {
+		t.Errorf("%d tasks fit beside one running, want 3", load.FreeSlots(6800, milli))
 	}
 	if takes > 0 || milli > 0 {
 		t.Errorf("%d thousandths of a core and %v ahead while nothing waits for room", milli, takes)
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -96,7 +96,7 @@
 	if state, known := s.State(r.ID); known && s.sent(now, r, state) {
 		return
 	}
-	j := newJob(now, Stored{Record: r}, s.runBase(r))
+	j := newJob(now, StoredRecord{Record: r}, s.runBase(r))
 	j.resumed = true
 	s.add(j)
 	for _, t := range j.tasks {
--- a/internal/kept/shard/types.go
+++ b/internal/kept/shard/types.go
@@ -17,8 +17,8 @@
 	Checkpoint string
 	Waited     time.Duration // since the submission came to this holder
 	Queue      string
-	First      bool   // of the submission, here
-	Known      Origin // how the worker's entry is known
+	IsFirst    bool   // of the submission, here
+	Origin     Origin // how the worker's entry is known
 }
 
 // Origin says how a holder knows what a worker says about itself.
@@ -26,9 +26,9 @@
 
 // The origins of a worker's entry.
 const (
-	FromList     Origin = iota // the list of workers
-	FromHolder                 // the shard's earlier holder, whose list was older
-	FromLastLife               // the worker's earlier incarnation
+	FromList                Origin = iota // the list of workers
+	FromPreviousHolder                    // the shard's earlier holder, whose list was older
+	FromPreviousIncarnation               // the worker's earlier incarnation
 )
 
 var originNames = [...]string{"list", "earlier holder", "earlier incarnation"}
@@ -40,7 +40,7 @@
 	Worker worker.Info
 	Task   submission.TaskRef
 	Run    uint64
-	Why    string
+	Reason string
 }
 
 // AckAction acknowledges a worker's ends.
@@ -54,7 +54,7 @@
 	ID       submission.ID
 	Revision uint64 // of its record
 	State    submission.State
-	Why      string
+	Reason   string
 }
 
 // SaveAction stores the progress of an unfinished submission.
@@ -77,10 +77,10 @@
 // ReturnedTask is a task that certainly does not run and that its home is to give to another
 // shard.
 type ReturnedTask struct {
-	Task   submission.Task
-	Run    uint64            // number of its newest run; 0: it never started
-	Fails  int               // runs that have failed
-	Losses []submission.Loss // workers that were lost under it
+	Task       submission.Task
+	Run        uint64            // number of its newest run; 0: it never started
+	FailedRuns int               // runs that have failed
+	Losses     []submission.Loss // workers that were lost under it
 }
 
 // ReassignAction stores a submission of which nothing runs here under another shard.
@@ -135,37 +135,37 @@
 }
 
 // Stored is a record with its revision.
-type Stored struct {
+type StoredRecord struct {
 	Record   *submission.Record
 	Revision uint64
 }
 
 // Load is what others need to know to send submissions here.
 type Load struct {
-	Ready     bool
-	FreeMilli []int64        // free processor of each usable worker with room, thousandths of a core
-	RoomMilli int64          // processor of all usable workers
-	Queued    []Queued       // what waits for room, in the order in which it is served
-	Waiting   map[string]int // submissions of each queue of which no task has started
-	Services  []string       // that its workers are of, in order
+	Ready            bool
+	FreeMilli        []int64        // free processor of each usable worker with room, thousandths of a core
+	CapacityMilli    int64          // processor of all usable workers
+	Queued           []QueuedWork   // what waits for room, in the order in which it is served
+	UnstartedByQueue map[string]int // submissions of each queue of which no task has started
+	Services         []string       // that its workers are of, in order
 }
 
 // Queued is what waits for room in one band at one priority, but for tasks whose step has
 // not begun.
-type Queued struct {
-	Band     policy.LatenessBand
-	Priority int
-	Milli    int64         // processor, thousandths of a core
-	Takes    time.Duration // on all usable workers
+type QueuedWork struct {
+	Band      policy.LatenessBand
+	Priority  int
+	CPUMilli  int64         // processor, thousandths of a core
+	DrainTime time.Duration // on all usable workers
 }
 
 // Ahead is what is served before a submission of some priority that comes now and can be
 // done in time. With all, everything that waits counts.
-func (l *Load) Ahead(priority int, all bool) (milli int64, takes time.Duration) {
+func (l *Load) QueuedAhead(priority int, all bool) (milli int64, takes time.Duration) {
 	for _, q := range l.Queued {
 		if all || q.Band == policy.InTime && q.Priority <= priority {
-			milli += q.Milli
-			takes += q.Takes
+			milli += q.CPUMilli
+			takes += q.DrainTime
 		}
 	}
 	return milli, takes
@@ -174,16 +174,16 @@
 // Settings of a shard.
 type Settings struct {
 	Policy    policy.Settings
-	SaveAfter time.Duration // an unfinished submission's ends are stored after this, to be acknowledged
-	// GuardsRoom reports whether the workers of a service reject what does not fit; nil: all do.
-	GuardsRoom func(service string) bool
+	SaveDelay time.Duration // an unfinished submission's ends are stored after this, to be acknowledged
+	// EnforcesCapacity reports whether the workers of a service reject what does not fit; nil: all do.
+	EnforcesCapacity func(service string) bool
 }
 
-func (s *Settings) guardsRoom(service string) bool {
-	return s.GuardsRoom == nil || s.GuardsRoom(service)
+func (s *Settings) enforcesCapacity(service string) bool {
+	return s.EnforcesCapacity == nil || s.EnforcesCapacity(service)
 }
 
 // DefaultSettings are for workers with leases of a second.
 func DefaultSettings() Settings {
-	return Settings{Policy: policy.Defaults(), SaveAfter: 1500 * time.Millisecond}
+	return Settings{Policy: policy.Defaults(), SaveDelay: 1500 * time.Millisecond}
 }
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -117,7 +117,7 @@
 	}
 	settings := DefaultSettings()
 	settings.Policy = w.policy
-	settings.GuardsRoom = func(string) bool { return !w.unguarded }
+	settings.EnforcesCapacity = func(string) bool { return !w.unguarded }
 	w.shard = New(w.now, settings, token, barrier)
 	clear(w.seen)
 	w.list()
@@ -370,7 +370,7 @@
 	w.shard.HandleStopReply(w.now, s.Worker.ID, s.Task, s.Run, r)
 }
 
-func (w *world) assign(r *submission.Record) { w.shard.Assign(w.now, Stored{Record: r}) }
+func (w *world) assign(r *submission.Record) { w.shard.Assign(w.now, StoredRecord{Record: r}) }
 
 func (w *world) want(id submission.ID, state submission.State) {
 	w.t.Helper()
--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -19,7 +19,7 @@
 
 func (e *engine) storeFinal(name string, h *held, f shard.FinalAction) {
 	token := h.holding.Token
-	klog.InfoS("kept: ended", "id", f.ID, "shard", name, "state", f.State.String(), "why", f.Why)
+	klog.InfoS("kept: ended", "id", f.ID, "shard", name, "state", f.State.String(), "why", f.Reason)
 	ok := e.vm.ends.Add(&journal.Row{
 		Txn:    finalTxn(f.ID, f.Revision, f.State),
 		Guards: []store.Condition{h.guard()},
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, s := range a.Starts {
-		if s.First {
+		if s.IsFirst {
 			e.vm.figures.queue(s.Queue).firstStart.RecordDuration(s.Waited)
 		}
 		e.order(h, s.Worker.ID, func(ws *workerSession) {
@@ -207,14 +207,14 @@
 		})
 		klog.InfoS("kept: start", "id", s.Task.ID, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run,
 			"worker", s.Worker.ID, "shard", name, "token", h.holding.Token, "waited", s.Waited,
-			"known_from", s.Known.String(), "list_age", e.listAge(name))
+			"known_from", s.Origin.String(), "list_age", e.listAge(name))
 	}
 	for _, s := range a.Stops {
 		e.order(h, s.Worker.ID, func(ws *workerSession) {
 			ws.stop(h.ctx, worker.Stop{Task: s.Task, Run: s.Run})
 		})
 		klog.InfoS("kept: stop", "id", s.Task.ID, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run,
-			"worker", s.Worker.ID, "shard", name, "why", s.Why)
+			"worker", s.Worker.ID, "shard", name, "why", s.Reason)
 	}
 	for _, id := range a.Probes {
 		e.order(h, id, func(ws *workerSession) { ws.look(h.ctx) })
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -127,7 +127,7 @@
 			Step:  uint32(r.Task.Step),
 			Index: uint32(r.Task.Index),
 			Run:   r.Run,
-			Fails: uint32(r.Fails),
+			Fails: uint32(r.FailedRuns),
 
 			Losses: encodeLosses(r.Losses),
 		})
@@ -139,9 +139,9 @@
 	var out []shard.ReturnedTask
 	for _, r := range in {
 		out = append(out, shard.ReturnedTask{
-			Task:  submission.Task{Step: int(r.Step), Index: int(r.Index)},
-			Run:   r.Run,
-			Fails: int(r.Fails),
+			Task:       submission.Task{Step: int(r.Step), Index: int(r.Index)},
+			Run:        r.Run,
+			FailedRuns: int(r.Fails),
 
 			Losses: lossesOf(r.Losses),
 		})
@@ -263,8 +263,8 @@
 	for i, r := range mine {
 		names[i] = r.Task
 		rec.RunsBefore = max(rec.RunsBefore, r.Run)
-		if r.Fails > 0 {
-			rec.Progress.Note(r.Task, r.Fails)
+		if r.FailedRuns > 0 {
+			rec.Progress.Note(r.Task, r.FailedRuns)
 		}
 		rec.Progress.NoteLosses(r.Task, r.Losses)
 	}
--- a/internal/kept/vm/events.go
+++ b/internal/kept/vm/events.go
@@ -85,7 +85,7 @@
 	scannedEvent struct {
 		shard       string
 		token       uint64
-		records     []shard.Stored
+		records     []shard.StoredRecord
 		known       []worker.Info     // the workers that earlier holders used
 		evacuations *evacuationsEvent // nil: they were not asked for
 	}
--- a/internal/kept/vm/figures.go
+++ b/internal/kept/vm/figures.go
@@ -151,9 +151,9 @@
 		free += milli
 	}
 	s.workers.Update(float64(workers))
-	s.room.Update(float64(l.RoomMilli) / submission.MilliPerCore)
+	s.room.Update(float64(l.CapacityMilli) / submission.MilliPerCore)
 	s.free.Update(float64(free) / submission.MilliPerCore)
-	queued, _ := l.Ahead(0, true)
+	queued, _ := l.QueuedAhead(0, true)
 	s.queued.Update(float64(queued) / submission.MilliPerCore)
 }
 
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -115,7 +115,7 @@
 func (e *engine) shardSettings() shard.Settings {
 	s := shard.DefaultSettings()
 	s.Policy = e.vm.config.Policy
-	s.GuardsRoom = func(service string) bool { return e.services[service].GuardsRoom }
+	s.EnforcesCapacity = func(service string) bool { return e.services[service].GuardsRoom }
 	return s
 }
 
@@ -259,8 +259,8 @@
 	})
 }
 
-func recordsOf(name string, items []store.Item) []shard.Stored {
-	var out []shard.Stored
+func recordsOf(name string, items []store.Item) []shard.StoredRecord {
+	var out []shard.StoredRecord
 	for _, it := range items {
 		id := submission.ID(strings.TrimPrefix(it.Key, submission.OpenPrefix))
 		r, err := submission.DecodeRecord(id, it.Value)
@@ -269,7 +269,7 @@
 			continue
 		}
 		if r.Shard == name {
-			out = append(out, shard.Stored{Record: r, Revision: it.Revision})
+			out = append(out, shard.StoredRecord{Record: r, Revision: it.Revision})
 		}
 	}
 	return out
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -229,7 +229,7 @@
 	}
 	if own := e.shards[h.shard]; own != nil {
 		if own.holding.Token == holding.Token {
-			own.core.Assign(e.at, shard.Stored{Record: h.record, Revision: h.revision})
+			own.core.Assign(e.at, shard.StoredRecord{Record: h.record, Revision: h.revision})
 		}
 		return
 	}
@@ -258,7 +258,7 @@
 		klog.InfoS("kept: a submission for another holder", "id", id, "peer", from, "shard", r.Shard, "token", r.Token)
 		return // its home asks again, and the holder finds it in the store
 	}
-	h.core.Assign(e.at, shard.Stored{Record: r, Revision: a.Revision})
+	h.core.Assign(e.at, shard.StoredRecord{Record: r, Revision: a.Revision})
 }
 
 // rehome asks the new holders about submissions that were given to earlier ones.
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -40,15 +40,15 @@
 		if !e.reachable(name) || e.evacuations.Evacuated(site.DomainOf(name)) || !slices.Contains(l.Services, r.Terms.Service) {
 			continue
 		}
-		_, queue := l.Ahead(0, true)
-		ahead, wait := l.Ahead(r.Terms.Priority, !e.vm.config.Policy.ByPriority)
+		_, queue := l.QueuedAhead(0, true)
+		ahead, wait := l.QueuedAhead(r.Terms.Priority, !e.vm.config.Policy.ByPriority)
 		// What this VM has sent there since the shard's last word counts as waiting there.
-		sent := time.Duration(float64(task) * float64(l.sent) / float64(max(l.RoomMilli, 1)))
+		sent := time.Duration(float64(task) * float64(l.sent) / float64(max(l.CapacityMilli, 1)))
 		out = append(out, policy.Candidate{
 			Shard:       name,
 			InOwnDomain: site.DomainOf(name) == e.vm.config.Domain,
-			Free:        max(l.Fit(size, ahead)-int(l.sent/size), 0),
-			Capacity:    int(l.RoomMilli / size),
+			Free:        max(l.FreeSlots(size, ahead)-int(l.sent/size), 0),
+			Capacity:    int(l.CapacityMilli / size),
 			Wait:        wait + sent,
 			QueueTime:   queue + sent,
 		})
@@ -81,7 +81,7 @@
 func (e *engine) workTime(r *submission.Record) time.Duration {
 	var room int64
 	for _, l := range e.loads {
-		room += l.RoomMilli
+		room += l.CapacityMilli
 	}
 	var work float64 // thousandths of a core times nanoseconds
 	for i := range r.Steps {
@@ -148,30 +148,30 @@
 		Shard:     name,
 		Token:     token,
 		Ready:     load.Ready,
-		RoomMilli: load.RoomMilli,
+		RoomMilli: load.CapacityMilli,
 		Services:  load.Services,
-		Waiting:   make(map[string]uint32, len(load.Waiting)),
+		Waiting:   make(map[string]uint32, len(load.UnstartedByQueue)),
 	}
 	for _, q := range load.Queued {
 		out.Queued = append(out.Queued, &pb.KeptQueued{
 			Band:     uint32(q.Band),
 			Priority: int32(q.Priority),
-			Milli:    q.Milli,
-			TakesNs:  int64(q.Takes),
+			Milli:    q.CPUMilli,
+			TakesNs:  int64(q.DrainTime),
 		})
 	}
 	for _, free := range load.FreeMilli {
 		out.FreeMilli = append(out.FreeMilli, uint32(max(free, 0)))
 	}
-	for q, n := range load.Waiting {
+	for q, n := range load.UnstartedByQueue {
 		out.Waiting[q] = uint32(n)
 	}
 	return out
 }
 
 func sameLoad(a, b shard.Load) bool {
-	return a.Ready == b.Ready && slices.Equal(a.FreeMilli, b.FreeMilli) && a.RoomMilli == b.RoomMilli &&
-		slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Services, b.Services) && maps.Equal(a.Waiting, b.Waiting)
+	return a.Ready == b.Ready && slices.Equal(a.FreeMilli, b.FreeMilli) && a.CapacityMilli == b.CapacityMilli &&
+		slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Services, b.Services) && maps.Equal(a.UnstartedByQueue, b.UnstartedByQueue)
 }
 
 func (e *engine) takeLoad(holder, name string, token uint64, load shard.Load) {
--- a/internal/kept/vm/offload.go
+++ b/internal/kept/vm/offload.go
@@ -34,14 +34,14 @@
 		if other == name || !e.reachable(other) {
 			continue
 		}
-		room += l.RoomMilli
+		room += l.CapacityMilli
 		if len(l.Queued) > 0 {
 			full++
 			continue
 		}
-		free += max(l.Fit(size, 0)-int(l.sent/size), 0)
+		free += max(l.FreeSlots(size, 0)-int(l.sent/size), 0)
 	}
-	if own := e.loads[name]; own != nil && own.RoomMilli == 0 && room > 0 {
+	if own := e.loads[name]; own != nil && own.CapacityMilli == 0 && room > 0 {
 		return lostRoom
 	}
 	return free / full
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -271,23 +271,23 @@
 
 func loadOf(l *pb.KeptLoad) shard.Load {
 	out := shard.Load{
-		Ready:     l.Ready,
-		RoomMilli: l.RoomMilli,
-		Services:  l.Services,
-		Waiting:   make(map[string]int, len(l.Waiting)),
+		Ready:            l.Ready,
+		CapacityMilli:    l.RoomMilli,
+		Services:         l.Services,
+		UnstartedByQueue: make(map[string]int, len(l.Waiting)),
 	}
 	for _, free := range l.FreeMilli {
 		out.FreeMilli = append(out.FreeMilli, int64(free))
 	}
 	for q, n := range l.Waiting {
-		out.Waiting[q] = int(n)
+		out.UnstartedByQueue[q] = int(n)
 	}
 	for _, q := range l.Queued {
-		out.Queued = append(out.Queued, shard.Queued{
-			Band:     policy.LatenessBand(q.Band),
-			Priority: int(q.Priority),
-			Milli:    q.Milli,
-			Takes:    time.Duration(q.TakesNs),
+		out.Queued = append(out.Queued, shard.QueuedWork{
+			Band:      policy.LatenessBand(q.Band),
+			Priority:  int(q.Priority),
+			CPUMilli:  q.Milli,
+			DrainTime: time.Duration(q.TakesNs),
 		})
 	}
 	return out
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -91,9 +91,9 @@
 	e.vm.figures.queue(ev.record.Queue).taken.Inc(1)
 	for _, p := range parts {
 		l := e.loads[p.shard]
-		ahead, wait := l.Ahead(ev.record.Terms.Priority, false)
+		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
 		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
-			"tasks", p.record.Tasks(), "of", ev.record.Tasks(), "objective", ev.record.Terms.Objective(ev.record.Chain()), "free", l.Fit(largestTask(p.record), ahead), "sent", l.sent, "wait", wait, "load_age", e.at-l.at)
+			"tasks", p.record.Tasks(), "of", ev.record.Tasks(), "objective", ev.record.Terms.Objective(ev.record.Chain()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sent, "wait", wait, "load_age", e.at-l.at)
 		l.sent += int64(demand(p.record)) * largestTask(p.record)
 		e.give(t, p, l)
 	}
@@ -152,7 +152,7 @@
 		if resumed {
 			own.core.Resume(e.at, p.record)
 		} else {
-			own.core.Assign(e.at, shard.Stored{Record: p.record})
+			own.core.Assign(e.at, shard.StoredRecord{Record: p.record})
 		}
 		return
 	}
@@ -171,7 +171,7 @@
 		klog.InfoS("kept: resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
 		h.core.Resume(e.at, r)
 	default:
-		h.core.Assign(e.at, shard.Stored{Record: r})
+		h.core.Assign(e.at, shard.StoredRecord{Record: r})
 	}
 }
 
--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -90,7 +90,7 @@
 		if site.DomainOf(name) != domain {
 			continue
 		}
-		for queue, n := range l.Waiting {
+		for queue, n := range l.UnstartedByQueue {
 			out[queue] += uint32(n)
 		}
 	}
