--- a/internal/kept/store/kvcall/kvcall.go
+++ b/internal/kept/store/kvcall/kvcall.go
@@ -54,10 +54,10 @@
 
 var _ store.Store = (*Client)(nil)
 
-// AnswerError is an answer that the protocol does not know.
-type AnswerError struct{ Status int }
+// StatusError is an answer that the protocol does not know.
+type StatusError struct{ Status int }
 
-func (e *AnswerError) Error() string { return fmt.Sprintf("the store answered %d", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("the store answered %d", e.Status) }
 
 func (c *Client) call(ctx context.Context, path string, wait time.Duration, in, out any) error {
 	body, err := json.Marshal(in)
@@ -85,9 +85,9 @@
 	case http.StatusNotFound:
 		return store.ErrNoLease
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return &store.RefusedError{Why: http.StatusText(r.Status)}
+		return &store.RefusedError{Reason: http.StatusText(r.Status)}
 	default:
-		return &AnswerError{Status: r.Status}
+		return &StatusError{Status: r.Status}
 	}
 }
 
@@ -127,7 +127,7 @@
 }
 
 // Keep implements store.Store.
-func (c *Client) Keep(ctx context.Context, lease uint64) error {
+func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
 	return c.call(ctx, pathKeep, 0, leaseBody{Lease: lease}, nil)
 }
 
@@ -136,11 +136,11 @@
 	return c.call(ctx, pathRevoke, 0, leaseBody{Lease: lease}, nil)
 }
 
-var errPath = errors.New("kvcall: no such call")
+var errUnknownCall = errors.New("kvcall: no such call")
 
 // Answer makes a call on a store, for a server.
 func Answer(ctx context.Context, s store.Store, c relay.Call) relay.Reply {
-	out, err := answer(ctx, s, c)
+	out, err := dispatch(ctx, s, c)
 	var conflict *store.ConflictError
 	var refused *store.RefusedError
 	switch {
@@ -167,7 +167,7 @@
 	return relay.Reply{Status: status, Body: body}
 }
 
-func answer(ctx context.Context, s store.Store, c relay.Call) (any, error) {
+func dispatch(ctx context.Context, s store.Store, c relay.Call) (any, error) {
 	switch c.Target {
 	case pathGet:
 		return decode(c, func(key string) (any, error) { return s.Get(ctx, key) })
@@ -186,11 +186,11 @@
 			return leaseBody{Lease: lease, TTL: b.TTL}, err
 		})
 	case pathKeep:
-		return decode(c, func(b leaseBody) (any, error) { return b, s.Keep(ctx, b.Lease) })
+		return decode(c, func(b leaseBody) (any, error) { return b, s.KeepAlive(ctx, b.Lease) })
 	case pathRevoke:
 		return decode(c, func(b leaseBody) (any, error) { return b, s.Revoke(ctx, b.Lease) })
 	default:
-		return nil, errPath
+		return nil, errUnknownCall
 	}
 }
 
--- a/internal/kept/store/store.go
+++ b/internal/kept/store/store.go
@@ -70,7 +70,7 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error)
 	Commit(ctx context.Context, txn Txn) (revision uint64, err error)
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
-	Keep(ctx context.Context, lease uint64) error
+	KeepAlive(ctx context.Context, lease uint64) error
 	Revoke(ctx context.Context, lease uint64) error
 }
 
@@ -82,9 +82,9 @@
 )
 
 // RefusedError says that the store did nothing.
-type RefusedError struct{ Why string }
+type RefusedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return "store refused: " + e.Why }
+func (e *RefusedError) Error() string { return "store refused: " + e.Reason }
 
 // ConflictError says that a transaction's conditions do not hold.
 type ConflictError struct {
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -333,7 +333,7 @@
 		case <-time.After(pause):
 		}
 		pause = sessionKeep
-		err := v.store.Keep(ctx, lease)
+		err := v.store.KeepAlive(ctx, lease)
 		if errors.Is(err, store.ErrNoLease) {
 			return err
 		}
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -206,7 +206,7 @@
 }
 
 // Keep implements store.Store.
-func (s *Store) Keep(_ context.Context, id uint64) error {
+func (s *Store) KeepAlive(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
