--- a/internal/kept/journal/journal.go
+++ b/internal/kept/journal/journal.go
@@ -29,7 +29,7 @@
 	Stored   Outcome = iota
 	Conflict         // a condition does not hold; nothing was written
 	Refused          // nothing was written
-	Unsure           // no answer in time: it may have been written, or be written later
+	Unknown          // no answer in time: it may have been written, or be written later
 )
 
 // Result is the outcome of a row.
@@ -37,42 +37,42 @@
 	Outcome  Outcome
 	Revision uint64       // if stored
 	Items    []store.Item // if in conflict: the row's conditions as they are
-	Tries    int          // transactions that carried the row
+	Attempts int          // transactions that carried the row
 }
 
 // Row is a change.
 type Row struct {
-	Txn    store.Txn
-	Guards []store.Condition // shared by many rows, each counted once a transaction
-	Within time.Duration     // after which an unanswered row is given up
-	Done   func(Result)
+	Txn         store.Txn
+	Guards      []store.Condition // shared by many rows, each counted once a transaction
+	GiveUpAfter time.Duration     // after which an unanswered row is given up
+	Done        func(Result)
 
-	born  time.Time
-	tries int
-	sure  bool // no transaction with this row may be under way
+	addedAt         time.Time
+	attempts        int
+	surelyUnwritten bool // no transaction with this row may be under way
 }
 
 // Settings of a journal.
 type Settings struct {
-	Name     string
-	Pause    time.Duration // that a row may wait for others
-	Capacity int           // rows that may wait
-	Flights  int           // transactions under way at once
+	Name        string
+	BatchDelay  time.Duration // that a row may wait for others
+	Capacity    int           // rows that may wait
+	MaxInFlight int           // transactions under way at once
 }
 
 // Bounds of a transaction and of repetition.
 const (
-	answerWithin = 1500 * time.Millisecond // a store 60 times slower than usual answers in 250 ms
-	retryPause   = 40 * time.Millisecond   // after a refusal, with the number of tries
-	retryMost    = 400 * time.Millisecond
+	commitTimeout    = 1500 * time.Millisecond // a store 60 times slower than usual answers in 250 ms
+	retryBackoffStep = 40 * time.Millisecond   // after a refusal, with the number of tries
+	maxRetryBackoff  = 400 * time.Millisecond
 )
 
 // Journal writes rows. It is safe for concurrent use.
 type Journal struct {
 	settings Settings
 	store    store.Store
-	rows     *ring.Ring[*Row]
-	free     chan struct{}
+	queue    *ring.Ring[*Row]
+	inFlight chan struct{}
 }
 
 // New returns a journal; Run writes.
@@ -80,20 +80,20 @@
 	return &Journal{
 		settings: s,
 		store:    st,
-		rows:     ring.New[*Row](s.Capacity),
-		free:     make(chan struct{}, s.Flights),
+		queue:    ring.New[*Row](s.Capacity),
+		inFlight: make(chan struct{}, s.MaxInFlight),
 	}
 }
 
 // Add queues a row and reports false if there is no room for it.
 func (j *Journal) Add(r *Row) bool {
-	r.born = time.Now()
-	r.sure = true
-	return j.rows.TryPush(r)
+	r.addedAt = time.Now()
+	r.surelyUnwritten = true
+	return j.queue.TryPush(r)
 }
 
 // Waiting is the number of rows that no transaction carries yet.
-func (j *Journal) Waiting() int { return j.rows.Len() }
+func (j *Journal) QueueLength() int { return j.queue.Len() }
 
 // Run writes until ctx ends.
 func (j *Journal) Run(ctx context.Context) {
@@ -101,19 +101,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-j.rows.Ready():
+		case <-j.queue.Ready():
 		}
-		if j.settings.Pause > 0 {
-			time.Sleep(j.settings.Pause)
+		if j.settings.BatchDelay > 0 {
+			time.Sleep(j.settings.BatchDelay)
 		}
-		for _, batch := range batches(j.rows.Drain()) {
+		for _, batch := range splitIntoBatches(j.queue.Drain()) {
 			select {
 			case <-ctx.Done():
 				return
-			case j.free <- struct{}{}:
+			case j.inFlight <- struct{}{}:
 			}
 			go func() {
-				defer func() { <-j.free }()
+				defer func() { <-j.inFlight }()
 				j.write(ctx, batch)
 			}()
 		}
@@ -121,7 +121,7 @@
 }
 
 // batches splits rows so that each part fits into a transaction.
-func batches(rows []*Row) [][]*Row {
+func splitIntoBatches(rows []*Row) [][]*Row {
 	var out [][]*Row
 	var part []*Row
 	entries := 0
@@ -149,27 +149,27 @@
 			continue
 		}
 		klog.V(1).InfoS("kept: a write has to wait", "journal", j.settings.Name, "rows", len(batch), "try", try, "why", err)
-		batch = giveUp(batch)
+		batch = endExpired(batch)
 		if len(batch) == 0 {
 			return
 		}
-		if !pause.For(ctx, min(time.Duration(try)*retryPause, retryMost)) {
+		if !pause.For(ctx, min(time.Duration(try)*retryBackoffStep, maxRetryBackoff)) {
 			return
 		}
 	}
 }
 
-// giveUp ends the rows whose time is over and returns the others.
-func giveUp(batch []*Row) []*Row {
+// endExpired ends the rows whose time is over and returns the others.
+func endExpired(batch []*Row) []*Row {
 	rest := batch[:0:0]
 	for _, r := range batch {
 		switch {
-		case time.Since(r.born) < r.Within:
+		case time.Since(r.addedAt) < r.GiveUpAfter:
 			rest = append(rest, r)
-		case r.sure:
-			r.Done(Result{Outcome: Refused, Tries: r.tries})
+		case r.surelyUnwritten:
+			r.Done(Result{Outcome: Refused, Attempts: r.attempts})
 		default:
-			r.Done(Result{Outcome: Unsure, Tries: r.tries})
+			r.Done(Result{Outcome: Unknown, Attempts: r.attempts})
 		}
 	}
 	return rest
@@ -179,32 +179,32 @@
 // an error if they have to wait.
 func (j *Journal) attempt(ctx context.Context, batch []*Row) ([]*Row, error) {
 	for _, r := range batch {
-		r.tries++
+		r.attempts++
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	rev, err := j.store.Commit(ctx, join(batch))
+	rev, err := j.store.Commit(ctx, mergeRows(batch))
 	var conflict *store.ConflictError
 	var refused *store.RefusedError
 	switch {
 	case err == nil:
 		for _, r := range batch {
-			r.Done(Result{Outcome: Stored, Revision: rev, Tries: r.tries})
+			r.Done(Result{Outcome: Stored, Revision: rev, Attempts: r.attempts})
 		}
 		return nil, nil
 	case errors.As(err, &conflict):
-		return settle(batch, conflict.Items), nil
+		return resolveConflict(batch, conflict.Items), nil
 	case errors.As(err, &refused):
 		return batch, err
 	default:
 		for _, r := range batch {
-			r.sure = false
+			r.surelyUnwritten = false
 		}
 		return batch, err
 	}
 }
 
-func join(batch []*Row) store.Txn {
+func mergeRows(batch []*Row) store.Txn {
 	var t store.Txn
 	guards := make(map[string]bool)
 	for _, r := range batch {
@@ -222,39 +222,39 @@
 }
 
 // settle ends the rows in conflict and returns the others.
-func settle(batch []*Row, items []store.Item) []*Row {
+func resolveConflict(batch []*Row, items []store.Item) []*Row {
 	now := make(map[string]store.Item, len(items))
 	for _, it := range items {
 		now[it.Key] = it
 	}
 	rest := batch[:0:0]
 	for _, r := range batch {
-		switch rev, own := ownValue(r, now); {
+		switch rev, own := writtenRevision(r, now); {
 		case own:
-			r.Done(Result{Outcome: Stored, Revision: rev, Tries: r.tries})
-		case holds(r, now):
+			r.Done(Result{Outcome: Stored, Revision: rev, Attempts: r.attempts})
+		case conditionsHold(r, now):
 			rest = append(rest, r)
 		default:
-			r.Done(Result{Outcome: Conflict, Items: pick(r, now), Tries: r.tries})
+			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, now), Attempts: r.attempts})
 		}
 	}
 	if len(rest) == len(batch) {
 		// The answer names no row: repeating it would go on for ever.
 		for _, r := range rest {
-			r.Done(Result{Outcome: Conflict, Items: pick(r, now), Tries: r.tries})
+			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, now), Attempts: r.attempts})
 		}
 		return nil
 	}
 	return rest
 }
 
-// ownValue reports whether an earlier, unanswered transaction has written the
+// writtenRevision reports whether an earlier, unanswered transaction has written the
 // row: the key that it puts under a condition holds the row's own value.
 //
 // It may be the first one, as far as this journal knows: a call without an answer is made
 // again by way of a peer. Taken for somebody else's change, a stored progress would make
 // its holder drop the submission and acknowledge its ends, and the next holder repeat them.
-func ownValue(r *Row, now map[string]store.Item) (uint64, bool) {
+func writtenRevision(r *Row, now map[string]store.Item) (uint64, bool) {
 	for _, p := range r.Txn.Put {
 		it, known := now[p.Key]
 		if !known || it.Revision == 0 || !bytes.Equal(it.Value, p.Value) {
@@ -267,7 +267,7 @@
 
 func (r *Row) conditions() []store.Condition { return slices.Concat(r.Guards, r.Txn.Expect) }
 
-func holds(r *Row, now map[string]store.Item) bool {
+func conditionsHold(r *Row, now map[string]store.Item) bool {
 	for _, c := range r.conditions() {
 		if now[c.Key].Revision != c.Revision {
 			return false
@@ -276,7 +276,7 @@
 	return true
 }
 
-func pick(r *Row, now map[string]store.Item) []store.Item {
+func conditionItems(r *Row, now map[string]store.Item) []store.Item {
 	var out []store.Item
 	for _, c := range r.conditions() {
 		out = append(out, now[c.Key])
--- a/internal/kept/journal/journal_test.go
+++ b/internal/kept/journal/journal_test.go
@@ -29,7 +29,7 @@
 		s := kvstore.New()
 		w := &world{t: t, store: s, door: s.Door(2 * time.Millisecond), results: map[string]Result{}, done: make(chan string, 1000)}
 		var calls relay.Transport = w.door
-		w.journal = New(Settings{Name: "test", Pause: time.Millisecond, Capacity: 1000, Flights: 1}, &kvcall.Client{Calls: calls})
+		w.journal = New(Settings{Name: "test", BatchDelay: time.Millisecond, Capacity: 1000, MaxInFlight: 1}, &kvcall.Client{Calls: calls})
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.journal.Run(ctx)
 		play(w)
@@ -40,8 +40,8 @@
 // create adds a row that creates a key.
 func (w *world) create(key string, within time.Duration) {
 	ok := w.journal.Add(&Row{
-		Txn:    store.Txn{Expect: []store.Condition{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("mine")}}},
-		Within: within,
+		Txn:         store.Txn{Expect: []store.Condition{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("mine")}}},
+		GiveUpAfter: within,
 		Done: func(r Result) {
 			w.results[key] = r
 			w.done <- key
@@ -99,7 +99,7 @@
 		time.Sleep(time.Second)
 		w.door.Set(kvstore.Serves)
 		w.await(1)
-		if r := w.results["a"]; r.Outcome != Stored || r.Tries < 2 {
+		if r := w.results["a"]; r.Outcome != Stored || r.Attempts < 2 {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -108,7 +108,7 @@
 // Symptom: "not run" is said of what the store may have taken. What was refused each
 // time is surely not stored; what had no answer may be.
 func TestOnlyWhatWasRefusedEachTimeIsSurelyNotStored(t *testing.T) {
-	for fault, want := range map[kvstore.Fault]Outcome{kvstore.Refuses: Refused, kvstore.LosesReply: Unsure, kvstore.Silent: Unsure} {
+	for fault, want := range map[kvstore.Fault]Outcome{kvstore.Refuses: Refused, kvstore.LosesReply: Unknown, kvstore.Silent: Unknown} {
 		journalWorld(t, func(w *world) {
 			w.door.Set(fault)
 			w.create("a", time.Second)
--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -21,9 +21,9 @@
 	token := h.holding.Token
 	klog.InfoS("kept: ended", "id", f.ID, "shard", name, "state", f.State.String(), "why", f.Reason)
 	ok := e.vm.ends.Add(&journal.Row{
-		Txn:    finalTxn(f.ID, f.Revision, f.State),
-		Guards: []store.Condition{h.guard()},
-		Within: endsWithin,
+		Txn:         finalTxn(f.ID, f.Revision, f.State),
+		Guards:      []store.Condition{h.guard()},
+		GiveUpAfter: endsWithin,
 		Done: func(r journal.Result) {
 			e.vm.post(finalEvent{shard: name, id: string(f.ID), token: token, state: f.State, result: r})
 		},
@@ -79,8 +79,8 @@
 			Expect: []store.Condition{{Key: key, Revision: s.Revision}},
 			Put:    []store.Put{{Key: key, Value: s.Record.Encode()}},
 		},
-		Guards: []store.Condition{h.guard()},
-		Within: endsWithin,
+		Guards:      []store.Condition{h.guard()},
+		GiveUpAfter: endsWithin,
 		Done: func(r journal.Result) {
 			e.vm.post(savedEvent{shard: name, id: id, token: token, result: r})
 		},
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -306,8 +306,8 @@
 			Expect: []store.Condition{{Key: key, Revision: m.Revision}},
 			Put:    []store.Put{{Key: key, Value: rec.Encode()}},
 		},
-		Guards: []store.Condition{h.guard(), {Key: site.ShardKey(rec.Shard), Revision: to.Revision}},
-		Within: endsWithin,
+		Guards:      []store.Condition{h.guard(), {Key: site.ShardKey(rec.Shard), Revision: to.Revision}},
+		GiveUpAfter: endsWithin,
 		Done: func(r journal.Result) {
 			e.vm.post(movedEvent{shard: name, token: token, before: m.Revision, record: rec, result: r})
 		},
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -106,9 +106,9 @@
 			Expect: []store.Condition{{Key: submission.OpenKey(id)}, {Key: submission.FinalKey(id)}},
 			Put:    []store.Put{{Key: submission.OpenKey(id), Value: value}},
 		},
-		Guards: []store.Condition{{Key: site.ShardKey(name), Revision: holding.Revision}},
-		Within: intakeWithin,
-		Done:   func(r journal.Result) { e.vm.post(createdEvent{record: rec, result: r}) },
+		Guards:      []store.Condition{{Key: site.ShardKey(name), Revision: holding.Revision}},
+		GiveUpAfter: intakeWithin,
+		Done:        func(r journal.Result) { e.vm.post(createdEvent{record: rec, result: r}) },
 	})
 	if !added {
 		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "too many submissions wait for the store"})
@@ -162,14 +162,14 @@
 		q.taken.Inc(1)
 		q.stored.RecordDuration(e.at - h.came)
 		klog.InfoS("kept: accepted", "id", ev.record.ID, "queue", ev.record.Queue, "shard", h.shard, "token", ev.record.Token,
-			"revision", h.revision, "tasks", ev.record.Tasks(), "took", e.at-h.came, "tries", ev.result.Tries)
+			"revision", h.revision, "tasks", ev.record.Tasks(), "took", e.at-h.came, "tries", ev.result.Attempts)
 		e.answer(h, Outcome{Kind: Accepted})
 		e.assign(h)
 	case journal.Conflict:
 		e.createAgain(h, ev.result)
 	case journal.Refused:
 		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "the store takes nothing"})
-	case journal.Unsure:
+	case journal.Unknown:
 		klog.InfoS("kept: not known whether accepted", "id", ev.record.ID, "took", e.at-h.came)
 		delete(e.homes, ev.record.ID)
 		e.answer(h, Outcome{Kind: Indeterminate, Why: "the store did not answer"})
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -238,7 +238,7 @@
 	f.Queries = append(f.Queries, &pb.KeptRef{Id: string(t.record.ID), Shard: p.shard})
 }
 
-// giveUp tells the callers to send the submission again.
+// endExpired tells the callers to send the submission again.
 func (e *engine) giveUp(t *transient, why string) {
 	e.vm.figures.queue(t.record.Queue).ended("given_up", e.at-t.came)
 	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.at-t.came, "parts", len(t.parts))
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -114,12 +114,12 @@
 	v.figures = newFigures(c.Name)
 	v.router.SetCallObserver(func(answered bool) { v.figures.storeCalls[answered].Inc(1) })
 	v.store = c.Store(v.router)
-	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 4096, Flights: 4}, v.store)
+	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 4096, MaxInFlight: 4}, v.store)
 	v.ends = journal.New(journal.Settings{
-		Name:     "ends",
-		Pause:    endsPause,
-		Capacity: 65536,
-		Flights:  2,
+		Name:        "ends",
+		BatchDelay:  endsPause,
+		Capacity:    65536,
+		MaxInFlight: 2,
 	}, v.store)
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
