--- a/cmd/pumiceyardd/kept.go
+++ b/cmd/pumiceyardd/kept.go
@@ -42,7 +42,7 @@
 		}
 		return d.Stop, nil
 	}
-	return serve.UntilSignal(ctx, start, func() {
+	return serve.RunUntilSignal(ctx, start, func() {
 		// Addresses and names hold for the life of a process; the file is checked so
 		// that a mistake shows before the next start.
 		if _, err := daemon.LoadSettings(path); err != nil {
--- a/internal/kept/daemon/daemon.go
+++ b/internal/kept/daemon/daemon.go
@@ -51,8 +51,8 @@
 const (
 	DefaultLeaseMillis = 1000
 	DefaultStopMillis  = 2000
-	stopWithin         = 30 * time.Second // for requests under way
-	drainWithin        = 2 * time.Second  // for shards to be handed over
+	stopTimeout        = 30 * time.Second // for requests under way
+	handoverTimeout    = 2 * time.Second  // for shards to be handed over
 )
 
 // LoadSettings reads and checks a settings file. Errors name the file and the field.
@@ -153,10 +153,10 @@
 
 // Daemon is a running entry VM with its listeners.
 type Daemon struct {
-	VM       *vm.VM
-	settings *Settings
-	orders   *runhost.Client
-	http     *http.Server
+	VM        *vm.VM
+	settings  *Settings
+	runClient *runhost.Client
+	http      *http.Server
 }
 
 // Start runs an entry VM until Stop or Kill.
@@ -169,7 +169,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: s, orders: runhost.NewClient()}
+	d := &Daemon{settings: s, runClient: runhost.NewClient()}
 	d.VM = vm.Start(vm.Config{
 		Name:        s.Name,
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -179,7 +179,7 @@
 		PeerListen:  peers,
 		Direct:      &relay.HTTP{Address: s.Store, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}},
 		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
-		Orders:      d.orders,
+		Orders:      d.runClient,
 		Layout: vm.StoreLayout{
 			WorkerPrefix:  WorkerPrefix,
 			DecodeWorker:  decodeWorker,
@@ -193,7 +193,7 @@
 		Policy:   s.Policy,
 	})
 	d.http = wire.NewServer(d.handler(), nil)
-	serve.Listen(d.http, callers)
+	serve.ServeInBackground(d.http, callers)
 	return d, nil
 }
 
@@ -213,12 +213,12 @@
 // Stop hands the shards over, takes submissions for some time more, answers those
 // under way and ends.
 func (d *Daemon) Stop(ctx context.Context) error {
-	defer d.orders.Close()
-	entry := serve.Entry{VM: d.VM, Callers: d.http}
-	return entry.Stop(ctx, serve.Times{
-		Within:   stopWithin,
-		Handover: drainWithin,
-		Quiet:    time.Duration(d.settings.StopMillis) * time.Millisecond,
+	defer d.runClient.Close()
+	entry := serve.Entry{VM: d.VM, CallerServer: d.http}
+	return entry.Stop(ctx, serve.StopTimes{
+		Timeout:         stopTimeout,
+		HandoverTimeout: handoverTimeout,
+		AcceptFor:       time.Duration(d.settings.StopMillis) * time.Millisecond,
 	})
 }
 
@@ -226,5 +226,5 @@
 func (d *Daemon) Kill() {
 	_ = d.http.Close()
 	d.VM.Stop()
-	d.orders.Close()
+	d.runClient.Close()
 }
--- a/internal/kept/oplog/oplog.go
+++ b/internal/kept/oplog/oplog.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// LinesMost is how many lines may wait: at peak a busy holder writes some 600 a
+	// MaxQueuedLines is how many lines may wait: at peak a busy holder writes some 600 a
 	// second, so they bridge several seconds of a stuck reader.
-	LinesMost = 8192
-	batchMost = 64 << 10              // bytes of one write
-	gather    = 20 * time.Millisecond // that lines wait for others, to share a write
-	endWithin = 300 * time.Millisecond
+	MaxQueuedLines = 8192
+	maxWriteBytes  = 64 << 10              // bytes of one write
+	batchDelay     = 20 * time.Millisecond // that lines wait for others, to share a write
+	stopTimeout    = 300 * time.Millisecond
 )
 
 // Log is a running writer.
@@ -42,7 +42,7 @@
 // Start makes klog write to out from now on.
 func Start(out io.Writer, verbosity int) *Log {
 	l := &Log{
-		lines: ring.New[[]byte](LinesMost),
+		lines: ring.New[[]byte](MaxQueuedLines),
 		out:   out,
 		done:  make(chan struct{}),
 		stop:  make(chan struct{}),
@@ -72,13 +72,13 @@
 	l.once.Do(func() { close(l.stop) })
 	select {
 	case <-l.done:
-	case <-time.After(endWithin):
+	case <-time.After(stopTimeout):
 	}
 }
 
 func (l *Log) run() {
 	defer close(l.done)
-	var told uint64
+	var reported uint64
 	for {
 		stopping := false
 		select {
@@ -88,13 +88,13 @@
 			select {
 			case <-l.stop:
 				stopping = true
-			case <-time.After(gather):
+			case <-time.After(batchDelay):
 			}
 		}
 		l.write(l.lines.Drain())
-		if dropped := l.dropped.Load(); dropped > told {
-			l.write([][]byte{fmt.Appendf(nil, "W oplog: %d lines dropped, the output is too slow\n", dropped-told)})
-			told = dropped
+		if dropped := l.dropped.Load(); dropped > reported {
+			l.write([][]byte{fmt.Appendf(nil, "W oplog: %d lines dropped, the output is too slow\n", dropped-reported)})
+			reported = dropped
 		}
 		if stopping {
 			return
@@ -107,16 +107,16 @@
 	for _, line := range lines {
 		batch = append(batch, line...)
 		l.written.Add(1)
-		if len(batch) >= batchMost {
-			l.put(batch)
+		if len(batch) >= maxWriteBytes {
+			l.writeOut(batch)
 			batch = batch[:0]
 		}
 	}
-	l.put(batch)
+	l.writeOut(batch)
 }
 
 // put hands lines to the output. There is nowhere to say that it does not take them.
-func (l *Log) put(batch []byte) {
+func (l *Log) writeOut(batch []byte) {
 	if len(batch) > 0 {
 		_, _ = l.out.Write(batch)
 	}
--- a/internal/kept/oplog/oplog_test.go
+++ b/internal/kept/oplog/oplog_test.go
@@ -32,7 +32,7 @@
 		l := Start(out, 0)
 		defer klog.ClearLogger()
 		began := time.Now()
-		for range 3 * LinesMost {
+		for range 3 * MaxQueuedLines {
 			klog.InfoS("kept: accepted", "id", "a")
 		}
 		if waited := time.Since(began); waited != 0 {
--- a/internal/kept/serve/serve.go
+++ b/internal/kept/serve/serve.go
@@ -18,21 +18,21 @@
 )
 
 // Times of a stop.
-type Times struct {
-	Within   time.Duration // for all of it
-	Handover time.Duration // for the shards to be handed over
-	Quiet    time.Duration // requests are still taken so long, until callers go elsewhere
+type StopTimes struct {
+	Timeout         time.Duration // for all of it
+	HandoverTimeout time.Duration // for the shards to be handed over
+	AcceptFor       time.Duration // requests are still taken so long, until callers go elsewhere
 }
 
 // Entry is an entry VM with its listeners.
 type Entry struct {
-	VM      *vm.VM
-	Callers *http.Server
-	Others  []*http.Server // readiness and metrics, if they have listeners of their own
+	VM           *vm.VM
+	CallerServer *http.Server
+	OtherServers []*http.Server // readiness and metrics, if they have listeners of their own
 }
 
 // Listen serves until the server is shut down.
-func Listen(s *http.Server, l net.Listener) {
+func ServeInBackground(s *http.Server, l net.Listener) {
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			klog.ErrorS(err, "kept: a listener ended", "address", l.Addr().String())
@@ -42,19 +42,19 @@
 
 // Stop hands the shards over, takes submissions for some time more, answers those under
 // way and ends. It returns an error if requests were still under way when the time was over.
-func (e *Entry) Stop(ctx context.Context, t Times) error {
-	ctx, cancel := context.WithTimeout(ctx, t.Within)
+func (e *Entry) Stop(ctx context.Context, t StopTimes) error {
+	ctx, cancel := context.WithTimeout(ctx, t.Timeout)
 	defer cancel()
 	began := time.Now()
-	handover, done := context.WithTimeout(ctx, t.Handover)
+	handover, done := context.WithTimeout(ctx, t.HandoverTimeout)
 	e.VM.Drain(handover)
 	done()
 	select {
 	case <-ctx.Done():
-	case <-time.After(t.Quiet - time.Since(began)):
+	case <-time.After(t.AcceptFor - time.Since(began)):
 	}
-	err := e.Callers.Shutdown(ctx)
-	for _, s := range e.Others {
+	err := e.CallerServer.Shutdown(ctx)
+	for _, s := range e.OtherServers {
 		_ = s.Close()
 	}
 	e.VM.Stop()
@@ -64,10 +64,10 @@
 // StopFunc ends what was started.
 type StopFunc func(context.Context) error
 
-// UntilSignal starts something and stops it at SIGTERM, SIGINT or the end of ctx. SIGHUP
+// RunUntilSignal starts something and stops it at SIGTERM, SIGINT or the end of ctx. SIGHUP
 // has reload called. Signals are caught before the start: one that came during it would
 // end the process at once.
-func UntilSignal(ctx context.Context, start func() (StopFunc, error), reload func()) error {
+func RunUntilSignal(ctx context.Context, start func() (StopFunc, error), reload func()) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
--- a/internal/kept/serve/serve_test.go
+++ b/internal/kept/serve/serve_test.go
@@ -21,7 +21,7 @@
 		}
 		return func(context.Context) error { return stopped }, nil
 	}
-	if err := UntilSignal(context.Background(), start, func() { reloaded <- struct{}{} }); !errors.Is(err, stopped) {
+	if err := RunUntilSignal(context.Background(), start, func() { reloaded <- struct{}{} }); !errors.Is(err, stopped) {
 		t.Errorf("it returned %v", err)
 	}
 }
@@ -33,11 +33,11 @@
 	start := func() (StopFunc, error) {
 		return func(ctx context.Context) error { return ctx.Err() }, nil
 	}
-	if err := UntilSignal(ctx, start, func() {}); err != nil {
+	if err := RunUntilSignal(ctx, start, func() {}); err != nil {
 		t.Errorf("it stopped with a context that has ended: %v", err)
 	}
 	failed := errors.New("no start")
-	if err := UntilSignal(context.Background(), func() (StopFunc, error) { return nil, failed }, nil); !errors.Is(err, failed) {
+	if err := RunUntilSignal(context.Background(), func() (StopFunc, error) { return nil, failed }, nil); !errors.Is(err, failed) {
 		t.Errorf("it returned %v", err)
 	}
 }
