--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -79,7 +79,7 @@
 func (e *engine) stopCancelled(ref *pb.KeptRef) {
 	for name, h := range e.shards {
 		if ref.Shard == "" || ref.Shard == name {
-			h.core.Cancel(e.at, submission.ID(ref.Id))
+			h.core.Cancel(e.now, submission.ID(ref.Id))
 		}
 	}
 }
--- a/internal/kept/vm/early.go
+++ b/internal/kept/vm/early.go
@@ -20,20 +20,20 @@
 // holdEarly keeps a submission that came before the shards are known. It reports false if
 // the submission is to be decided on now.
 func (e *engine) holdEarly(ev submitEvent) bool {
-	if len(e.early) >= earlyMost || !e.worthHolding(ev) || e.shardsKnown() {
+	if len(e.deferred) >= earlyMost || !e.worthHolding(ev) || e.shardsKnown() {
 		return false
 	}
-	e.early = append(e.early, ev)
+	e.deferred = append(e.deferred, ev)
 	return true
 }
 
 // worthHolding reports whether a submission gains by waiting for more shards: while it can
 // be done in time, or nobody can take it at all.
 func (e *engine) worthHolding(ev submitEvent) bool {
-	if e.at-e.startedAt >= e.vm.config.Policy.StartHold() {
+	if e.now-e.startedAt >= e.vm.config.Policy.StartHold() {
 		return false
 	}
-	switch e.work(ev.record, ev.came).Band(e.at) {
+	switch e.work(ev.record, ev.came).Band(e.now) {
 	case policy.InTime:
 		return true
 	case policy.Late:
@@ -71,15 +71,15 @@
 
 // releaseEarly decides on the submissions that need not wait any more.
 func (e *engine) releaseEarly() {
-	if len(e.early) == 0 {
+	if len(e.deferred) == 0 {
 		return
 	}
 	known := e.shardsKnown()
-	waiting := e.early
-	e.early = nil
+	waiting := e.deferred
+	e.deferred = nil
 	for _, ev := range waiting {
 		if !known && e.worthHolding(ev) {
-			e.early = append(e.early, ev)
+			e.deferred = append(e.deferred, ev)
 			continue
 		}
 		e.decide(ev)
@@ -88,7 +88,7 @@
 
 // dropEarly forgets a submission whose caller has gone. It reports whether it was there.
 func (e *engine) dropEarly(reply chan Outcome) bool {
-	before := len(e.early)
-	e.early = slices.DeleteFunc(e.early, func(ev submitEvent) bool { return ev.reply == reply })
-	return len(e.early) < before
+	before := len(e.deferred)
+	e.deferred = slices.DeleteFunc(e.deferred, func(ev submitEvent) bool { return ev.reply == reply })
+	return len(e.deferred) < before
 }
--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -13,11 +13,11 @@
 )
 
 // guard is the condition that this VM still holds the shard.
-func (h *held) guard() store.Condition {
+func (h *heldShard) guard() store.Condition {
 	return store.Condition{Key: site.ShardKey(h.holding.Shard), Revision: h.holding.Revision}
 }
 
-func (e *engine) storeFinal(name string, h *held, f shard.FinalAction) {
+func (e *engine) storeFinal(name string, h *heldShard, f shard.FinalAction) {
 	token := h.holding.Token
 	klog.InfoS("kept: ended", "id", f.ID, "shard", name, "state", f.State.String(), "why", f.Reason)
 	ok := e.vm.ends.Add(&journal.Row{
@@ -50,17 +50,17 @@
 	}
 	id := submission.ID(ev.id)
 	if ev.result.Outcome == journal.Stored {
-		h.core.FinalStored(e.at, id)
+		h.core.FinalStored(e.now, id)
 		return
 	}
 	klog.InfoS("kept: an end was not stored", "id", id, "shard", ev.shard, "outcome", fmt.Sprint(ev.result.Outcome))
 	if ev.result.Outcome == journal.Conflict && !guardBroken(ev.result, h) {
-		h.core.RecordConflict(e.at, id)
+		h.core.RecordConflict(e.now, id)
 	}
 }
 
 // guardBroken reports whether a row failed because the shard has another holder.
-func guardBroken(r journal.Result, h *held) bool {
+func guardBroken(r journal.Result, h *heldShard) bool {
 	g := h.guard()
 	for _, it := range r.Items {
 		if it.Key == g.Key && it.Revision != g.Revision {
@@ -70,7 +70,7 @@
 	return false
 }
 
-func (e *engine) storeProgress(name string, h *held, s shard.SaveAction) {
+func (e *engine) storeProgress(name string, h *heldShard, s shard.SaveAction) {
 	token := h.holding.Token
 	id := string(s.Record.ID)
 	key := submission.OpenKey(s.Record.ID)
@@ -98,8 +98,8 @@
 	id := submission.ID(ev.id)
 	switch {
 	case ev.result.Outcome == journal.Stored:
-		h.core.ProgressSaved(e.at, id, ev.result.Revision)
+		h.core.ProgressSaved(e.now, id, ev.result.Revision)
 	case ev.result.Outcome == journal.Conflict && !guardBroken(ev.result, h):
-		h.core.RecordConflict(e.at, id)
+		h.core.RecordConflict(e.now, id)
 	}
 }
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -23,123 +23,123 @@
 const (
 	// A holder that the store has not confirmed for so long stops extending leases:
 	// it may have been replaced without knowing. Outages of the store are shorter.
-	authorityFor = 7 * time.Second
+	holdingTrustedFor = 7 * time.Second
 	// A new holder waits so long, from its claim, for runs that no worker lists,
 	// unless the earlier holder's process has certainly ended. A watch may be a
 	// second behind.
-	authorityOver = authorityFor + 2*time.Second
-	rescanEvery   = time.Second // for records whose holder was not told of them
-	loadEvery     = 300 * time.Millisecond
-	loadAtMost    = 15 * time.Millisecond // between messages about a changed load
-	loadPerPeer   = 2 * time.Millisecond  // that for each linked peer, if it is more
+	holdingExpiredAfter = holdingTrustedFor + 2*time.Second
+	rescanInterval      = time.Second // for records whose holder was not told of them
+	loadInterval        = 300 * time.Millisecond
+	minLoadInterval     = 15 * time.Millisecond // between messages about a changed load
+	loadIntervalPerPeer = 2 * time.Millisecond  // that for each linked peer, if it is more
 	// VMs of other domains send little here, and on a large site are many.
-	loadFar    = 400 * time.Millisecond
-	loadFresh  = time.Second            // an older word of a shard's load counts for nothing
-	askAgain   = 700 * time.Millisecond // a holder that has not told of a submission for so long is asked
-	homeFor    = 150 * time.Second      // ended submissions are remembered; callers ask for 120 s
-	pruneEvery = 5 * time.Second
+	farLoadInterval    = 400 * time.Millisecond
+	maxLoadAge         = time.Second            // an older word of a shard's load counts for nothing
+	stateQueryInterval = 700 * time.Millisecond // a holder that has not told of a submission for so long is asked
+	endedRetention     = 150 * time.Second      // ended submissions are remembered; callers ask for 120 s
+	pruneInterval      = 5 * time.Second
 )
 
 // held is a shard that this VM holds.
-type held struct {
-	core      *shard.Shard
-	holding   site.Holding
-	sessions  map[string]*workerSession
-	asked     map[submission.ID][]string // VMs that asked for an unfinished submission
-	cancel    context.CancelFunc
-	ctx       context.Context
-	extend    atomic.Bool
-	takenAt   time.Duration
-	confirmed time.Duration // when the store was asked last that confirmed the holding
-	scanning  bool
-	scannedAt time.Duration
-	offloadAt time.Duration
-	noted     string // the workers as stored for the next holder
-	noting    bool
-	loadAt    time.Duration
-	farAt     time.Duration // when VMs of other domains were told of its load
-	load      shard.Load
+type heldShard struct {
+	core           *shard.Shard
+	holding        site.Holding
+	sessions       map[string]*workerSession
+	askers         map[submission.ID][]string // VMs that asked for an unfinished submission
+	cancel         context.CancelFunc
+	ctx            context.Context
+	extendLeases   atomic.Bool
+	acquiredAt     time.Duration
+	confirmedAt    time.Duration // when the store was asked last that confirmed the holding
+	scanning       bool
+	scannedAt      time.Duration
+	offloadAt      time.Duration
+	storedWorkers  string // the workers as stored for the next holder
+	storingWorkers bool
+	loadSentAt     time.Duration
+	loadSentFarAt  time.Duration // when VMs of other domains were told of its load
+	sentLoad       shard.Load
 }
 
-// loadView is what is known of a shard's load.
-type loadView struct {
+// knownLoad is what is known of a shard's load.
+type knownLoad struct {
 	shard.Load
-	holder string
-	token  uint64
-	at     time.Duration
-	sent   int64 // processor of tasks sent since, thousandths of a core
+	holder     string
+	token      uint64
+	receivedAt time.Duration
+	sentMilli  int64 // processor of tasks sent since, thousandths of a core
 }
 
 // engine owns the state of an entry VM.
 type engine struct {
-	vm           *VM
-	ctx          context.Context
-	at           time.Duration // of this round
-	site         *site.Site
-	shards       map[string]*held
-	homes        map[submission.ID]*home // stored submissions
-	transients   map[submission.ID]*transient
-	early        []submitEvent // came before the shards are known
-	startedAt    time.Duration
-	turns        policy.RetrySchedule // of callers that were refused here
-	links        map[string]*link.Link
-	up           map[string]bool          // peers whose link stands
-	wantedBy     sync.Map                 // peer to whether it needs the link from here
-	neededAt     map[string]time.Duration // when a link was last needed
-	linksDue     bool                     // VMs or holders have changed
-	linkedAt     time.Duration            // when it was last looked which links are needed
-	waiting      waitingReports           // of other VMs
-	reportedAt   time.Duration            // when this VM told of what waits in its domain
-	incarnations map[string]uint64
-	probed       map[string]time.Duration // when a worker of a shard was reached, before its claim
-	loads        map[string]*loadView
-	lists        map[string]*domainList // of workers, by failure domain of which a shard is held
-	listVersions uint64                 // of lists told so far
+	vm                *VM
+	ctx               context.Context
+	now               time.Duration // of this round
+	site              *site.Site
+	shards            map[string]*heldShard
+	homes             map[submission.ID]*home // stored submissions
+	transients        map[submission.ID]*transient
+	deferred          []submitEvent // came before the shards are known
+	startedAt         time.Duration
+	retryTurns        policy.RetrySchedule // of callers that were refused here
+	links             map[string]*link.Link
+	linkUp            map[string]bool          // peers whose link stands
+	linkWantedBy      sync.Map                 // peer to whether it needs the link from here
+	linkNeededAt      map[string]time.Duration // when a link was last needed
+	linksOutdated     bool                     // VMs or holders have changed
+	linksUpdatedAt    time.Duration            // when it was last looked which links are needed
+	waiting           waitingReports           // of other VMs
+	waitingReportedAt time.Duration            // when this VM told of what waits in its domain
+	peerIncarnations  map[string]uint64
+	probedAt          map[string]time.Duration // when a worker of a shard was reached, before its claim
+	loads             map[string]*knownLoad
+	workerLists       map[string]*domainList // of workers, by failure domain of which a shard is held
+	lastListVersion   uint64                 // of lists told so far
 	// holdersChanged says that a holder may be there that was not told of the list of workers.
-	holdersChanged bool
-	reading        bool                       // the list of workers is read here
-	lastRead       workersEvent               // what was read last, of all domains
-	services       map[string]catalog.Service // that any configuration has named, as the newest says
-	evacuations    evacuation.Set
-	claiming       map[string]bool
-	dividing       bool
-	serial         uint64 // of transient submissions taken here
-	unplacedAt     time.Duration
-	toldUnplaced   bool                     // what peers were told last is not 0
-	frames         map[string]*pb.KeptFrame // to be sent at the end of this round
-	prunedAt       time.Duration
-	draining       chan struct{}
+	holdersChanged   bool
+	readingWorkers   bool                       // the list of workers is read here
+	lastWorkersRead  workersEvent               // what was read last, of all domains
+	services         map[string]catalog.Service // that any configuration has named, as the newest says
+	evacuations      evacuation.Set
+	claimsInFlight   map[string]bool
+	divisionInFlight bool
+	transientSerial  uint64 // of transient submissions taken here
+	unplacedSentAt   time.Duration
+	unplacedSent     bool                     // what peers were told last is not 0
+	frames           map[string]*pb.KeptFrame // to be sent at the end of this round
+	prunedAt         time.Duration
+	drained          chan struct{}
 }
 
 func newEngine(ctx context.Context, v *VM) *engine {
 	c := v.config
 	self := site.Member{Name: c.Name, Incarnation: c.Incarnation, Domain: c.Domain, Address: c.PeerAddress, Cores: c.Cores}
 	return &engine{
-		vm:           v,
-		ctx:          ctx,
-		site:         site.New(site.DefaultSettings(), self, c.Domains, v.now()),
-		shards:       make(map[string]*held),
-		homes:        make(map[submission.ID]*home),
-		transients:   make(map[submission.ID]*transient),
-		startedAt:    v.now(),
-		links:        make(map[string]*link.Link),
-		up:           make(map[string]bool),
-		neededAt:     make(map[string]time.Duration),
-		waiting:      newWaitingReports(),
-		lists:        make(map[string]*domainList),
-		incarnations: make(map[string]uint64),
-		probed:       make(map[string]time.Duration),
-		loads:        make(map[string]*loadView),
-		claiming:     make(map[string]bool),
-		services:     make(map[string]catalog.Service),
-		frames:       make(map[string]*pb.KeptFrame),
+		vm:               v,
+		ctx:              ctx,
+		site:             site.New(site.DefaultSettings(), self, c.Domains, v.now()),
+		shards:           make(map[string]*heldShard),
+		homes:            make(map[submission.ID]*home),
+		transients:       make(map[submission.ID]*transient),
+		startedAt:        v.now(),
+		links:            make(map[string]*link.Link),
+		linkUp:           make(map[string]bool),
+		linkNeededAt:     make(map[string]time.Duration),
+		waiting:          newWaitingReports(),
+		workerLists:      make(map[string]*domainList),
+		peerIncarnations: make(map[string]uint64),
+		probedAt:         make(map[string]time.Duration),
+		loads:            make(map[string]*knownLoad),
+		claimsInFlight:   make(map[string]bool),
+		services:         make(map[string]catalog.Service),
+		frames:           make(map[string]*pb.KeptFrame),
 	}
 }
 
 // round takes all waiting events, decides, and sends one frame to each peer that
 // there is something to say to.
-func (e *engine) round(time.Time) {
-	e.at = e.vm.now()
+func (e *engine) runRound(time.Time) {
+	e.now = e.vm.now()
 	for _, ev := range e.vm.events.Drain() {
 		ev.apply(e)
 	}
@@ -148,18 +148,18 @@
 	e.claimShards()
 	e.followLists()
 	for name, h := range e.shards {
-		e.drive(name, h)
+		e.runShard(name, h)
 	}
 	e.releaseEarly()
 	e.moveTransients()
 	e.askForStates()
-	e.finishDrain()
+	e.signalDrained()
 	e.tellLoads()
 	e.tellUnplaced()
 	e.reportWaiting()
 	e.prune()
 	e.flush()
-	e.vm.ready.Store(e.ableToServe())
+	e.vm.ready.Store(e.canServe())
 	workers := 0
 	for _, h := range e.shards {
 		workers += len(h.sessions)
@@ -170,29 +170,29 @@
 }
 
 // pace is the longest time to the next round.
-func (e *engine) pace() time.Duration {
-	if len(e.shards)+len(e.transients)+len(e.homes)+len(e.early) == 0 && e.draining == nil {
+func (e *engine) roundInterval() time.Duration {
+	if len(e.shards)+len(e.transients)+len(e.homes)+len(e.deferred) == 0 && e.drained == nil {
 		return tickIdle
 	}
 	return tickBusy
 }
 
 // drive runs a shard that this VM holds.
-func (e *engine) drive(name string, h *held) {
-	h.extend.Store(e.at-h.confirmed < authorityFor || !h.core.HasStored())
-	if e.at-h.scannedAt >= rescanEvery && !h.scanning {
+func (e *engine) runShard(name string, h *heldShard) {
+	h.extendLeases.Store(e.now-h.confirmedAt < holdingTrustedFor || !h.core.HasStored())
+	if e.now-h.scannedAt >= rescanInterval && !h.scanning {
 		e.scan(name, h)
 	}
-	h.core.Tick(e.at)
+	h.core.Tick(e.now)
 	e.offload(name, h)
 	if h.core.WorkerCount() != len(h.sessions) {
 		e.alignSessions(h) // it has dropped a worker; new ones come with the list only
 	}
-	e.carryOut(name, h, h.core.TakeActions())
+	e.execute(name, h, h.core.TakeActions())
 }
 
-// carryOut does what a shard has decided.
-func (e *engine) carryOut(name string, h *held, a shard.Actions) {
+// execute does what a shard has decided.
+func (e *engine) execute(name string, h *heldShard, a shard.Actions) {
 	for _, s := range a.Acks {
 		if ws := h.sessions[s.Worker]; ws != nil {
 			ws.acknowledge(s.UpTo)
@@ -202,7 +202,7 @@
 		if s.IsFirst {
 			e.vm.figures.queue(s.Queue).firstStart.RecordDuration(s.Waited)
 		}
-		e.order(h, s.Worker.ID, func(ws *workerSession) {
+		e.sendOrder(h, s.Worker.ID, func(ws *workerSession) {
 			ws.start(h.ctx, worker.Start{Task: s.Task, Run: s.Run, Spec: s.Spec, Checkpoint: s.Checkpoint})
 		})
 		klog.InfoS("kept: start", "id", s.Task.ID, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run,
@@ -210,14 +210,14 @@
 			"known_from", s.Origin.String(), "list_age", e.listAge(name))
 	}
 	for _, s := range a.Stops {
-		e.order(h, s.Worker.ID, func(ws *workerSession) {
+		e.sendOrder(h, s.Worker.ID, func(ws *workerSession) {
 			ws.stop(h.ctx, worker.Stop{Task: s.Task, Run: s.Run})
 		})
 		klog.InfoS("kept: stop", "id", s.Task.ID, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run,
 			"worker", s.Worker.ID, "shard", name, "why", s.Reason)
 	}
 	for _, id := range a.Probes {
-		e.order(h, id, func(ws *workerSession) { ws.look(h.ctx) })
+		e.sendOrder(h, id, func(ws *workerSession) { ws.look(h.ctx) })
 	}
 	for _, f := range a.Finals {
 		e.storeFinal(name, h, f)
@@ -243,7 +243,7 @@
 }
 
 // order gives a worker an order on a goroutine of its own, as it may hang.
-func (e *engine) order(h *held, id string, give func(*workerSession)) {
+func (e *engine) sendOrder(h *heldShard, id string, give func(*workerSession)) {
 	ws := h.sessions[id]
 	if ws == nil {
 		klog.InfoS("kept: an order for a worker that is not held", "worker", id)
@@ -252,8 +252,8 @@
 	e.vm.duty(func() { give(ws) })
 }
 
-// ableToServe reports whether a submission could be taken now.
-func (e *engine) ableToServe() bool {
+// canServe reports whether a submission could be taken now.
+func (e *engine) canServe() bool {
 	if e.vm.Catalog() == nil {
 		return false
 	}
@@ -263,17 +263,17 @@
 // reachable reports whether the holder of a shard can be told of submissions.
 func (e *engine) reachable(name string) bool {
 	l := e.loads[name]
-	if l == nil || !l.Ready || e.at-l.at > loadFresh {
+	if l == nil || !l.Ready || e.now-l.receivedAt > maxLoadAge {
 		return false
 	}
-	return e.shards[name] != nil || e.up[l.holder]
+	return e.shards[name] != nil || e.linkUp[l.holder]
 }
 
-// finishDrain tells the one who waits that all shards are given up.
-func (e *engine) finishDrain() {
-	if e.draining != nil && len(e.shards) == 0 {
-		close(e.draining)
-		e.draining = nil
+// signalDrained tells the one who waits that all shards are given up.
+func (e *engine) signalDrained() {
+	if e.drained != nil && len(e.shards) == 0 {
+		close(e.drained)
+		e.drained = nil
 	}
 }
 
@@ -298,12 +298,12 @@
 
 // prune forgets submissions that ended long ago.
 func (e *engine) prune() {
-	if e.at-e.prunedAt < pruneEvery {
+	if e.now-e.prunedAt < pruneInterval {
 		return
 	}
-	e.prunedAt = e.at
+	e.prunedAt = e.now
 	for id, h := range e.homes {
-		if h.state.Final() && e.at-h.changed > homeFor {
+		if h.state.Final() && e.now-h.changed > endedRetention {
 			delete(e.homes, id)
 		}
 	}
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -91,7 +91,7 @@
 	}
 	for _, domain := range domains {
 		klog.InfoS("kept: evacuation", "domain", domain, "evacuated", e.evacuations.Evacuated(domain),
-			"revision", e.evacuations.Revision(domain), "from", from, "asked_before", e.evacuations.Age(e.at))
+			"revision", e.evacuations.Revision(domain), "from", from, "asked_before", e.evacuations.Age(e.now))
 		e.vm.figures.setEvacuated(domain, e.evacuations.Evacuated(domain))
 	}
 	for _, h := range e.shards {
@@ -103,8 +103,8 @@
 }
 
 // setEvacuated has a shard start nothing while its domain is evacuated.
-func (e *engine) setEvacuated(h *held) {
-	h.core.SetEvacuated(e.at, e.evacuations.Evacuated(site.DomainOf(h.holding.Shard)))
+func (e *engine) setEvacuated(h *heldShard) {
+	h.core.SetEvacuated(e.now, e.evacuations.Evacuated(site.DomainOf(h.holding.Shard)))
 }
 
 // tellEvacuations tells a peer the newest notice about each domain.
@@ -234,12 +234,12 @@
 		tasks = tasks[portion.Tasks:]
 		rec.Shard = portion.Shard
 		rec.Serial = e.nextSerial()
-		p := &part{record: rec, shard: portion.Shard, changed: e.at}
+		p := &part{record: rec, shard: portion.Shard, changed: e.now}
 		t.replace(p)
 		l := e.loads[p.shard]
-		l.sent += int64(portion.Tasks) * largestTask(rec)
+		l.sentMilli += int64(portion.Tasks) * largestTask(rec)
 		klog.InfoS("kept: given to another shard", "id", t.record.ID, "from", lost.record.Shard, "shard", p.shard,
-			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.at-t.came)
+			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.now-t.came)
 		e.give(t, p, l)
 	}
 }
@@ -289,11 +289,11 @@
 // storeMove writes a stored submission, of which nothing runs, under a shard that may start it. The
 // write demands that its record is unchanged and that neither shard has changed hands: the next
 // holder of the old one could have started it.
-func (e *engine) storeMove(name string, h *held, m shard.ReassignAction) {
+func (e *engine) storeMove(name string, h *heldShard, m shard.ReassignAction) {
 	rec := m.Record
 	shards := e.reachableShards(rec)
 	if len(shards) == 0 {
-		h.core.ReassignFailed(e.at, rec.ID)
+		h.core.ReassignFailed(e.now, rec.ID)
 		return
 	}
 	rec.Shard = e.vm.config.Policy.Split(shards, demand(rec), false, longestEstimate(rec))[0].Shard
@@ -313,7 +313,7 @@
 		},
 	})
 	if !added {
-		h.core.ReassignFailed(e.at, rec.ID)
+		h.core.ReassignFailed(e.now, rec.ID)
 	}
 }
 
@@ -325,7 +325,7 @@
 	rec := ev.record
 	switch {
 	case ev.result.Outcome == journal.Stored:
-		h.core.Reassigned(e.at, rec.ID, ev.result.Revision)
+		h.core.Reassigned(e.now, rec.ID, ev.result.Revision)
 		e.vm.figures.sentAway.Inc(1)
 		klog.InfoS("kept: sent away from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
 			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.Tasks())
@@ -334,9 +334,9 @@
 		}
 		e.assign(&home{id: rec.ID, record: rec, revision: ev.result.Revision, shard: rec.Shard})
 	case ev.result.Outcome == journal.Conflict && ev.recordChanged():
-		h.core.RecordConflict(e.at, rec.ID)
+		h.core.RecordConflict(e.now, rec.ID)
 	default:
-		h.core.ReassignFailed(e.at, rec.ID)
+		h.core.ReassignFailed(e.now, rec.ID)
 	}
 }
 
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -58,7 +58,7 @@
 	v.ends = journal.New(journal.Settings{Name: "ends", Capacity: 16}, v.store)
 	ctx, cancel := context.WithCancel(t.Context())
 	e := newEngine(ctx, v)
-	e.at = now
+	e.now = now
 	t.Cleanup(func() {
 		cancel()
 		v.duties.Wait()
@@ -67,7 +67,7 @@
 		}
 	})
 	for _, kv := range [][2]string{{site.DomainKey("a"), `{"n":1}`}, {site.DomainKey("b"), `{"n":1}`}, {site.MemberKey("b1"), `{"i":7,"d":"b"}`}} {
-		if err := e.site.Apply(e.at, store.Event{Item: store.Item{Key: kv[0], Value: []byte(kv[1]), Revision: 3}}); err != nil {
+		if err := e.site.Apply(e.now, store.Event{Item: store.Item{Key: kv[0], Value: []byte(kv[1]), Revision: 3}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -75,7 +75,7 @@
 	e.setList("a", []worker.Info{
 		{ID: "w1", Service: "desk", Address: "w1", Domain: "a", CPUMilli: 16000, MemMB: 4096},
 		{ID: "w2", Service: "desk", Address: "w2", Domain: "a", CPUMilli: 16000, MemMB: 4096},
-	}, e.at, "", 0)
+	}, e.now, "", 0)
 	return e
 }
 
@@ -113,9 +113,9 @@
 		scannedEvent{shard: "a/0", token: 4}.apply(e)
 		for range 2 {
 			frameEvent{from: "b1", frame: &frame}.apply(e)
-			e.at += 50 * ms
+			e.now += 50 * ms
 			for name, h := range e.shards {
-				e.drive(name, h)
+				e.runShard(name, h)
 			}
 			e.moveTransients()
 		}
@@ -130,11 +130,11 @@
 	f.Add("domain/b", []byte(`{"n":1000}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		e := loneEngine(t)
-		siteEvent{sent: e.at, events: []store.Event{{Item: store.Item{Key: site.Prefix + key, Value: value, Revision: 9}}}}.apply(e)
-		e.at += time.Second
-		e.site.Decide(e.at)
+		siteEvent{sent: e.now, events: []store.Event{{Item: store.Item{Key: site.Prefix + key, Value: value, Revision: 9}}}}.apply(e)
+		e.now += time.Second
+		e.site.Decide(e.now)
 		for name, h := range e.shards {
-			e.drive(name, h)
+			e.runShard(name, h)
 		}
 	})
 }
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -28,10 +28,10 @@
 func (ev siteEvent) apply(e *engine) {
 	var err error
 	if ev.whole {
-		err = e.site.Reset(e.at, ev.items)
+		err = e.site.Reset(e.now, ev.items)
 	}
 	for _, change := range ev.events {
-		err = errors.Join(err, e.site.Apply(e.at, change))
+		err = errors.Join(err, e.site.Apply(e.now, change))
 		if change.Deleted && change.Key == site.MemberKey(e.vm.config.Name) {
 			e.vm.sessionGone.Store(true)
 		}
@@ -39,17 +39,17 @@
 	if err != nil {
 		klog.ErrorS(err, "kept: a key of the site cannot be read")
 	}
-	e.site.StoreAnswered(ev.sent, e.at)
+	e.site.StoreAnswered(ev.sent, e.now)
 	e.followHoldings(ev.sent)
 	e.noteCalm()
-	e.linksDue = true
+	e.linksOutdated = true
 }
 
 // noteCalm says whether news of the site may reach this VM late: it holds nothing, and each shard of its
 // domain has a holder that it can reach. New holders speak up by themselves.
 func (e *engine) noteCalm() {
 	calm := 0
-	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.at-e.startedAt > calmAfter && e.site.AllShardsHeld(e.vm.config.Domain) {
+	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.now-e.startedAt > calmAfter && e.site.AllShardsHeld(e.vm.config.Domain) {
 		calm = n
 	}
 	e.vm.siteCalm.Store(int64(calm))
@@ -72,7 +72,7 @@
 			h = nil
 		}
 		if h != nil {
-			h.confirmed = max(h.confirmed, sent)
+			h.confirmedAt = max(h.confirmedAt, sent)
 		}
 		if h == nil && mine {
 			e.takeShard(holding)
@@ -83,25 +83,25 @@
 // takeShard begins to hold a shard.
 func (e *engine) takeShard(holding site.Holding) {
 	// Runs that the earlier holder started and that no worker lists are over then.
-	barrierAt := e.at + e.vm.config.MaxLease + leaseSlack
+	barrierAt := e.now + e.vm.config.MaxLease + leaseSlack
 	if !holding.PredecessorStopped {
-		barrierAt += authorityOver
+		barrierAt += holdingExpiredAfter
 	}
-	h := &held{
-		core:      shard.New(e.at, e.shardSettings(), holding.Token, barrierAt),
-		holding:   holding,
-		sessions:  make(map[string]*workerSession),
-		asked:     make(map[submission.ID][]string),
-		confirmed: e.at,
-		takenAt:   e.at,
+	h := &heldShard{
+		core:        shard.New(e.now, e.shardSettings(), holding.Token, barrierAt),
+		holding:     holding,
+		sessions:    make(map[string]*workerSession),
+		askers:      make(map[submission.ID][]string),
+		confirmedAt: e.now,
+		acquiredAt:  e.now,
 	}
-	h.extend.Store(true)
+	h.extendLeases.Store(true)
 	e.setEvacuated(h)
 	h.ctx, h.cancel = context.WithCancel(e.ctx)
 	e.shards[holding.Shard] = h
-	for peer, up := range e.up {
+	for peer, up := range e.linkUp {
 		if !up {
-			h.core.HomeLost(e.at, peer)
+			h.core.HomeLost(e.now, peer)
 		}
 	}
 	e.useOwnReading(site.DomainOf(holding.Shard))
@@ -109,7 +109,7 @@
 	e.scan(holding.Shard, h)
 	e.vm.figures.takeovers.Inc(1)
 	klog.InfoS("kept: shard taken", "shard", holding.Shard, "token", holding.Token, "revision", holding.Revision,
-		"workers", len(h.sessions), "barrier_in", barrierAt-e.at)
+		"workers", len(h.sessions), "barrier_in", barrierAt-e.now)
 }
 
 func (e *engine) shardSettings() shard.Settings {
@@ -119,7 +119,7 @@
 	return s
 }
 
-func (e *engine) dropShard(h *held, now site.Holding) {
+func (e *engine) dropShard(h *heldShard, now site.Holding) {
 	h.cancel()
 	delete(e.shards, h.holding.Shard)
 	e.forgetList(site.DomainOf(h.holding.Shard))
@@ -131,22 +131,22 @@
 
 // claimShards claims what is this VM's to claim.
 func (e *engine) claimShards() {
-	for _, c := range e.site.Decide(e.at) {
+	for _, c := range e.site.Decide(e.now) {
 		e.claim(c)
 	}
 }
 
 func (e *engine) claim(c site.Claim) {
 	name := c.From.Shard
-	if e.claiming[name] {
+	if e.claimsInFlight[name] {
 		return
 	}
-	e.claiming[name] = true
+	e.claimsInFlight[name] = true
 	klog.InfoS("kept: shard claimed", "shard", name, "for", c.To.Holder, "from", c.From.Holder,
 		"token", c.To.Token, "revision", c.From.Revision, "why", c.Why)
 	domain := site.DomainOf(name)
 	foreign := c.To.Holder == e.vm.config.Name && domain != e.vm.config.Domain
-	confirmed := e.probed[name] > 0 && e.at-e.probed[name] < probeFresh
+	confirmed := e.probedAt[name] > 0 && e.now-e.probedAt[name] < probeFresh
 	e.vm.duty(func() {
 		ctx, cancel := context.WithTimeout(e.ctx, claimWithin)
 		defer cancel()
@@ -215,26 +215,26 @@
 
 func (ev claimedEvent) apply(e *engine) {
 	name := ev.claim.From.Shard
-	delete(e.claiming, name)
+	delete(e.claimsInFlight, name)
 	if errors.Is(ev.err, errFirstLook) {
-		e.probed[name] = e.at
+		e.probedAt[name] = e.now
 	}
 	if ev.err != nil {
 		klog.InfoS("kept: claim failed", "shard", name, "token", ev.claim.To.Token, "why", ev.err)
 		return
 	}
 	item := store.Item{Key: site.ShardKey(name), Value: site.Encode(ev.claim.To), Revision: ev.revision}
-	if err := e.site.Apply(e.at, store.Event{Item: item}); err != nil {
+	if err := e.site.Apply(e.now, store.Event{Item: item}); err != nil {
 		klog.ErrorS(err, "kept: a key of the site cannot be read")
 		return
 	}
-	delete(e.probed, name)
+	delete(e.probedAt, name)
 	e.followHoldings(0)
 	e.rehome()
 }
 
 // scan reads the unfinished submissions of a shard from the store.
-func (e *engine) scan(name string, h *held) {
+func (e *engine) scan(name string, h *heldShard) {
 	h.scanning = true
 	token := h.holding.Token
 	// What is read later only finds records whose holder was not told of them; what
@@ -282,11 +282,11 @@
 	}
 	h.scanning = false
 	first := h.scannedAt == 0
-	h.scannedAt = e.at
+	h.scannedAt = e.now
 	if ev.evacuations != nil {
 		ev.evacuations.apply(e) // before the first start here
 	}
-	h.core.AddWorkersOfPreviousHolder(e.at, ev.known)
+	h.core.AddWorkersOfPreviousHolder(e.now, ev.known)
 	e.alignSessions(h)
 	for _, r := range ev.records {
 		if !h.core.IsKnown(r) {
@@ -295,7 +295,7 @@
 				"revision", r.Revision, "stored_under", r.Record.Token, "home", r.Record.Home)
 		}
 	}
-	h.core.AddRecords(e.at, ev.records)
+	h.core.AddRecords(e.now, ev.records)
 	if first {
 		klog.InfoS("kept: shard recovered", "shard", ev.shard, "token", ev.token, "unfinished", len(ev.records))
 	}
@@ -312,5 +312,5 @@
 		close(ev.done) // there is nothing to hand over, or nobody to take it
 		return
 	}
-	e.draining = ev.done
+	e.drained = ev.done
 }
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -42,7 +42,7 @@
 )
 
 func (ev submitEvent) apply(e *engine) {
-	ev.came = e.at
+	ev.came = e.now
 	if !e.holdEarly(ev) {
 		e.decide(ev)
 	}
@@ -72,7 +72,7 @@
 	}
 	h.record = ev.record
 	h.came = ev.came
-	h.changed = e.at
+	h.changed = e.now
 	h.waiters = append(h.waiters, ev.reply)
 	e.create(h)
 }
@@ -97,7 +97,7 @@
 	h.shard = name
 	h.tries++
 	if l := e.loads[name]; l != nil {
-		l.sent += int64(need) * largestTask(rec)
+		l.sentMilli += int64(need) * largestTask(rec)
 	}
 	value := rec.Encode()
 	id := rec.ID
@@ -119,8 +119,8 @@
 	if !h.looking {
 		delete(e.homes, h.record.ID)
 	}
-	e.vm.figures.queue(h.record.Queue).ended("refused", e.at-h.came)
-	klog.InfoS("kept: refused", "id", h.record.ID, "queue", h.record.Queue, "why", o.Why, "tries", h.tries, "waited", e.at-h.came)
+	e.vm.figures.queue(h.record.Queue).ended("refused", e.now-h.came)
+	klog.InfoS("kept: refused", "id", h.record.ID, "queue", h.record.Queue, "why", o.Why, "tries", h.tries, "waited", e.now-h.came)
 	e.answer(h, o)
 }
 
@@ -157,12 +157,12 @@
 		h.created = true
 		h.revision = ev.result.Revision
 		h.state = submission.Queued
-		h.changed = e.at
+		h.changed = e.now
 		q := e.vm.figures.queue(ev.record.Queue)
 		q.taken.Inc(1)
-		q.stored.RecordDuration(e.at - h.came)
+		q.stored.RecordDuration(e.now - h.came)
 		klog.InfoS("kept: accepted", "id", ev.record.ID, "queue", ev.record.Queue, "shard", h.shard, "token", ev.record.Token,
-			"revision", h.revision, "tasks", ev.record.Tasks(), "took", e.at-h.came, "tries", ev.result.Attempts)
+			"revision", h.revision, "tasks", ev.record.Tasks(), "took", e.now-h.came, "tries", ev.result.Attempts)
 		e.answer(h, Outcome{Kind: Accepted})
 		e.assign(h)
 	case journal.Conflict:
@@ -170,7 +170,7 @@
 	case journal.Refused:
 		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "the store takes nothing"})
 	case journal.Unknown:
-		klog.InfoS("kept: not known whether accepted", "id", ev.record.ID, "took", e.at-h.came)
+		klog.InfoS("kept: not known whether accepted", "id", ev.record.ID, "took", e.now-h.came)
 		delete(e.homes, ev.record.ID)
 		e.answer(h, Outcome{Kind: Indeterminate, Why: "the store did not answer"})
 	}
@@ -189,12 +189,12 @@
 		case it.Key == submission.FinalKey(h.record.ID):
 			h.created = true
 			h.state = finalState(it)
-			h.changed = e.at
+			h.changed = e.now
 			e.answer(h, Outcome{Kind: Accepted})
 			return
 		}
 	}
-	if h.tries >= intakeTries || e.at-h.came > intakeWithin {
+	if h.tries >= intakeTries || e.now-h.came > intakeWithin {
 		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "its shard changes hands"})
 		return
 	}
@@ -207,7 +207,7 @@
 	h.created = true
 	h.revision = it.Revision
 	h.state = submission.Queued
-	h.changed = e.at
+	h.changed = e.now
 	if r, err := submission.DecodeRecord(h.record.ID, it.Value); err == nil {
 		h.record = r
 		h.shard = r.Shard
@@ -223,13 +223,13 @@
 func (e *engine) assign(h *home) {
 	holding := e.site.Holding(h.shard)
 	h.token = holding.Token
-	h.asked = e.at
+	h.asked = e.now
 	if holding.Token != h.record.Token {
 		return // its holder has read it from the store
 	}
 	if own := e.shards[h.shard]; own != nil {
 		if own.holding.Token == holding.Token {
-			own.core.Assign(e.at, shard.StoredRecord{Record: h.record, Revision: h.revision})
+			own.core.Assign(e.now, shard.StoredRecord{Record: h.record, Revision: h.revision})
 		}
 		return
 	}
@@ -258,7 +258,7 @@
 		klog.InfoS("kept: a submission for another holder", "id", id, "peer", from, "shard", r.Shard, "token", r.Token)
 		return // its home asks again, and the holder finds it in the store
 	}
-	h.core.Assign(e.at, shard.StoredRecord{Record: r, Revision: a.Revision})
+	h.core.Assign(e.now, shard.StoredRecord{Record: r, Revision: a.Revision})
 }
 
 // rehome asks the new holders about submissions that were given to earlier ones.
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -206,8 +206,8 @@
 	e := newEngine(context.Background(), v)
 	wants := func(outdated bool, when string) {
 		t.Helper()
-		e.at = now
-		if got := e.listOutdated(e.lists["a"], v.router.LastCalls()); got != outdated {
+		e.now = now
+		if got := e.listOutdated(e.workerLists["a"], v.router.LastCalls()); got != outdated {
 			t.Errorf("the list is outdated: %v, want %v, %s", got, outdated, when)
 		}
 	}
@@ -217,7 +217,7 @@
 	}
 	call()
 	wants(true, "without a list")
-	e.lists["a"] = &domainList{at: now}
+	e.workerLists["a"] = &domainList{at: now}
 	wants(false, "when it is new")
 	now += leavingWithin
 	call()
@@ -233,7 +233,7 @@
 	wants(true, "when the store has answered for long")
 	direct.fails = true
 	call()
-	delete(e.lists, "a")
+	delete(e.workerLists, "a")
 	wants(false, "without a list and without the store")
 }
 
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -91,7 +91,7 @@
 	contact := e.vm.router.LastCalls()
 	for name, h := range e.shards {
 		domain := site.DomainOf(name)
-		l := e.lists[domain]
+		l := e.workerLists[domain]
 		switch {
 		case e.reads(domain):
 			reading = true
@@ -99,23 +99,23 @@
 				e.tellWorkers(domain, l)
 			}
 		case l == nil:
-			reading = reading || e.at-h.takenAt > listFirst
+			reading = reading || e.now-h.acquiredAt > listFirst
 		default:
 			reading = reading || l.own() || e.listOld(l)
 		}
 		h.core.SetListOutdated(e.listOutdated(l, contact))
 	}
 	e.holdersChanged = false
-	if reading != e.reading {
-		e.reading = reading
-		e.lastRead = workersEvent{}
+	if reading != e.readingWorkers {
+		e.readingWorkers = reading
+		e.lastWorkersRead = workersEvent{}
 		e.vm.readWorkers(reading)
 	}
 }
 
 // listOld reports whether a list that this VM was told is so old that it reads the list itself.
 func (e *engine) listOld(l *domainList) bool {
-	return e.at-l.at > e.vm.config.noticeShare(listFresh)
+	return e.now-l.at > e.vm.config.noticeShare(listFresh)
 }
 
 // listOutdated reports whether nothing may start on a list as a newer one can be had; nil: there is none
@@ -124,7 +124,7 @@
 	if l == nil {
 		return c.AnsweredAt >= c.UnansweredAt
 	}
-	return e.at-c.UnansweredAt > storeSteady && c.AnsweredAt-l.at > e.vm.config.noticeShare(listMost)
+	return e.now-c.UnansweredAt > storeSteady && c.AnsweredAt-l.at > e.vm.config.noticeShare(listMost)
 }
 
 // tellWorkers tells the other holders of a domain of its workers: the whole list if it has changed, to a
@@ -135,18 +135,18 @@
 	if changed {
 		pace = listChanged
 	}
-	due := e.at-l.toldAt >= pace
+	due := e.now-l.toldAt >= pace
 	if !due && !e.holdersChanged {
 		return
 	}
-	all := due && (changed || e.at-l.wholeAt >= listEvery)
+	all := due && (changed || e.now-l.wholeAt >= listEvery)
 	told := make(map[string]bool)
 	var list []byte
 	for _, holder := range e.site.HoldersIn(domain) {
 		if holder == e.vm.config.Name || e.links[holder] == nil {
 			continue
 		}
-		w := &pb.KeptWorkers{Domain: domain, AgeNs: uint64(e.at - l.at), Version: l.version}
+		w := &pb.KeptWorkers{Domain: domain, AgeNs: uint64(e.now - l.at), Version: l.version}
 		switch {
 		case all || !l.told[holder]:
 			if list == nil {
@@ -163,16 +163,16 @@
 	}
 	l.told = told
 	if due {
-		l.toldAt = e.at
+		l.toldAt = e.now
 	}
 	if all {
-		l.wholeAt, l.toldVersion = e.at, l.version
+		l.wholeAt, l.toldVersion = e.now, l.version
 	}
 }
 
 // forgetTold has a peer told the whole lists again: its process or its link is new.
 func (e *engine) forgetTold(peer string) {
-	for _, l := range e.lists {
+	for _, l := range e.workerLists {
 		delete(l.told, peer)
 	}
 	e.holdersChanged = true
@@ -182,7 +182,7 @@
 // the next shard is taken.
 func (e *engine) forgetList(domain string) {
 	if !e.heldDomains()[domain] {
-		delete(e.lists, domain)
+		delete(e.workerLists, domain)
 	}
 }
 
@@ -191,8 +191,8 @@
 	if !e.heldDomains()[w.Domain] {
 		return // this VM has just lost its shard there
 	}
-	at := e.at - time.Duration(w.AgeNs)
-	l := e.lists[w.Domain]
+	at := e.now - time.Duration(w.AgeNs)
+	l := e.workerLists[w.Domain]
 	if l != nil && at < l.at {
 		return // an older list than the one here: of an earlier reader, or one that the store does not answer
 	}
@@ -221,10 +221,10 @@
 
 // apply takes what this VM has read.
 func (ev workersEvent) apply(e *engine) {
-	if !e.reading {
+	if !e.readingWorkers {
 		return // it was under way when the reader's word came
 	}
-	e.lastRead = ev
+	e.lastWorkersRead = ev
 	for domain := range e.heldDomains() {
 		e.useOwnReading(domain)
 	}
@@ -232,18 +232,18 @@
 
 // useOwnReading takes the list of a domain as this VM has read it last, unless its reader tells of it.
 func (e *engine) useOwnReading(domain string) {
-	l := e.lists[domain]
+	l := e.workerLists[domain]
 	switch {
-	case !e.reading, e.lastRead.list == nil, l != nil && e.lastRead.sent < l.at:
+	case !e.readingWorkers, e.lastWorkersRead.list == nil, l != nil && e.lastWorkersRead.sent < l.at:
 	case l != nil && !e.reads(domain) && !l.own() && !e.listOld(l):
 	default:
 		infos := []worker.Info{}
-		for _, info := range e.lastRead.list {
+		for _, info := range e.lastWorkersRead.list {
 			if info.Domain == domain {
 				infos = append(infos, info)
 			}
 		}
-		e.setList(domain, infos, e.lastRead.sent, "", 0)
+		e.setList(domain, infos, e.lastWorkersRead.sent, "", 0)
 	}
 }
 
@@ -253,10 +253,10 @@
 	slices.SortFunc(infos, func(a, b worker.Info) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Revision, b.Revision))
 	})
-	l := e.lists[domain]
+	l := e.workerLists[domain]
 	if l == nil {
 		l = &domainList{}
-		e.lists[domain] = l
+		e.workerLists[domain] = l
 	}
 	changed := l.infos == nil || !slices.EqualFunc(l.infos, infos, sameWorker)
 	switch {
@@ -269,7 +269,7 @@
 	if changed {
 		l.byShard = nil
 		klog.InfoS("kept: workers of a domain", "domain", domain, "workers", len(infos), "leaving", leavingCount(infos),
-			"told_by", from, "age", e.at-at)
+			"told_by", from, "age", e.now-at)
 	}
 	for name, h := range e.shards {
 		switch {
@@ -307,15 +307,15 @@
 
 // nextListVersion numbers the lists that this VM tells; no other process tells the same number.
 func (e *engine) nextListVersion() uint64 {
-	e.listVersions++
-	return e.vm.config.Incarnation + e.listVersions
+	e.lastListVersion++
+	return e.vm.config.Incarnation + e.lastListVersion
 }
 
 // listAge is how long ago the store was asked for the list that a shard's workers are of; -1: there is
 // none.
 func (e *engine) listAge(shard string) time.Duration {
-	if l := e.lists[site.DomainOf(shard)]; l != nil {
-		return e.at - l.at
+	if l := e.workerLists[site.DomainOf(shard)]; l != nil {
+		return e.now - l.at
 	}
 	return -1
 }
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -22,7 +22,7 @@
 		}
 		return nil, &Outcome{Kind: Refused, RetryAfter: retryAfter, Why: string(why)}
 	}
-	if reason := policy.Admit(e.at, e.work(r, came), shards); reason.Refused() {
+	if reason := policy.Admit(e.now, e.work(r, came), shards); reason.Refused() {
 		return nil, &Outcome{Kind: Refused, RetryAfter: e.comeBack(r, shards), Why: string(reason)}
 	}
 	return shards, nil
@@ -43,11 +43,11 @@
 		_, queue := l.QueuedAhead(0, true)
 		ahead, wait := l.QueuedAhead(r.Terms.Priority, !e.vm.config.Policy.ByPriority)
 		// What this VM has sent there since the shard's last word counts as waiting there.
-		sent := time.Duration(float64(task) * float64(l.sent) / float64(max(l.CapacityMilli, 1)))
+		sent := time.Duration(float64(task) * float64(l.sentMilli) / float64(max(l.CapacityMilli, 1)))
 		out = append(out, policy.Candidate{
 			Shard:       name,
 			InOwnDomain: site.DomainOf(name) == e.vm.config.Domain,
-			Free:        max(l.FreeSlots(size, ahead)-int(l.sent/size), 0),
+			Free:        max(l.FreeSlots(size, ahead)-int(l.sentMilli/size), 0),
 			Capacity:    int(l.CapacityMilli / size),
 			Wait:        wait + sent,
 			QueueTime:   queue + sent,
@@ -74,7 +74,7 @@
 	if len(shards) == 0 {
 		return retryAfter
 	}
-	return e.turns.RetryAfter(e.at, policy.MinWait(shards), e.workTime(r))
+	return e.retryTurns.RetryAfter(e.now, policy.MinWait(shards), e.workTime(r))
 }
 
 // workTime is the time that a submission's work takes on this VM's share of all room.
@@ -110,23 +110,23 @@
 
 // tellLoads tells all peers how much the shards of this VM could take.
 func (e *engine) tellLoads() {
-	pace := max(loadAtMost, time.Duration(len(e.links))*loadPerPeer)
+	pace := max(minLoadInterval, time.Duration(len(e.links))*loadIntervalPerPeer)
 	for name, h := range e.shards {
-		since := e.at - h.loadAt
+		since := e.now - h.loadSentAt
 		if since < pace {
 			continue
 		}
-		load := h.core.Load(e.at)
-		if since < loadEvery && sameLoad(load, h.load) {
+		load := h.core.Load(e.now)
+		if since < loadInterval && sameLoad(load, h.sentLoad) {
 			continue
 		}
-		h.loadAt = e.at
-		h.load = load
+		h.loadSentAt = e.now
+		h.sentLoad = load
 		e.vm.figures.shard(name).set(len(h.sessions), &load)
 		e.takeLoad(e.vm.config.Name, name, h.holding.Token, load)
-		far := e.at-h.farAt >= loadFar || len(e.links) <= site.MaxFullMeshPeers
+		far := e.now-h.loadSentFarAt >= farLoadInterval || len(e.links) <= site.MaxFullMeshPeers
 		if far {
-			h.farAt = e.at
+			h.loadSentFarAt = e.now
 		}
 		e.sendLoad(name, encodeLoad(name, h.holding.Token, &load), far)
 	}
@@ -177,13 +177,13 @@
 func (e *engine) takeLoad(holder, name string, token uint64, load shard.Load) {
 	l := e.loads[name]
 	if l == nil {
-		l = &loadView{}
+		l = &knownLoad{}
 		e.loads[name] = l
 	}
 	if token < l.token {
 		return // of an earlier holder
 	}
-	*l = loadView{Load: load, holder: holder, token: token, at: e.at}
+	*l = knownLoad{Load: load, holder: holder, token: token, receivedAt: e.now}
 }
 
 func (ev holdsEvent) apply(e *engine) { ev.reply <- e.shards[ev.shard] != nil }
--- a/internal/kept/vm/noted.go
+++ b/internal/kept/vm/noted.go
@@ -18,8 +18,8 @@
 const notedPrefix = "pumiceyard/workers/"
 
 // noteWorkers stores the workers of a shard if they are others than before.
-func (e *engine) noteWorkers(h *held) {
-	if h.scannedAt == 0 || h.noting {
+func (e *engine) noteWorkers(h *heldShard) {
+	if h.scannedAt == 0 || h.storingWorkers {
 		return
 	}
 	var list []worker.Info
@@ -33,10 +33,10 @@
 		klog.ErrorS(err, "kept: the workers of a shard have no JSON form", "shard", h.holding.Shard)
 		return
 	}
-	if string(value) == h.noted || len(list) == 0 {
+	if string(value) == h.storedWorkers || len(list) == 0 {
 		return
 	}
-	h.noting = true
+	h.storingWorkers = true
 	name, token, guard := h.holding.Shard, h.holding.Token, h.guard()
 	e.vm.duty(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, claimWithin)
@@ -61,12 +61,12 @@
 	if h == nil || h.holding.Token != ev.token {
 		return
 	}
-	h.noting = false
+	h.storingWorkers = false
 	if ev.err != nil {
 		klog.InfoS("kept: the workers of a shard were not stored", "shard", ev.shard, "why", ev.err)
 		return // the next look at the list repeats it
 	}
-	h.noted = ev.value
+	h.storedWorkers = ev.value
 }
 
 // readNotedWorkers reads the workers that earlier holders of a shard used.
--- a/internal/kept/vm/offload.go
+++ b/internal/kept/vm/offload.go
@@ -15,13 +15,13 @@
 
 // offload has a shard with waiting tasks give some of them to others that have free room, as far as
 // is known here. All shards that have something waiting share that room.
-func (e *engine) offload(name string, h *held) {
+func (e *engine) offload(name string, h *heldShard) {
 	waited := time.Duration(e.vm.config.Policy.OffloadMillis) * time.Millisecond
-	if waited == 0 || e.at-h.offloadAt < offloadPace {
+	if waited == 0 || e.now-h.offloadAt < offloadPace {
 		return
 	}
-	h.offloadAt = e.at
-	n := h.core.Offload(e.at, waited, func(milli int64) int { return e.roomElsewhere(name, milli) })
+	h.offloadAt = e.now
+	n := h.core.Offload(e.now, waited, func(milli int64) int { return e.roomElsewhere(name, milli) })
 	if n > 0 {
 		klog.InfoS("kept: tasks given back, others have room", "shard", name, "token", h.holding.Token, "tasks", n)
 	}
@@ -39,7 +39,7 @@
 			full++
 			continue
 		}
-		free += max(l.FreeSlots(size, 0)-int(l.sent/size), 0)
+		free += max(l.FreeSlots(size, 0)-int(l.sentMilli/size), 0)
 	}
 	if own := e.loads[name]; own != nil && own.CapacityMilli == 0 && room > 0 {
 		return lostRoom
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -45,24 +45,24 @@
 
 // noteWanted takes whether a peer needs the link from here.
 func (e *engine) noteWanted(from string, wanted bool) {
-	before, _ := e.wantedBy.Swap(from, wanted)
+	before, _ := e.linkWantedBy.Swap(from, wanted)
 	if was, _ := before.(bool); was != wanted {
 		e.vm.post(wantedEvent{})
 	}
 }
 
-func (ev wantedEvent) apply(e *engine) { e.linksDue = true }
+func (ev wantedEvent) apply(e *engine) { e.linksOutdated = true }
 
 // followMembers opens and closes links as VMs and holders come and go. A link is kept while this
 // VM needs it, its peer does, or something of this VM is under way there.
 func (e *engine) followMembers() {
 	wanted := make(map[string]site.Peer)
 	own := make(map[string]bool)
-	for _, p := range e.site.Peers(e.at) {
+	for _, p := range e.site.Peers(e.now) {
 		wanted[p.Name] = p
 		own[p.Name] = true
 	}
-	e.wantedBy.Range(func(name, is any) bool {
+	e.linkWantedBy.Range(func(name, is any) bool {
 		if m, there := e.site.Member(name.(string)); there && is.(bool) && !own[m.Name] {
 			wanted[m.Name] = site.Peer{Member: m}
 		}
@@ -71,17 +71,17 @@
 	for name, l := range e.links {
 		if p, still := wanted[name]; still && p.Address == l.Address() {
 			l.SetNeeded(own[name])
-			e.neededAt[name] = e.at
+			e.linkNeededAt[name] = e.now
 			continue
 		}
-		if m, there := e.site.Member(name); there && m.Address == l.Address() && (e.at-e.neededAt[name] < linkLinger || e.busyWith(name)) {
+		if m, there := e.site.Member(name); there && m.Address == l.Address() && (e.now-e.linkNeededAt[name] < linkLinger || e.busyWith(name)) {
 			l.SetNeeded(false)
 			continue
 		}
 		go l.Close()
 		delete(e.links, name)
-		delete(e.up, name)
-		delete(e.neededAt, name)
+		delete(e.linkUp, name)
+		delete(e.linkNeededAt, name)
 		e.waiting.forget(name)
 		e.site.LinkClosed(name)
 		e.vm.calls.set(name, nil)
@@ -91,7 +91,7 @@
 			e.openLink(p, own[name])
 		}
 	}
-	e.linkedAt = e.at
+	e.linksUpdatedAt = e.now
 }
 
 func (e *engine) openLink(p site.Peer, own bool) {
@@ -104,7 +104,7 @@
 	l := link.Open(e.ctx, settings, e.vm.heartbeat(), p.Name, p.Address, e.vm.config.PeerDial, e)
 	l.SetNeeded(own)
 	e.links[p.Name] = l
-	e.neededAt[p.Name] = e.at
+	e.linkNeededAt[p.Name] = e.now
 	e.vm.calls.set(p.Name, l)
 }
 
@@ -146,28 +146,28 @@
 // tidyLinks opens and closes links when VMs or holders have changed, and looks now and then whether
 // links are kept that nobody needs any more.
 func (e *engine) tidyLinks() {
-	due := e.linksDue && (len(e.links) <= site.MaxFullMeshPeers || e.at-e.linkedAt >= linksPace)
-	if due || e.at-e.linkedAt >= linkLinger {
-		e.linksDue = false
+	due := e.linksOutdated && (len(e.links) <= site.MaxFullMeshPeers || e.now-e.linksUpdatedAt >= linksPace)
+	if due || e.now-e.linksUpdatedAt >= linkLinger {
+		e.linksOutdated = false
 		e.followMembers()
 	}
 }
 
 func (ev peerUpEvent) apply(e *engine) {
-	if !e.up[ev.name] {
+	if !e.linkUp[ev.name] {
 		klog.InfoS("kept: peer reached", "peer", ev.name, "incarnation", ev.incarnation)
 	}
-	e.up[ev.name] = true
-	if old := e.incarnations[ev.name]; old != 0 && old != ev.incarnation {
+	e.linkUp[ev.name] = true
+	if old := e.peerIncarnations[ev.name]; old != 0 && old != ev.incarnation {
 		e.homeLost(ev.name) // its earlier process ended without being missed
 	}
-	e.incarnations[ev.name] = ev.incarnation
+	e.peerIncarnations[ev.name] = ev.incarnation
 	e.doubt(ev.name)
 	e.tellEvacuations(ev.name)
 	e.forgetTold(ev.name)
 	e.site.SetLinkLost(ev.name, false)
 	for _, h := range e.shards {
-		h.loadAt = e.at - loadEvery // the peer may have missed the last word
+		h.loadSentAt = e.now - loadInterval // the peer may have missed the last word
 	}
 }
 
@@ -188,11 +188,11 @@
 }
 
 func (ev peerLostEvent) apply(e *engine) {
-	if e.up[ev.name] {
+	if e.linkUp[ev.name] {
 		e.vm.figures.suspected.Inc(1)
 		klog.InfoS("kept: peer lost", "peer", ev.name, "why", ev.why)
 	}
-	e.up[ev.name] = false
+	e.linkUp[ev.name] = false
 	e.waiting.forget(ev.name)
 	e.site.SetLinkLost(ev.name, true)
 	e.noteCalm()
@@ -203,7 +203,7 @@
 // homeLost ends the transient submissions of a VM that cannot be reached.
 func (e *engine) homeLost(peer string) {
 	for name, h := range e.shards {
-		if n := h.core.HomeLost(e.at, peer); n > 0 {
+		if n := h.core.HomeLost(e.now, peer); n > 0 {
 			klog.InfoS("kept: submissions ended, their home is lost", "home", peer, "shard", name, "submissions", n)
 		}
 	}
@@ -250,7 +250,7 @@
 	}
 	e.takeEvacuations(ev.from, f.Evacuations)
 	for _, w := range f.Elsewhere {
-		e.waiting.takeDomain(w.Domain, domainReport{counts: w.ByQueue, at: e.at - time.Duration(w.AgeNs)})
+		e.waiting.takeDomain(w.Domain, domainReport{counts: w.ByQueue, at: e.now - time.Duration(w.AgeNs)})
 	}
 	for _, c := range f.Calls {
 		e.relay(ev.from, c)
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -177,7 +177,7 @@
 }
 
 func (ev listedEvent) apply(e *engine) {
-	if l := e.lists[ev.domain]; l != nil {
+	if l := e.workerLists[ev.domain]; l != nil {
 		ev.reply <- len(l.infos)
 		return
 	}
@@ -192,13 +192,13 @@
 	v.router = relay.New(nil, nil, v.now)
 	e := newEngine(context.Background(), v)
 	fresh := v.config.noticeShare(listFresh)
-	e.shards["a/1"] = &held{core: shard.New(now, shard.DefaultSettings(), 1, now), takenAt: now, noting: true}
+	e.shards["a/1"] = &heldShard{core: shard.New(now, shard.DefaultSettings(), 1, now), acquiredAt: now, storingWorkers: true}
 	wants := func(reading bool, when string) {
 		t.Helper()
-		e.at = now
+		e.now = now
 		e.followLists()
-		if e.reading != reading {
-			t.Errorf("reads the list itself: %v, %s", e.reading, when)
+		if e.readingWorkers != reading {
+			t.Errorf("reads the list itself: %v, %s", e.readingWorkers, when)
 		}
 	}
 	word := func(age time.Duration) {
@@ -224,12 +224,12 @@
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }}
 	e := newEngine(context.Background(), v)
-	e.at = now
-	e.shards["a/1"] = &held{core: shard.New(now, shard.DefaultSettings(), 1, now), takenAt: now, noting: true}
+	e.now = now
+	e.shards["a/1"] = &heldShard{core: shard.New(now, shard.DefaultSettings(), 1, now), acquiredAt: now, storingWorkers: true}
 	for version := range uint64(2) {
 		e.takeWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), Version: version + 1})
 	}
-	e.at += time.Second
+	e.now += time.Second
 	e.takeWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 1})
 	if e.listAge("a/1") != time.Second {
 		t.Error("a word of an earlier version counts")
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -26,14 +26,14 @@
 // while: a message may have been lost with a link.
 func (e *engine) askForStates() {
 	for _, h := range e.homes {
-		if h.created && !h.state.Final() && e.at-max(h.asked, h.changed) > askAgain {
+		if h.created && !h.state.Final() && e.now-max(h.asked, h.changed) > stateQueryInterval {
 			e.askHolder(h)
 		}
 	}
 }
 
 func (e *engine) askHolder(h *home) {
-	h.asked = e.at
+	h.asked = e.now
 	if own := e.shards[h.shard]; own != nil {
 		e.tellOwn(h.id, own)
 		return
@@ -49,7 +49,7 @@
 }
 
 // tellOwn takes the state of a submission from a shard that this VM holds itself.
-func (e *engine) tellOwn(id submission.ID, own *held) {
+func (e *engine) tellOwn(id submission.ID, own *heldShard) {
 	state, known := own.core.State(id)
 	if known {
 		e.learnState(id, stateReport{shard: own.holding.Shard, token: own.holding.Token, state: state})
@@ -94,7 +94,7 @@
 }
 
 // report is what the holder of a shard says of a submission.
-func (h *held) report(a shard.StateAction) stateReport {
+func (h *heldShard) report(a shard.StateAction) stateReport {
 	return stateReport{shard: h.holding.Shard, token: h.holding.Token, state: a.State, serial: a.Serial, returned: a.Returned}
 }
 
@@ -134,7 +134,7 @@
 		if state == submission.Unknown || state == submission.Rejected {
 			return
 		}
-		h = &home{id: id, shard: w.shard, created: true, came: e.at}
+		h = &home{id: id, shard: w.shard, created: true, came: e.now}
 		e.homes[id] = h
 	}
 	if h.state.Final() {
@@ -151,10 +151,10 @@
 		return // an older word that was overtaken
 	}
 	h.state = state
-	h.changed = e.at
+	h.changed = e.now
 	h.created = true
 	if state.Final() && h.record != nil {
-		e.vm.figures.queue(h.record.Queue).ended(state.String(), e.at-h.came)
+		e.vm.figures.queue(h.record.Queue).ended(state.String(), e.now-h.came)
 	}
 	if state.Final() {
 		h.record = nil // only its state is asked for from now on
@@ -239,7 +239,7 @@
 		h.revision = ev.found.revision
 		h.created = true
 		h.state = max(h.state, submission.Queued)
-		h.changed = e.at
+		h.changed = e.now
 		e.askHolder(h)
 		answerAll(askers, StateAnswer{State: h.state})
 	default:
@@ -261,11 +261,11 @@
 
 // watchOwn keeps a caller that waits for the end of a submission whose home is another
 // VM, and that a shard of this one has.
-func (e *engine) watchOwn(ev stateEvent, own *held, state submission.State) {
+func (e *engine) watchOwn(ev stateEvent, own *heldShard, state submission.State) {
 	if state.Final() {
 		return
 	}
-	h := &home{id: ev.id, shard: own.holding.Shard, token: own.holding.Token, created: true, state: state, came: e.at, changed: e.at}
+	h := &home{id: ev.id, shard: own.holding.Shard, token: own.holding.Token, created: true, state: state, came: e.now, changed: e.now}
 	h.watch(ev.ended)
 	e.homes[ev.id] = h
 	own.asks(ev.id, e.vm.config.Name)
@@ -273,28 +273,28 @@
 
 // asks notes a VM that asked for a submission which has not ended: it is told of the end
 // as the home is, since callers ask at other VMs than the one that they handed it in at.
-func (h *held) asks(id submission.ID, entryVM string) {
-	if asked := h.asked[id]; len(asked) < watchersMost && !slices.Contains(asked, entryVM) {
-		h.asked[id] = append(asked, entryVM)
+func (h *heldShard) asks(id submission.ID, entryVM string) {
+	if asked := h.askers[id]; len(asked) < watchersMost && !slices.Contains(asked, entryVM) {
+		h.askers[id] = append(asked, entryVM)
 	}
 }
 
 // tellAskers tells the VMs that asked for a submission of its end.
-func (e *engine) tellAskers(h *held, s shard.StateAction, w stateReport) {
+func (e *engine) tellAskers(h *heldShard, s shard.StateAction, w stateReport) {
 	if !s.State.Final() {
 		return
 	}
-	for _, entryVM := range h.asked[s.ID] {
+	for _, entryVM := range h.askers[s.ID] {
 		if entryVM != s.Home {
 			e.tellState(s.ID, entryVM, w)
 		}
 	}
-	delete(h.asked, s.ID)
+	delete(h.askers, s.ID)
 }
 
 // forgetAskers drops what no end will be told of any more.
-func (h *held) forgetAskers() {
-	maps.DeleteFunc(h.asked, func(id submission.ID, _ []string) bool {
+func (h *heldShard) forgetAskers() {
+	maps.DeleteFunc(h.askers, func(id submission.ID, _ []string) bool {
 		state, known := h.core.State(id)
 		return !known || state.Final()
 	})
@@ -332,7 +332,7 @@
 		}
 	}
 	if h == nil {
-		h = &home{id: ev.id, came: e.at, changed: e.at}
+		h = &home{id: ev.id, came: e.now, changed: e.now}
 		e.homes[ev.id] = h
 	}
 	h.watch(ev.ended)
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -33,12 +33,12 @@
 	}
 	switch {
 	case t.takenBackAt == 0 && t.anyReturned():
-		t.takenBackAt = e.at // a holder has rejected its part by itself
+		t.takenBackAt = e.now // a holder has rejected its part by itself
 	case t.takenBackAt == 0 && !t.anyBegun():
-		if reason := e.vm.config.Policy.KeepWaiting(e.at, e.work(t.record, t.came)); reason.Refused() {
+		if reason := e.vm.config.Policy.KeepWaiting(e.now, e.work(t.record, t.came)); reason.Refused() {
 			e.takeBack(t, reason)
 		}
-	case t.takenBackAt > 0 && t.anyReturned() && (t.anyBegun() || e.at-t.takenBackAt > takeBackWithin):
+	case t.takenBackAt > 0 && t.anyReturned() && (t.anyBegun() || e.now-t.takenBackAt > takeBackWithin):
 		e.giveOutAgain(t)
 	}
 }
@@ -54,10 +54,10 @@
 }
 
 func (e *engine) takeBack(t *transient, reason policy.Reason) {
-	t.takenBackAt = e.at
-	klog.InfoS("kept: taken back", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.at-t.came)
+	t.takenBackAt = e.now
+	klog.InfoS("kept: taken back", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.came)
 	e.tellHolders(t,
-		func(own *shard.Shard) { own.TakeBack(e.at, t.record.ID) },
+		func(own *shard.Shard) { own.TakeBack(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.TakenBack = append(f.TakenBack, part) })
 }
 
@@ -77,7 +77,7 @@
 		p.record.Shard = p.shard
 		p.state = submission.Queued
 		p.token = 0
-		p.changed = e.at
+		p.changed = e.now
 		klog.InfoS("kept: given out again", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "tasks", p.record.Tasks())
 		e.give(t, p, l)
 	}
@@ -85,7 +85,7 @@
 }
 
 // shardFor chooses the shard that a part is given to next; nil if there is none.
-func (e *engine) shardFor(t *transient, p *part) *loadView {
+func (e *engine) shardFor(t *transient, p *part) *knownLoad {
 	shards := e.reachableShards(p.record)
 	shards = slices.DeleteFunc(shards, func(c policy.Candidate) bool {
 		other := t.part(c.Shard)
@@ -102,6 +102,6 @@
 // takeBackPart answers a home that takes a part back.
 func (e *engine) takeBackPart(ref *pb.KeptRef) {
 	if h := e.shards[ref.Shard]; h != nil {
-		h.core.TakeBack(e.at, submission.ID(ref.Id))
+		h.core.TakeBack(e.now, submission.ID(ref.Id))
 	}
 }
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -71,8 +71,8 @@
 	}
 	parts, refusal := e.divide(ev.record, ev.came)
 	if refusal != nil {
-		e.vm.figures.queue(ev.record.Queue).ended("refused", e.at-ev.came)
-		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.at-ev.came, "retry_after", refusal.RetryAfter)
+		e.vm.figures.queue(ev.record.Queue).ended("refused", e.now-ev.came)
+		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.now-ev.came, "retry_after", refusal.RetryAfter)
 		ev.reply <- *refusal
 		return
 	}
@@ -93,16 +93,16 @@
 		l := e.loads[p.shard]
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
 		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
-			"tasks", p.record.Tasks(), "of", ev.record.Tasks(), "objective", ev.record.Terms.Objective(ev.record.Chain()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sent, "wait", wait, "load_age", e.at-l.at)
-		l.sent += int64(demand(p.record)) * largestTask(p.record)
+			"tasks", p.record.Tasks(), "of", ev.record.Tasks(), "objective", ev.record.Terms.Objective(ev.record.Chain()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
+		l.sentMilli += int64(demand(p.record)) * largestTask(p.record)
 		e.give(t, p, l)
 	}
 }
 
 // nextSerial names a hand-in of a transient submission.
 func (e *engine) nextSerial() uint64 {
-	e.serial++
-	return e.vm.config.Incarnation + e.serial
+	e.transientSerial++
+	return e.vm.config.Incarnation + e.transientSerial
 }
 
 // divide makes the parts of a submission. Steps that wait for each other stay together.
@@ -115,7 +115,7 @@
 	portions := e.vm.config.Policy.Split(shards, demand(r), divisible(r), longestEstimate(r))
 	if len(portions) == 1 {
 		r.Shard = portions[0].Shard
-		return []*part{{record: r, shard: r.Shard, changed: e.at}}, nil
+		return []*part{{record: r, shard: r.Shard, changed: e.now}}, nil
 	}
 	var parts []*part
 	first := r.Steps[0].First
@@ -127,7 +127,7 @@
 		piece.Steps[0].Count = portion.Tasks
 		piece.Part = true
 		first += portion.Tasks
-		parts = append(parts, &part{record: &piece, shard: piece.Shard, changed: e.at})
+		parts = append(parts, &part{record: &piece, shard: piece.Shard, changed: e.now})
 	}
 	return parts, nil
 }
@@ -136,8 +136,8 @@
 func divisible(r *submission.Record) bool { return len(r.Steps) == 1 && r.Steps[0].MaxPerWorker == 0 }
 
 // give hands a part to the holder of its shard.
-func (e *engine) give(t *transient, p *part, l *loadView) {
-	p.record.Age = e.at - t.came
+func (e *engine) give(t *transient, p *part, l *knownLoad) {
+	p.record.Age = e.now - t.came
 	if p.token == 0 {
 		p.record.Token = l.token
 	}
@@ -146,13 +146,13 @@
 	resumed := p.record.Token != l.token
 	p.token = l.token
 	p.holder = l.holder
-	p.asked = e.at
+	p.asked = e.now
 	p.lostAt = 0
 	if own := e.shards[p.shard]; own != nil {
 		if resumed {
-			own.core.Resume(e.at, p.record)
+			own.core.Resume(e.now, p.record)
 		} else {
-			own.core.Assign(e.at, shard.StoredRecord{Record: p.record})
+			own.core.Assign(e.now, shard.StoredRecord{Record: p.record})
 		}
 		return
 	}
@@ -169,9 +169,9 @@
 	case resumed:
 		e.vm.figures.resumed.Inc(1)
 		klog.InfoS("kept: resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
-		h.core.Resume(e.at, r)
+		h.core.Resume(e.now, r)
 	default:
-		h.core.Assign(e.at, shard.StoredRecord{Record: r})
+		h.core.Assign(e.now, shard.StoredRecord{Record: r})
 	}
 }
 
@@ -192,13 +192,13 @@
 		}
 		e.giveElsewhere(t)
 		e.reconsider(t)
-		if t.state.Final() && e.at-t.ended > answersFor {
+		if t.state.Final() && e.now-t.ended > answersFor {
 			delete(e.transients, t.record.ID)
 		}
 	}
 }
 
-func (e *engine) movePart(t *transient, p *part, l *loadView) {
+func (e *engine) movePart(t *transient, p *part, l *knownLoad) {
 	p.moves++
 	if p.moves > movesMost {
 		e.giveUp(t, "a shard of it changes hands again and again")
@@ -211,24 +211,24 @@
 // watchHolder asks a holder that has said nothing for a while, and gives up on one that
 // cannot be reached.
 func (e *engine) watchHolder(t *transient, p *part) {
-	if p.holder != e.vm.config.Name && !e.up[p.holder] {
+	if p.holder != e.vm.config.Name && !e.linkUp[p.holder] {
 		if p.lostAt == 0 {
-			p.lostAt = e.at
+			p.lostAt = e.now
 		}
-		if e.at-p.lostAt > holderAway {
+		if e.now-p.lostAt > holderAway {
 			e.giveUp(t, "the holder of a shard is away")
 		}
 		return
 	}
 	p.lostAt = 0
-	if e.at-max(p.asked, p.changed) > askAgain {
+	if e.now-max(p.asked, p.changed) > stateQueryInterval {
 		e.askPart(t, p)
 	}
 }
 
 // askPart asks a holder how far a part is.
 func (e *engine) askPart(t *transient, p *part) {
-	p.asked = e.at
+	p.asked = e.now
 	if own := e.shards[p.shard]; own != nil {
 		said, _ := own.core.Report(t.record.ID)
 		e.learnPart(t, p, own.report(said))
@@ -240,8 +240,8 @@
 
 // endExpired tells the callers to send the submission again.
 func (e *engine) giveUp(t *transient, why string) {
-	e.vm.figures.queue(t.record.Queue).ended("given_up", e.at-t.came)
-	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.at-t.came, "parts", len(t.parts))
+	e.vm.figures.queue(t.record.Queue).ended("given_up", e.now-t.came)
+	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.came, "parts", len(t.parts))
 	e.forgetTransient(t, Outcome{Kind: Indeterminate, Why: why})
 }
 
@@ -262,7 +262,7 @@
 // withdraw tells the holders of unfinished parts that nobody waits for them.
 func (e *engine) withdraw(t *transient) {
 	e.tellHolders(t,
-		func(own *shard.Shard) { own.Cancel(e.at, t.record.ID) },
+		func(own *shard.Shard) { own.Cancel(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.Cancelled = append(f.Cancelled, part) })
 }
 
@@ -320,7 +320,7 @@
 	if w.token != p.token && state != submission.Done && state != submission.Failed {
 		return
 	}
-	p.changed = e.at
+	p.changed = e.now
 	if own {
 		e.takeReturned(t, p, w.returned)
 	}
@@ -370,8 +370,8 @@
 // again.
 func (e *engine) refuseTransient(t *transient, why policy.Reason) {
 	after := e.comeBack(t.record, e.reachableShards(t.record))
-	e.vm.figures.queue(t.record.Queue).ended("refused", e.at-t.came)
-	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.at-t.came, "retry_after", after, "parts", len(t.parts))
+	e.vm.figures.queue(t.record.Queue).ended("refused", e.now-t.came)
+	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.came, "retry_after", after, "parts", len(t.parts))
 	e.forgetTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
 }
 
@@ -389,9 +389,9 @@
 
 func (e *engine) endTransient(t *transient, state submission.State) {
 	t.state = state
-	t.ended = e.at
-	e.vm.figures.queue(t.record.Queue).ended(state.String(), e.at-t.came)
-	klog.InfoS("kept: answered", "id", t.record.ID, "queue", t.record.Queue, "state", state.String(), "after", e.at-t.came, "parts", len(t.parts))
+	t.ended = e.now
+	e.vm.figures.queue(t.record.Queue).ended(state.String(), e.now-t.came)
+	klog.InfoS("kept: answered", "id", t.record.ID, "queue", t.record.Queue, "state", state.String(), "after", e.now-t.came, "parts", len(t.parts))
 	t.answer(Outcome{Kind: Ended, State: state})
 }
 
@@ -423,7 +423,7 @@
 	}
 	for _, p := range t.parts {
 		if p.record.Has(ref.Task) {
-			p.changed = e.at
+			p.changed = e.now
 			note(&p.record.Progress)
 		}
 	}
@@ -443,8 +443,8 @@
 	if t.state.Final() || len(t.waiters) > 0 {
 		return
 	}
-	e.vm.figures.queue(t.record.Queue).ended("abandoned", e.at-t.came)
-	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.at-t.came, "why", "its caller has gone")
+	e.vm.figures.queue(t.record.Queue).ended("abandoned", e.now-t.came)
+	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.now-t.came, "why", "its caller has gone")
 	e.withdraw(t)
 	delete(e.transients, ev.id)
 }
--- a/internal/kept/vm/transient_test.go
+++ b/internal/kept/vm/transient_test.go
@@ -13,23 +13,23 @@
 // lost, the holder says that it does not know it, and the home hands it over again.
 // Cause: the second time it was handed over as new, as this holder had been told of it.
 func TestHandedOverAgainIsStillNotNew(t *testing.T) {
-	e := &engine{at: time.Hour, shards: map[string]*held{}, frames: map[string]*pb.KeptFrame{}}
+	e := &engine{now: time.Hour, shards: map[string]*heldShard{}, frames: map[string]*pb.KeptFrame{}}
 	p := &part{record: &submission.Record{ID: "job", Steps: []submission.Step{{Count: 1}}}, shard: "a/0"}
 	last := func(holder string) *pb.KeptAssign {
 		a := e.frame(holder).Assign
 		return a[len(a)-1]
 	}
-	e.give(&transient{}, p, &loadView{holder: "first", token: 3})
+	e.give(&transient{}, p, &knownLoad{holder: "first", token: 3})
 	if last("first").Resumed {
 		t.Error("its first holder is to look for runs of an earlier one")
 	}
 	for range 2 {
-		e.give(&transient{}, p, &loadView{holder: "second", token: 4})
+		e.give(&transient{}, p, &knownLoad{holder: "second", token: 4})
 		if !last("second").Resumed {
 			t.Error("the second holder is told that nothing of it has run")
 		}
 	}
-	e.give(&transient{}, p, &loadView{holder: "third", token: 5})
+	e.give(&transient{}, p, &knownLoad{holder: "third", token: 5})
 	if r, err := submission.DecodeRecord("job", last("third").Record); err != nil || r.Token != 3 || !last("third").Resumed {
 		t.Errorf("the third holder gets %+v, %v", r, err)
 	}
@@ -42,7 +42,7 @@
 func TestRejectionByAnEarlierHolderCountsForNothing(t *testing.T) {
 	p := &part{record: &submission.Record{ID: "job", Token: 3}, shard: "a/0", token: 4, holder: "second", state: submission.Queued}
 	tr := &transient{record: p.record, parts: []*part{p}, waiters: []chan Outcome{make(chan Outcome, 1)}}
-	e := &engine{at: time.Hour, transients: map[submission.ID]*transient{"job": tr}, loads: map[string]*loadView{"a/0": {token: 4}}}
+	e := &engine{now: time.Hour, transients: map[submission.ID]*transient{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 4}}}
 	for _, state := range []submission.State{submission.Rejected, submission.Cancelled, submission.Unknown, submission.Running} {
 		e.learnState("job", stateReport{shard: "a/0", token: 3, state: state})
 	}
@@ -57,7 +57,7 @@
 func TestRejectionOfAnEarlierHandInCountsForNothing(t *testing.T) {
 	p := &part{record: &submission.Record{ID: "job", Token: 3, Serial: 8}, shard: "a/0", token: 3, holder: "a1", state: submission.Queued}
 	tr := &transient{record: p.record, parts: []*part{p}, waiters: []chan Outcome{make(chan Outcome, 1)}}
-	e := &engine{at: time.Hour, transients: map[submission.ID]*transient{"job": tr}, loads: map[string]*loadView{"a/0": {token: 3}}}
+	e := &engine{now: time.Hour, transients: map[submission.ID]*transient{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 3}}}
 	e.learnState("job", stateReport{shard: "a/0", token: 3, state: submission.Rejected, serial: 7})
 	if len(tr.waiters) == 0 || len(tr.waiters[0]) > 0 || p.state != submission.Queued {
 		t.Errorf("the home believed it: %s", p.state)
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -137,7 +137,7 @@
 	v.duty(func() { v.sweepFinals(ctx) })
 	v.duty(func() { v.watchWorkers(ctx) })
 	v.duty(func() { v.watchCatalog(ctx) })
-	v.duty(func() { ring.Loop(ctx, v.events, e.pace, e.round) })
+	v.duty(func() { ring.Loop(ctx, v.events, e.roundInterval, e.runRound) })
 	klog.InfoS("kept: started", "vm", c.Name, "incarnation", c.Incarnation, "domain", c.Domain, "address", c.PeerAddress)
 	return v
 }
--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -94,7 +94,7 @@
 			out[queue] += uint32(n)
 		}
 	}
-	if r, told := e.waiting.fresh(e.at)[domain]; told && domain != e.vm.config.Domain {
+	if r, told := e.waiting.fresh(e.now)[domain]; told && domain != e.vm.config.Domain {
 		for queue, n := range r.counts {
 			out[queue] = max(out[queue], n)
 		}
@@ -105,15 +105,15 @@
 // reportWaiting tells the peers of a holder what waits in its domain, and what it has heard of the
 // others. A report that nothing waits replaces the one before.
 func (e *engine) reportWaiting() {
-	if len(e.shards) == 0 || len(e.vm.config.Domains) < 2 || e.at-e.reportedAt < waitingEvery {
+	if len(e.shards) == 0 || len(e.vm.config.Domains) < 2 || e.now-e.waitingReportedAt < waitingEvery {
 		return
 	}
-	e.reportedAt = e.at
+	e.waitingReportedAt = e.now
 	own := e.vm.config.Domain
-	e.waiting.takeDomain(own, domainReport{counts: e.waitingIn(own), at: e.at})
+	e.waiting.takeDomain(own, domainReport{counts: e.waitingIn(own), at: e.now})
 	var reports []*pb.KeptWaiting
-	for domain, r := range e.waiting.fresh(e.at) {
-		reports = append(reports, &pb.KeptWaiting{Domain: domain, AgeNs: uint64(e.at - r.at), ByQueue: r.counts})
+	for domain, r := range e.waiting.fresh(e.now) {
+		reports = append(reports, &pb.KeptWaiting{Domain: domain, AgeNs: uint64(e.now - r.at), ByQueue: r.counts})
 	}
 	for peer := range e.links {
 		f := e.frame(peer)
@@ -136,15 +136,15 @@
 // tellUnplaced tells all peers of this VM's share of the count, again and again while
 // there is one: a peer may have come, or started again, since.
 func (e *engine) tellUnplaced() {
-	if e.at-e.unplacedAt < loadEvery {
+	if e.now-e.unplacedSentAt < loadInterval {
 		return
 	}
-	e.unplacedAt = e.at
+	e.unplacedSentAt = e.now
 	now := e.ownUnplaced()
-	if len(now) == 0 && !e.toldUnplaced {
+	if len(now) == 0 && !e.unplacedSent {
 		return
 	}
-	e.toldUnplaced = len(now) > 0
+	e.unplacedSent = len(now) > 0
 	for peer := range e.links {
 		e.frame(peer).Unplaced = &pb.KeptUnplaced{ByQueue: now}
 	}
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -16,11 +16,11 @@
 
 // divideDomains writes into how many shards a domain of a new site is divided.
 func (e *engine) divideDomains() {
-	for _, domain := range e.site.DomainsWithoutLayout(e.at) {
-		if e.dividing {
+	for _, domain := range e.site.DomainsWithoutLayout(e.now) {
+		if e.divisionInFlight {
 			return
 		}
-		e.dividing = true
+		e.divisionInFlight = true
 		least := e.site.MinCores(domain)
 		e.vm.duty(func() {
 			err := e.vm.divide(e.ctx, domain, least)
@@ -173,7 +173,7 @@
 }
 
 func (ev dividedEvent) apply(e *engine) {
-	e.dividing = false
+	e.divisionInFlight = false
 	var conflict *store.ConflictError
 	if ev.err != nil && !errors.As(ev.err, &conflict) {
 		klog.InfoS("kept: a domain could not be divided", "domain", ev.domain, "why", ev.err)
@@ -181,23 +181,23 @@
 }
 
 // placeWorkers holds the workers of a shard.
-func (e *engine) placeWorkers(h *held) {
+func (e *engine) placeWorkers(h *heldShard) {
 	var own []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
-	if d, known := e.site.Layout(domain); known && e.lists[domain] != nil {
-		for _, info := range e.lists[domain].divide(d)[h.holding.Shard] {
+	if d, known := e.site.Layout(domain); known && e.workerLists[domain] != nil {
+		for _, info := range e.workerLists[domain].divide(d)[h.holding.Shard] {
 			if e.serves(info) {
 				own = append(own, info)
 			}
 		}
 	}
-	h.core.UpdateWorkers(e.at, own)
+	h.core.UpdateWorkers(e.now, own)
 	e.alignSessions(h)
 	e.noteWorkers(h)
 }
 
 // alignSessions makes the sessions those of the workers that the core knows.
-func (e *engine) alignSessions(h *held) {
+func (e *engine) alignSessions(h *heldShard) {
 	known := make(map[string]bool)
 	for _, id := range h.core.WorkerIDs() {
 		known[id] = true
@@ -211,7 +211,7 @@
 			ws = nil
 		}
 		if ws == nil {
-			h.sessions[id] = startSession(h.ctx, e.vm, h.holding.Shard, info, h.holding.Token, &h.extend)
+			h.sessions[id] = startSession(h.ctx, e.vm, h.holding.Shard, info, h.holding.Token, &h.extendLeases)
 			continue
 		}
 		ws.info.Store(&info)
@@ -227,7 +227,7 @@
 
 // holder returns the shard that a session belongs to; nil if it is held no more, or the session has
 // given way to one with the worker's next incarnation.
-func (e *engine) holder(ws *workerSession) *held {
+func (e *engine) holder(ws *workerSession) *heldShard {
 	h := e.shards[ws.shard]
 	if h == nil || h.holding.Token != ws.token || h.sessions[ws.info.Load().ID] != ws {
 		return nil
@@ -241,7 +241,7 @@
 		return
 	}
 	id := ev.session.info.Load().ID
-	for _, end := range h.core.HandleListing(e.at, id, ev.sent, ev.listing) {
+	for _, end := range h.core.HandleListing(e.now, id, ev.sent, ev.listing) {
 		e.vm.figures.end(end.How.String())
 		if end.How != worker.Completed {
 			klog.InfoS("kept: run ended", "id", end.Task.ID, "step", end.Task.Step, "index", end.Task.Index, "run", end.Run,
@@ -265,11 +265,11 @@
 }
 
 // succeed takes the incarnation that answers in place of a session's.
-func (e *engine) succeed(h *held, ws *workerSession, next worker.Incarnation) {
+func (e *engine) succeed(h *heldShard, ws *workerSession, next worker.Incarnation) {
 	gone := *ws.info.Load()
 	gone.Born = ws.born.Load()
 	klog.InfoS("kept: worker gone", "worker", gone.Incarnation(), "shard", ws.shard, "successor", next, "why", "another incarnation answers")
-	h.core.WorkerRestarted(e.at, gone, next)
+	h.core.WorkerRestarted(e.now, gone, next)
 	e.alignSessions(h)
 }
 
@@ -281,7 +281,7 @@
 	id := ev.session.info.Load().ID
 	e.vm.figures.workersLost.Inc(1)
 	klog.InfoS("kept: worker lost", "worker", id, "shard", ev.session.shard, "why", "it does not answer, and its lease is over")
-	h.core.WorkerLeaseExpired(e.at, id)
+	h.core.WorkerLeaseExpired(e.now, id)
 }
 
 func (ev startReplyEvent) apply(e *engine) {
@@ -299,7 +299,7 @@
 		e.succeed(h, ev.session, ev.reply.Successor)
 		return
 	}
-	h.core.HandleStartReply(e.at, id, ev.task, ev.run, ev.reply)
+	h.core.HandleStartReply(e.now, id, ev.task, ev.run, ev.reply)
 }
 
 func (ev stopReplyEvent) apply(e *engine) {
@@ -309,6 +309,6 @@
 	case ev.reply.Verdict == worker.Gone:
 		e.succeed(h, ev.session, ev.reply.Successor)
 	default:
-		h.core.HandleStopReply(e.at, ev.session.info.Load().ID, ev.task, ev.run, ev.reply)
+		h.core.HandleStopReply(e.now, ev.session.info.Load().ID, ev.task, ev.run, ev.reply)
 	}
 }
--- a/internal/process/holder/power.go
+++ b/internal/process/holder/power.go
@@ -212,7 +212,7 @@
 	h.cfg.Peers.Broadcast(&pb.Power{Summary: summaryMessage(s)})
 }
 
-// carryOut does what the ledger wants done.
+// execute does what the ledger wants done.
 func (h *Holder) carryOut(actions []power.Action) {
 	h.watts.changed = true
 	for _, action := range actions {
