--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -14,7 +14,7 @@
 )
 
 func (ev cancelEvent) apply(e *engine) {
-	e.vm.duty(func() {
+	e.vm.spawn(func() {
 		state, err := e.vm.storeCancel(e.ctx, ev.id)
 		e.vm.post(cancelledEvent{id: ev.id, state: state, err: err, reply: ev.reply})
 	})
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -164,17 +164,17 @@
 	for _, h := range e.shards {
 		workers += len(h.sessions)
 	}
-	e.vm.figures.heldWorkers.Update(float64(workers))
-	e.vm.figures.heldShards.Update(float64(len(e.shards)))
-	e.vm.figures.openHere.Update(float64(len(e.transients) + len(e.homes)))
+	e.vm.metrics.heldWorkers.Update(float64(workers))
+	e.vm.metrics.heldShards.Update(float64(len(e.shards)))
+	e.vm.metrics.openSubmissions.Update(float64(len(e.transients) + len(e.homes)))
 }
 
 // pace is the longest time to the next round.
 func (e *engine) roundInterval() time.Duration {
 	if len(e.shards)+len(e.transients)+len(e.homes)+len(e.deferred) == 0 && e.drained == nil {
-		return tickIdle
+		return idleRoundInterval
 	}
-	return tickBusy
+	return busyRoundInterval
 }
 
 // drive runs a shard that this VM holds.
@@ -200,7 +200,7 @@
 	}
 	for _, s := range a.Starts {
 		if s.IsFirst {
-			e.vm.figures.queue(s.Queue).firstStart.RecordDuration(s.Waited)
+			e.vm.metrics.queue(s.Queue).firstStart.RecordDuration(s.Waited)
 		}
 		e.sendOrder(h, s.Worker.ID, func(ws *workerSession) {
 			ws.start(h.ctx, worker.Start{Task: s.Task, Run: s.Run, Spec: s.Spec, Checkpoint: s.Checkpoint})
@@ -249,7 +249,7 @@
 		klog.InfoS("kept: an order for a worker that is not held", "worker", id)
 		return
 	}
-	e.vm.duty(func() { give(ws) })
+	e.vm.spawn(func() { give(ws) })
 }
 
 // canServe reports whether a submission could be taken now.
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -92,7 +92,7 @@
 	for _, domain := range domains {
 		klog.InfoS("kept: evacuation", "domain", domain, "evacuated", e.evacuations.Evacuated(domain),
 			"revision", e.evacuations.Revision(domain), "from", from, "asked_before", e.evacuations.Age(e.now))
-		e.vm.figures.setEvacuated(domain, e.evacuations.Evacuated(domain))
+		e.vm.metrics.setEvacuated(domain, e.evacuations.Evacuated(domain))
 	}
 	for _, h := range e.shards {
 		e.setEvacuated(h)
@@ -162,7 +162,7 @@
 	if len(back) == 0 {
 		return
 	}
-	e.vm.figures.sentAway.Inc(int64(len(back)))
+	e.vm.metrics.sentAway.Inc(int64(len(back)))
 	left := *p.record // the holder may be this VM, with the same record
 	left.Elsewhere = slices.Clone(left.Elsewhere)
 	for _, r := range back {
@@ -326,7 +326,7 @@
 	switch {
 	case ev.result.Outcome == journal.Stored:
 		h.core.Reassigned(e.now, rec.ID, ev.result.Revision)
-		e.vm.figures.sentAway.Inc(1)
+		e.vm.metrics.sentAway.Inc(1)
 		klog.InfoS("kept: sent away from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
 			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.Tasks())
 		if own := e.homes[rec.ID]; own != nil {
--- a/internal/kept/vm/figures.go
+++ b/internal/kept/vm/figures.go
@@ -14,7 +14,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-const reportEvery = time.Second // between counters and the scrape registry
+const metricsInterval = time.Second // between counters and the scrape registry
 
 // timeBuckets spread from a millisecond to half a minute.
 var timeBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
@@ -22,35 +22,35 @@
 // figures counts what an entry VM does. Queues, reasons and outcomes are few and known,
 // so the number of series is bounded. The engine alone counts by queue; counters without
 // labels may be used from any goroutine.
-type figures struct {
+type metrics struct {
 	scope    tally.Scope
 	closer   io.Closer
 	registry *prometheus.Registry
-	queues   map[string]*queueFigures
-	shards   map[string]*shardFigures
-
-	starts       map[string]tally.Counter // by the worker's answer
-	ends         map[string]tally.Counter // of runs, by how
-	takeovers    tally.Counter
-	handovers    tally.Counter
-	adopted      tally.Counter
-	resumed      tally.Counter
-	suspected    tally.Counter
-	workersLost  tally.Counter
-	workersBack  tally.Counter          // that started again under their ID
-	storeCalls   map[bool]tally.Counter // answered or not
-	heldShards   tally.Gauge
-	heldWorkers  tally.Gauge
-	openHere     tally.Gauge
-	droppedEvent tally.Counter
-	evacuated    map[string]tally.Gauge   // by failure domain: 1 while nothing may start there
-	sentAway     tally.Counter            // tasks and stored submissions, from evacuated domains
-	tasksGivenUp tally.Counter            // as the workers that start them are lost
-	lostTasks    map[string]tally.Counter // tasks whose worker was lost, by what it says of them
+	queues   map[string]*queueMetrics
+	shards   map[string]*shardMetrics
+
+	starts           map[string]tally.Counter // by the worker's answer
+	ends             map[string]tally.Counter // of runs, by how
+	shardsTaken      tally.Counter
+	shardsLost       tally.Counter
+	adopted          tally.Counter
+	resumed          tally.Counter
+	peersLost        tally.Counter
+	workersLost      tally.Counter
+	workersRestarted tally.Counter          // that started again under their ID
+	storeCalls       map[bool]tally.Counter // answered or not
+	heldShards       tally.Gauge
+	heldWorkers      tally.Gauge
+	openSubmissions  tally.Gauge
+	droppedEvents    tally.Counter
+	evacuated        map[string]tally.Gauge   // by failure domain: 1 while nothing may start there
+	sentAway         tally.Counter            // tasks and stored submissions, from evacuated domains
+	tasksGivenUp     tally.Counter            // as the workers that start them are lost
+	lostTasks        map[string]tally.Counter // tasks whose worker was lost, by what it says of them
 }
 
-// queueFigures are those of one queue.
-type queueFigures struct {
+// queueMetrics are those of one queue.
+type queueMetrics struct {
 	taken      tally.Counter
 	firstStart tally.Histogram // from the holder's knowledge to the first start
 	response   tally.Histogram // from the caller's request to its answer
@@ -59,7 +59,7 @@
 	scope      tally.Scope
 }
 
-func newFigures(entryVM string) *figures {
+func newMetrics(entryVM string) *metrics {
 	registry := prometheus.NewRegistry()
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "pumiceyard_kept",
@@ -69,30 +69,30 @@
 			DefaultTimerType: tallyprom.HistogramTimerType,
 		}),
 		Separator: tallyprom.DefaultSeparator,
-	}, reportEvery)
-	f := &figures{
-		scope:        scope,
-		closer:       closer,
-		registry:     registry,
-		queues:       make(map[string]*queueFigures),
-		shards:       make(map[string]*shardFigures),
-		starts:       make(map[string]tally.Counter),
-		ends:         make(map[string]tally.Counter),
-		takeovers:    scope.Counter("shards_taken_total"),
-		handovers:    scope.Counter("shards_lost_total"),
-		adopted:      scope.Counter("submissions_adopted_total"),
-		resumed:      scope.Counter("submissions_resumed_total"),
-		suspected:    scope.Counter("peers_lost_total"),
-		workersLost:  scope.Counter("workers_lost_total"),
-		workersBack:  scope.Counter("workers_restarted_total"),
-		heldShards:   scope.Gauge("shards_held"),
-		heldWorkers:  scope.Gauge("workers_held"),
-		openHere:     scope.Gauge("submissions_open"),
-		droppedEvent: scope.Counter("events_dropped_total"),
-		evacuated:    make(map[string]tally.Gauge),
-		sentAway:     scope.Counter("sent_away_total"),
-		tasksGivenUp: scope.Counter("tasks_given_up_total"),
-		lostTasks:    make(map[string]tally.Counter),
+	}, metricsInterval)
+	f := &metrics{
+		scope:            scope,
+		closer:           closer,
+		registry:         registry,
+		queues:           make(map[string]*queueMetrics),
+		shards:           make(map[string]*shardMetrics),
+		starts:           make(map[string]tally.Counter),
+		ends:             make(map[string]tally.Counter),
+		shardsTaken:      scope.Counter("shards_taken_total"),
+		shardsLost:       scope.Counter("shards_lost_total"),
+		adopted:          scope.Counter("submissions_adopted_total"),
+		resumed:          scope.Counter("submissions_resumed_total"),
+		peersLost:        scope.Counter("peers_lost_total"),
+		workersLost:      scope.Counter("workers_lost_total"),
+		workersRestarted: scope.Counter("workers_restarted_total"),
+		heldShards:       scope.Gauge("shards_held"),
+		heldWorkers:      scope.Gauge("workers_held"),
+		openSubmissions:  scope.Gauge("submissions_open"),
+		droppedEvents:    scope.Counter("events_dropped_total"),
+		evacuated:        make(map[string]tally.Gauge),
+		sentAway:         scope.Counter("sent_away_total"),
+		tasksGivenUp:     scope.Counter("tasks_given_up_total"),
+		lostTasks:        make(map[string]tally.Counter),
 	}
 	f.storeCalls = map[bool]tally.Counter{
 		true:  scope.Tagged(map[string]string{"answered": "true"}).Counter("store_calls_total"),
@@ -101,17 +101,17 @@
 	return f
 }
 
-func (f *figures) close() { _ = f.closer.Close() }
+func (f *metrics) close() { _ = f.closer.Close() }
 
-func (f *figures) handler() http.Handler {
+func (f *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(f.registry, promhttp.HandlerOpts{})
 }
 
-func (f *figures) queue(name string) *queueFigures {
+func (f *metrics) queue(name string) *queueMetrics {
 	q := f.queues[name]
 	if q == nil {
 		scope := f.scope.Tagged(map[string]string{"queue": name})
-		q = &queueFigures{
+		q = &queueMetrics{
 			taken:      scope.Counter("submissions_taken_total"),
 			firstStart: scope.Histogram("first_start_seconds", timeBuckets),
 			response:   scope.Histogram("response_seconds", timeBuckets),
@@ -124,16 +124,16 @@
 	return q
 }
 
-// shardFigures are those of a shard that this VM holds, or held: all 0.
-type shardFigures struct {
+// shardMetrics are those of a shard that this VM holds, or held: all 0.
+type shardMetrics struct {
 	workers, room, free, queued tally.Gauge
 }
 
-func (f *figures) shard(name string) *shardFigures {
+func (f *metrics) shard(name string) *shardMetrics {
 	s := f.shards[name]
 	if s == nil {
 		scope := f.scope.Tagged(map[string]string{"shard": name})
-		s = &shardFigures{
+		s = &shardMetrics{
 			workers: scope.Gauge("shard_workers"),
 			room:    scope.Gauge("shard_room_cores"),
 			free:    scope.Gauge("shard_free_cores"),
@@ -145,7 +145,7 @@
 }
 
 // set shows the workers of a shard and their room.
-func (s *shardFigures) set(workers int, l *shard.Load) {
+func (s *shardMetrics) set(workers int, l *shard.Load) {
 	var free int64
 	for _, milli := range l.FreeMilli {
 		free += milli
@@ -158,13 +158,13 @@
 }
 
 // ended counts a submission's answer: done, failed, refused, given_up or abandoned.
-func (q *queueFigures) ended(outcome string, took time.Duration) {
+func (q *queueMetrics) countEnd(outcome string, took time.Duration) {
 	count(q.outcomes, q.scope, "submissions_ended_total", "outcome", outcome)
 	q.response.RecordDuration(took)
 }
 
 // setEvacuated shows whether anything may start in a failure domain.
-func (f *figures) setEvacuated(domain string, evacuated bool) {
+func (f *metrics) setEvacuated(domain string, evacuated bool) {
 	g := f.evacuated[domain]
 	if g == nil {
 		g = f.scope.Tagged(map[string]string{"domain": domain}).Gauge("domain_evacuated")
@@ -178,13 +178,15 @@
 }
 
 // start counts a worker's answer to a start.
-func (f *figures) start(answer string) { count(f.starts, f.scope, "starts_total", "answer", answer) }
+func (f *metrics) countStart(answer string) {
+	count(f.starts, f.scope, "starts_total", "answer", answer)
+}
 
 // end counts the end of a run.
-func (f *figures) end(how string) { count(f.ends, f.scope, "runs_ended_total", "how", how) }
+func (f *metrics) countRunEnd(how string) { count(f.ends, f.scope, "runs_ended_total", "how", how) }
 
-// lostUnder counts the tasks of a lost worker: suspects, unless other workers were lost at the same moment.
-func (f *figures) lostUnder(unrelated bool, tasks int) {
+// countLostTasks counts the tasks of a lost worker: suspects, unless other workers were lost at the same moment.
+func (f *metrics) countLostTasks(unrelated bool, tasks int) {
 	as := "suspects"
 	if unrelated {
 		as = "unrelated"
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -48,11 +48,11 @@
 	v := &VM{
 		config: Config{Name: "a1", Domain: "a", Domains: []string{"a", "b"}, Orders: unreachable{}, MaxLease: time.Second, Policy: policy.Defaults()},
 		now:    func() time.Duration { return now },
-		events: ring.New[event](ringEvents),
+		events: ring.New[event](eventCapacity),
 		calls:  newPeerCalls(),
 	}
 	v.router = relay.New(unreachable{}, v.calls, v.now)
-	v.figures = newFigures("a1")
+	v.metrics = newMetrics("a1")
 	v.store = &kvcall.Client{Calls: v.router}
 	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 16}, v.store)
 	v.ends = journal.New(journal.Settings{Name: "ends", Capacity: 16}, v.store)
@@ -61,8 +61,8 @@
 	e.now = now
 	t.Cleanup(func() {
 		cancel()
-		v.duties.Wait()
-		if err := v.figures.closer.Close(); err != nil {
+		v.goroutines.Wait()
+		if err := v.metrics.closer.Close(); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -33,7 +33,7 @@
 	for _, change := range ev.events {
 		err = errors.Join(err, e.site.Apply(e.now, change))
 		if change.Deleted && change.Key == site.MemberKey(e.vm.config.Name) {
-			e.vm.sessionGone.Store(true)
+			e.vm.sessionKeyDeleted.Store(true)
 		}
 	}
 	if err != nil {
@@ -52,7 +52,7 @@
 	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.now-e.startedAt > calmAfter && e.site.AllShardsHeld(e.vm.config.Domain) {
 		calm = n
 	}
-	e.vm.siteCalm.Store(int64(calm))
+	e.vm.relaxedSiteSize.Store(int64(calm))
 }
 
 // calmAfter is how long after its start a VM follows the site at once: the others start with it.
@@ -63,7 +63,7 @@
 func (e *engine) followHoldings(sent time.Duration) {
 	e.holdersChanged = true
 	all := e.site.Holdings()
-	e.vm.sweeps.Store(len(all) > 0 && e.site.HeldBySelf(all[0]))
+	e.vm.sweepsFinals.Store(len(all) > 0 && e.site.HeldBySelf(all[0]))
 	for _, holding := range all {
 		h := e.shards[holding.Shard]
 		mine := e.site.HeldBySelf(holding)
@@ -107,7 +107,7 @@
 	e.useOwnReading(site.DomainOf(holding.Shard))
 	e.placeWorkers(h)
 	e.scan(holding.Shard, h)
-	e.vm.figures.takeovers.Inc(1)
+	e.vm.metrics.shardsTaken.Inc(1)
 	klog.InfoS("kept: shard taken", "shard", holding.Shard, "token", holding.Token, "revision", holding.Revision,
 		"workers", len(h.sessions), "barrier_in", barrierAt-e.now)
 }
@@ -123,8 +123,8 @@
 	h.cancel()
 	delete(e.shards, h.holding.Shard)
 	e.forgetList(site.DomainOf(h.holding.Shard))
-	e.vm.figures.handovers.Inc(1)
-	e.vm.figures.shard(h.holding.Shard).set(0, &shard.Load{})
+	e.vm.metrics.shardsLost.Inc(1)
+	e.vm.metrics.shard(h.holding.Shard).set(0, &shard.Load{})
 	klog.InfoS("kept: shard lost", "shard", h.holding.Shard, "token", h.holding.Token,
 		"new_holder", now.Holder, "new_token", now.Token, "unfinished", len(h.core.Unfinished()))
 }
@@ -147,7 +147,7 @@
 	domain := site.DomainOf(name)
 	foreign := c.To.Holder == e.vm.config.Name && domain != e.vm.config.Domain
 	confirmed := e.probedAt[name] > 0 && e.now-e.probedAt[name] < probeFresh
-	e.vm.duty(func() {
+	e.vm.spawn(func() {
 		ctx, cancel := context.WithTimeout(e.ctx, claimWithin)
 		defer cancel()
 		if foreign && !e.vm.reachesShard(ctx, name) {
@@ -198,7 +198,7 @@
 	workers = workers[:min(len(workers), probeMost)]
 	answers := make(chan bool, probeMost)
 	for _, info := range workers {
-		v.duty(func() {
+		v.spawn(func() {
 			ctx, cancel := context.WithTimeout(ctx, holdWithin)
 			defer cancel()
 			_, r := v.config.Orders.Hold(ctx, info, worker.Hold{})
@@ -240,7 +240,7 @@
 	// What is read later only finds records whose holder was not told of them; what
 	// has ended meanwhile is remembered. Such a read costs a tenth.
 	stale := h.scannedAt > 0
-	e.vm.duty(func() {
+	e.vm.spawn(func() {
 		for h.ctx.Err() == nil {
 			items, _, err := e.vm.readAll(h.ctx, submission.OpenPrefix, stale)
 			ev := scannedEvent{shard: name, token: token, records: recordsOf(name, items)}
@@ -290,7 +290,7 @@
 	e.alignSessions(h)
 	for _, r := range ev.records {
 		if !h.core.IsKnown(r) {
-			e.vm.figures.adopted.Inc(1)
+			e.vm.metrics.adopted.Inc(1)
 			klog.InfoS("kept: adopted", "id", r.Record.ID, "shard", ev.shard, "token", ev.token,
 				"revision", r.Revision, "stored_under", r.Record.Token, "home", r.Record.Home)
 		}
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -119,7 +119,7 @@
 	if !h.looking {
 		delete(e.homes, h.record.ID)
 	}
-	e.vm.figures.queue(h.record.Queue).ended("refused", e.now-h.came)
+	e.vm.metrics.queue(h.record.Queue).countEnd("refused", e.now-h.came)
 	klog.InfoS("kept: refused", "id", h.record.ID, "queue", h.record.Queue, "why", o.Why, "tries", h.tries, "waited", e.now-h.came)
 	e.answer(h, o)
 }
@@ -158,7 +158,7 @@
 		h.revision = ev.result.Revision
 		h.state = submission.Queued
 		h.changed = e.now
-		q := e.vm.figures.queue(ev.record.Queue)
+		q := e.vm.metrics.queue(ev.record.Queue)
 		q.taken.Inc(1)
 		q.stored.RecordDuration(e.now - h.came)
 		klog.InfoS("kept: accepted", "id", ev.record.ID, "queue", ev.record.Queue, "shard", h.shard, "token", ev.record.Token,
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -200,7 +200,7 @@
 // Guards against starts on an old list: the reader is silent though its link stands.
 func TestNothingStartsOnAnOldList(t *testing.T) {
 	now := time.Hour
-	v := &VM{now: func() time.Duration { return now }, wantWorkers: make(chan bool, 1)}
+	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
 	direct := &answering{}
 	v.router = relay.New(direct, noPeers{direct}, v.now)
 	e := newEngine(context.Background(), v)
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -122,7 +122,7 @@
 		}
 		h.loadSentAt = e.now
 		h.sentLoad = load
-		e.vm.figures.shard(name).set(len(h.sessions), &load)
+		e.vm.metrics.shard(name).set(len(h.sessions), &load)
 		e.takeLoad(e.vm.config.Name, name, h.holding.Token, load)
 		far := e.now-h.loadSentFarAt >= farLoadInterval || len(e.links) <= site.MaxFullMeshPeers
 		if far {
--- a/internal/kept/vm/losses.go
+++ b/internal/kept/vm/losses.go
@@ -29,11 +29,11 @@
 // reportLosses logs and counts workers that were lost with tasks on them, and tasks given up for it.
 func (e *engine) reportLosses(name string, a shard.Actions) {
 	for _, l := range a.WorkerLosses {
-		e.vm.figures.lostUnder(l.Unrelated, l.Tasks)
+		e.vm.metrics.countLostTasks(l.Unrelated, l.Tasks)
 		klog.InfoS("kept: worker lost under tasks", "worker", l.Worker, "shard", name, "tasks", l.Tasks, "others_lost_too", l.Unrelated)
 	}
 	for _, g := range a.GivenUp {
-		e.vm.figures.tasksGivenUp.Inc(1)
+		e.vm.metrics.tasksGivenUp.Inc(1)
 		klog.InfoS("kept: task given up, the workers that start it are lost", "id", g.Task.ID, "step", g.Task.Step, "index", g.Task.Index,
 			"shard", name, "losses", fmt.Sprintf("%+v", g.Losses))
 	}
--- a/internal/kept/vm/noted.go
+++ b/internal/kept/vm/noted.go
@@ -38,7 +38,7 @@
 	}
 	h.storingWorkers = true
 	name, token, guard := h.holding.Shard, h.holding.Token, h.guard()
-	e.vm.duty(func() {
+	e.vm.spawn(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, claimWithin)
 		defer cancel()
 		_, err := e.vm.store.Commit(ctx, store.Txn{
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -189,7 +189,7 @@
 
 func (ev peerLostEvent) apply(e *engine) {
 	if e.linkUp[ev.name] {
-		e.vm.figures.suspected.Inc(1)
+		e.vm.metrics.peersLost.Inc(1)
 		klog.InfoS("kept: peer lost", "peer", ev.name, "why", ev.why)
 	}
 	e.linkUp[ev.name] = false
@@ -263,7 +263,7 @@
 	if l == nil {
 		return
 	}
-	e.vm.duty(func() {
+	e.vm.spawn(func() {
 		r := e.vm.answerCall(e.ctx, c)
 		l.Send(&pb.KeptFrame{Replies: []*pb.KeptReply{r}})
 	})
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -62,7 +62,7 @@
 	h := &workerSession{vm: v, shard: shard, token: token, extend: extend, cancel: cancel, seenNow: make(chan struct{}, 1)}
 	h.info.Store(&info)
 	h.born.Store(info.Born)
-	v.duty(func() { h.run(ctx) })
+	v.spawn(func() { h.run(ctx) })
 	return h
 }
 
@@ -241,7 +241,7 @@
 // orderWithin is for how long an order waits for its answer.
 func (h *workerSession) orderWithin() time.Duration {
 	own := min(orderTimes*time.Duration(h.trip.Load()), orderMost)
-	all := min(orderTimes*time.Duration(h.vm.trip.Load()), orderMostBusy)
+	all := min(orderTimes*time.Duration(h.vm.orderRTT.Load()), orderMostBusy)
 	return max(own, all, orderLeast)
 }
 
@@ -257,7 +257,7 @@
 func (h *workerSession) noteOrder(took time.Duration, r worker.Reply) {
 	h.noteTrip(took)
 	if r.Verdict != worker.Silent {
-		follow(&h.vm.trip, took, tripWeightAll)
+		follow(&h.vm.orderRTT, took, tripWeightAll)
 	}
 }
 
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -188,7 +188,7 @@
 // bring a list that is old, as the store does not answer it. Cause: a holder went by such words.
 func TestHolderWithoutFreshWordsReadsTheListItself(t *testing.T) {
 	now := time.Hour
-	v := &VM{now: func() time.Duration { return now }, wantWorkers: make(chan bool, 1)}
+	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
 	v.router = relay.New(nil, nil, v.now)
 	e := newEngine(context.Background(), v)
 	fresh := v.config.noticeShare(listFresh)
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -154,7 +154,7 @@
 	h.changed = e.now
 	h.created = true
 	if state.Final() && h.record != nil {
-		e.vm.figures.queue(h.record.Queue).ended(state.String(), e.now-h.came)
+		e.vm.metrics.queue(h.record.Queue).countEnd(state.String(), e.now-h.came)
 	}
 	if state.Final() {
 		h.record = nil // only its state is asked for from now on
@@ -181,7 +181,7 @@
 		}
 		h.looking = true
 	}
-	e.vm.duty(func() {
+	e.vm.spawn(func() {
 		found, err := e.vm.readSubmission(e.ctx, id)
 		e.vm.post(lookedUpEvent{id: id, found: found, failed: err})
 	})
--- a/internal/kept/vm/sweep.go
+++ b/internal/kept/vm/sweep.go
@@ -25,7 +25,7 @@
 	seen := make(map[string]time.Duration)
 	for ctx.Err() == nil {
 		pause.For(ctx, sweepEvery)
-		if !v.sweeps.Load() {
+		if !v.sweepsFinals.Load() {
 			clear(seen)
 			continue
 		}
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -71,7 +71,7 @@
 	}
 	parts, refusal := e.divide(ev.record, ev.came)
 	if refusal != nil {
-		e.vm.figures.queue(ev.record.Queue).ended("refused", e.now-ev.came)
+		e.vm.metrics.queue(ev.record.Queue).countEnd("refused", e.now-ev.came)
 		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.now-ev.came, "retry_after", refusal.RetryAfter)
 		ev.reply <- *refusal
 		return
@@ -88,7 +88,7 @@
 		waiters: []chan Outcome{ev.reply},
 	}
 	e.transients[id] = t
-	e.vm.figures.queue(ev.record.Queue).taken.Inc(1)
+	e.vm.metrics.queue(ev.record.Queue).taken.Inc(1)
 	for _, p := range parts {
 		l := e.loads[p.shard]
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
@@ -167,7 +167,7 @@
 	case h == nil:
 		e.tellPeer(from, r.ID, stateReport{shard: r.Shard, token: r.Token})
 	case resumed:
-		e.vm.figures.resumed.Inc(1)
+		e.vm.metrics.resumed.Inc(1)
 		klog.InfoS("kept: resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
 		h.core.Resume(e.now, r)
 	default:
@@ -240,7 +240,7 @@
 
 // endExpired tells the callers to send the submission again.
 func (e *engine) giveUp(t *transient, why string) {
-	e.vm.figures.queue(t.record.Queue).ended("given_up", e.now-t.came)
+	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.came)
 	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.came, "parts", len(t.parts))
 	e.forgetTransient(t, Outcome{Kind: Indeterminate, Why: why})
 }
@@ -370,7 +370,7 @@
 // again.
 func (e *engine) refuseTransient(t *transient, why policy.Reason) {
 	after := e.comeBack(t.record, e.reachableShards(t.record))
-	e.vm.figures.queue(t.record.Queue).ended("refused", e.now-t.came)
+	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.came)
 	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.came, "retry_after", after, "parts", len(t.parts))
 	e.forgetTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
 }
@@ -390,7 +390,7 @@
 func (e *engine) endTransient(t *transient, state submission.State) {
 	t.state = state
 	t.ended = e.now
-	e.vm.figures.queue(t.record.Queue).ended(state.String(), e.now-t.came)
+	e.vm.metrics.queue(t.record.Queue).countEnd(state.String(), e.now-t.came)
 	klog.InfoS("kept: answered", "id", t.record.ID, "queue", t.record.Queue, "state", state.String(), "after", e.now-t.came, "parts", len(t.parts))
 	t.answer(Outcome{Kind: Ended, State: state})
 }
@@ -443,7 +443,7 @@
 	if t.state.Final() || len(t.waiters) > 0 {
 		return
 	}
-	e.vm.figures.queue(t.record.Queue).ended("abandoned", e.now-t.came)
+	e.vm.metrics.queue(t.record.Queue).countEnd("abandoned", e.now-t.came)
 	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.now-t.came, "why", "its caller has gone")
 	e.withdraw(t)
 	delete(e.transients, ev.id)
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -63,9 +63,9 @@
 
 // Bounds of an entry VM.
 const (
-	ringEvents = 16384
-	tickBusy   = 40 * time.Millisecond
-	tickIdle   = 100 * time.Millisecond // of a VM that holds nothing and has nothing open
+	eventCapacity     = 16384
+	busyRoundInterval = 40 * time.Millisecond
+	idleRoundInterval = 100 * time.Millisecond // of a VM that holds nothing and has nothing open
 )
 
 // VM is a running entry VM.
@@ -79,28 +79,28 @@
 	intake  *journal.Journal // new submissions
 	ends    *journal.Journal // ends and progress
 	server  *link.Server
-	figures *figures
+	metrics *metrics
 
 	catalog  atomic.Pointer[catalog.Catalog]
 	ready    atomic.Bool // a shard takes submissions, and so does this VM
 	stopping atomic.Bool
 
-	leaving     chan struct{} // closed when this VM is about to stop
-	leaveOnce   sync.Once
-	wantWorkers chan bool // whether the list of workers is to be read
+	drainRequested      chan struct{} // closed when this VM is about to stop
+	drainOnce           sync.Once
+	readWorkersRequests chan bool // whether the list of workers is to be read
 
-	sweeps atomic.Bool // this VM removes final states
+	sweepsFinals atomic.Bool // this VM removes final states
 
-	unreadable onceKeys // entries of the list of workers
+	reportedEntries onceKeys // entries of the list of workers
 
-	trip atomic.Int64 // how long answers of workers to orders usually take, in nanoseconds
+	orderRTT atomic.Int64 // how long answers of workers to orders usually take, in nanoseconds
 
-	siteCalm atomic.Int64 // VMs of the site, while its news need not reach this VM at once; 0: they must
+	relaxedSiteSize atomic.Int64 // VMs of the site, while its news need not reach this VM at once; 0: they must
 
-	sessionGone atomic.Bool // the session's key was deleted though nobody ended it
+	sessionKeyDeleted atomic.Bool // the session's key was deleted though nobody ended it
 
-	cancel context.CancelFunc
-	duties sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // Start runs an entry VM until Stop.
@@ -108,11 +108,11 @@
 	if c.Now == nil {
 		c.Now = clock.Now
 	}
-	v := &VM{config: c, now: c.Now, events: ring.New[event](ringEvents), wantWorkers: make(chan bool, 1), leaving: make(chan struct{})}
+	v := &VM{config: c, now: c.Now, events: ring.New[event](eventCapacity), readWorkersRequests: make(chan bool, 1), drainRequested: make(chan struct{})}
 	v.calls = newPeerCalls()
 	v.router = relay.New(c.Direct, v.calls, c.Now)
-	v.figures = newFigures(c.Name)
-	v.router.SetCallObserver(func(answered bool) { v.figures.storeCalls[answered].Inc(1) })
+	v.metrics = newMetrics(c.Name)
+	v.router.SetCallObserver(func(answered bool) { v.metrics.storeCalls[answered].Inc(1) })
 	v.store = c.Store(v.router)
 	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 4096, MaxInFlight: 4}, v.store)
 	v.ends = journal.New(journal.Settings{
@@ -125,24 +125,24 @@
 	v.cancel = cancel
 	e := newEngine(ctx, v)
 	v.server = link.NewServer(v.heartbeat(), e, c.Now)
-	v.duty(func() {
+	v.spawn(func() {
 		if err := v.server.Serve(c.PeerListen); err != nil {
 			klog.ErrorS(err, "kept: peers' listener ended")
 		}
 	})
-	v.duty(func() { v.intake.Run(ctx) })
-	v.duty(func() { v.ends.Run(ctx) })
-	v.duty(func() { v.keepSession(ctx) })
-	v.duty(func() { v.watchSite(ctx) })
-	v.duty(func() { v.sweepFinals(ctx) })
-	v.duty(func() { v.watchWorkers(ctx) })
-	v.duty(func() { v.watchCatalog(ctx) })
-	v.duty(func() { ring.Loop(ctx, v.events, e.roundInterval, e.runRound) })
+	v.spawn(func() { v.intake.Run(ctx) })
+	v.spawn(func() { v.ends.Run(ctx) })
+	v.spawn(func() { v.keepSession(ctx) })
+	v.spawn(func() { v.watchSite(ctx) })
+	v.spawn(func() { v.sweepFinals(ctx) })
+	v.spawn(func() { v.watchWorkers(ctx) })
+	v.spawn(func() { v.watchCatalog(ctx) })
+	v.spawn(func() { ring.Loop(ctx, v.events, e.roundInterval, e.runRound) })
 	klog.InfoS("kept: started", "vm", c.Name, "incarnation", c.Incarnation, "domain", c.Domain, "address", c.PeerAddress)
 	return v
 }
 
-func (v *VM) duty(f func()) { v.duties.Go(f) }
+func (v *VM) spawn(f func()) { v.goroutines.Go(f) }
 
 func (v *VM) heartbeat() *pb.KeptHeartbeat {
 	return &pb.KeptHeartbeat{EntryVm: v.config.Name, Incarnation: v.config.Incarnation}
@@ -156,7 +156,7 @@
 func (v *VM) Stopping() bool { return v.stopping.Load() }
 
 // Metrics serves counters and histograms in the usual scrape format.
-func (v *VM) Metrics() http.Handler { return v.figures.handler() }
+func (v *VM) Metrics() http.Handler { return v.metrics.handler() }
 
 // Catalog is the configuration in force; nil before the first.
 func (v *VM) Catalog() *catalog.Catalog { return v.catalog.Load() }
@@ -165,7 +165,7 @@
 // those under way are answered. It returns when the shards are given up, or ctx ends.
 func (v *VM) Drain(ctx context.Context) {
 	v.stopping.Store(true)
-	v.leaveOnce.Do(func() { close(v.leaving) })
+	v.drainOnce.Do(func() { close(v.drainRequested) })
 	done := make(chan struct{})
 	if !v.post(drainEvent{done: done}) {
 		return
@@ -182,8 +182,8 @@
 	if err := v.server.Close(); err != nil {
 		klog.V(1).InfoS("kept: peers' listener", "why", err)
 	}
-	v.duties.Wait()
-	v.figures.close()
+	v.goroutines.Wait()
+	v.metrics.close()
 	klog.InfoS("kept: stopped", "vm", v.config.Name)
 }
 
@@ -193,7 +193,7 @@
 	if v.events.TryPush(e) {
 		return true
 	}
-	v.figures.droppedEvent.Inc(1)
+	v.metrics.droppedEvents.Inc(1)
 	klog.InfoS("kept: event dropped, the ring is full")
 	return false
 }
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -140,7 +140,7 @@
 
 // sitePause is how long changes of the site may gather after some were read.
 func (v *VM) sitePause(time.Duration, []store.Event) time.Duration {
-	vms := v.siteCalm.Load()
+	vms := v.relaxedSiteSize.Load()
 	if vms == 0 || v.config.StoreReadsPerSecond <= 0 {
 		return 0
 	}
@@ -215,10 +215,10 @@
 // readWorkers says whether this VM is to read the list of workers. The newest word counts.
 func (v *VM) readWorkers(on bool) {
 	select {
-	case <-v.wantWorkers:
+	case <-v.readWorkersRequests:
 	default:
 	}
-	v.wantWorkers <- on
+	v.readWorkersRequests <- on
 }
 
 // watchWorkers follows the list of workers while this VM is to read it.
@@ -227,7 +227,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case on := <-v.wantWorkers:
+		case on := <-v.readWorkersRequests:
 			if !on {
 				continue
 			}
@@ -242,7 +242,7 @@
 			select {
 			case <-ctx.Done():
 				on = false
-			case on = <-v.wantWorkers:
+			case on = <-v.readWorkersRequests:
 			}
 		}
 		cancel()
@@ -326,7 +326,7 @@
 	pause := sessionKeep
 	for ctx.Err() == nil {
 		select {
-		case <-v.leaving:
+		case <-v.drainRequested:
 			return v.endSession(ctx, lease)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -341,7 +341,7 @@
 			klog.V(1).InfoS("kept: session not renewed", "why", err)
 			pause = sessionHurry
 		}
-		if v.sessionGone.Swap(false) {
+		if v.sessionKeyDeleted.Swap(false) {
 			return errKeyGone
 		}
 	}
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -22,7 +22,7 @@
 		}
 		e.divisionInFlight = true
 		least := e.site.MinCores(domain)
-		e.vm.duty(func() {
+		e.vm.spawn(func() {
 			err := e.vm.divide(e.ctx, domain, least)
 			e.vm.post(dividedEvent{domain: domain, err: err})
 		})
@@ -105,10 +105,10 @@
 func (v *VM) readWorker(it store.Item) (info worker.Info, ok bool) {
 	info, err := v.config.Layout.DecodeWorker(it)
 	if err == nil {
-		v.unreadable.forget(it.Key)
+		v.reportedEntries.forget(it.Key)
 		return info, true
 	}
-	if v.unreadable.first(it.Key) {
+	if v.reportedEntries.first(it.Key) {
 		klog.ErrorS(err, "kept: an entry of the list names no worker to use", "key", it.Key, "revision", it.Revision)
 	}
 	return worker.Info{}, false
@@ -206,7 +206,7 @@
 		if ws != nil && info.Incarnation().Succeeds(ws.incarnation()) {
 			klog.InfoS("kept: worker started again under its ID", "worker", info.Incarnation(), "earlier", ws.incarnation(),
 				"shard", h.holding.Shard, "known_from", h.core.WorkerOrigin(id).String())
-			e.vm.figures.workersBack.Inc(1)
+			e.vm.metrics.workersRestarted.Inc(1)
 			ws.cancel()
 			ws = nil
 		}
@@ -242,7 +242,7 @@
 	}
 	id := ev.session.info.Load().ID
 	for _, end := range h.core.HandleListing(e.now, id, ev.sent, ev.listing) {
-		e.vm.figures.end(end.How.String())
+		e.vm.metrics.countRunEnd(end.How.String())
 		if end.How != worker.Completed {
 			klog.InfoS("kept: run ended", "id", end.Task.ID, "step", end.Task.Step, "index", end.Task.Index, "run", end.Run,
 				"worker", id, "how", end.How.String(), "number", end.N)
@@ -279,7 +279,7 @@
 		return
 	}
 	id := ev.session.info.Load().ID
-	e.vm.figures.workersLost.Inc(1)
+	e.vm.metrics.workersLost.Inc(1)
 	klog.InfoS("kept: worker lost", "worker", id, "shard", ev.session.shard, "why", "it does not answer, and its lease is over")
 	h.core.WorkerLeaseExpired(e.now, id)
 }
@@ -290,7 +290,7 @@
 		return
 	}
 	id := ev.session.info.Load().ID
-	e.vm.figures.start(ev.reply.Verdict.String())
+	e.vm.metrics.countStart(ev.reply.Verdict.String())
 	if ev.reply.Verdict != worker.Accepted {
 		klog.InfoS("kept: start not accepted", "id", ev.task.ID, "step", ev.task.Step, "index", ev.task.Index, "run", ev.run,
 			"worker", id, "answer", ev.reply.Verdict)
--- a/internal/process/metrics/metrics.go
+++ b/internal/process/metrics/metrics.go
@@ -20,7 +20,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/job"
 )
 
-// reportEvery is how often counters are handed to the scrape registry.
+// metricsInterval is how often counters are handed to the scrape registry.
 const reportEvery = time.Second
 
 // Buckets of the time histograms, in seconds, and of task counts.
