--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -23,7 +23,7 @@
 	ok := e.vm.ends.Add(&journal.Row{
 		Txn:         finalTxn(f.ID, f.Revision, f.State),
 		Guards:      []store.Condition{h.guard()},
-		GiveUpAfter: endsWithin,
+		GiveUpAfter: endsWriteTimeout,
 		Done: func(r journal.Result) {
 			e.vm.post(finalEvent{shard: name, id: string(f.ID), token: token, state: f.State, result: r})
 		},
@@ -80,7 +80,7 @@
 			Put:    []store.Put{{Key: key, Value: s.Record.Encode()}},
 		},
 		Guards:      []store.Condition{h.guard()},
-		GiveUpAfter: endsWithin,
+		GiveUpAfter: endsWriteTimeout,
 		Done: func(r journal.Result) {
 			e.vm.post(savedEvent{shard: name, id: id, token: token, result: r})
 		},
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -143,7 +143,7 @@
 	for _, ev := range e.vm.events.Drain() {
 		ev.apply(e)
 	}
-	e.tidyLinks()
+	e.maintainLinks()
 	e.divideDomains()
 	e.claimShards()
 	e.followLists()
@@ -181,12 +181,12 @@
 func (e *engine) runShard(name string, h *heldShard) {
 	h.extendLeases.Store(e.now-h.confirmedAt < holdingTrustedFor || !h.core.HasStored())
 	if e.now-h.scannedAt >= rescanInterval && !h.scanning {
-		e.scan(name, h)
+		e.scanRecords(name, h)
 	}
 	h.core.Tick(e.now)
 	e.offload(name, h)
 	if h.core.WorkerCount() != len(h.sessions) {
-		e.alignSessions(h) // it has dropped a worker; new ones come with the list only
+		e.syncSessions(h) // it has dropped a worker; new ones come with the list only
 	}
 	e.execute(name, h, h.core.TakeActions())
 }
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -307,7 +307,7 @@
 			Put:    []store.Put{{Key: key, Value: rec.Encode()}},
 		},
 		Guards:      []store.Condition{h.guard(), {Key: site.ShardKey(rec.Shard), Revision: to.Revision}},
-		GiveUpAfter: endsWithin,
+		GiveUpAfter: endsWriteTimeout,
 		Done: func(r journal.Result) {
 			e.vm.post(movedEvent{shard: name, token: token, before: m.Revision, record: rec, result: r})
 		},
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 	}
-	e.takeShard(site.Holding{Shard: "a/0", Holder: "a1", Token: 4, Revision: 5})
+	e.acquireShard(site.Holding{Shard: "a/0", Holder: "a1", Token: 4, Revision: 5})
 	e.setList("a", []worker.Info{
 		{ID: "w1", Service: "desk", Address: "w1", Domain: "a", CPUMilli: 16000, MemMB: 4096},
 		{ID: "w2", Service: "desk", Address: "w2", Domain: "a", CPUMilli: 16000, MemMB: 4096},
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -18,11 +18,11 @@
 
 // Times of the writes of a holder.
 const (
-	endsPause   = 40 * time.Millisecond // ends that come within it share a transaction
-	endsWithin  = time.Hour             // a holder goes on trying for as long as it holds the shard
-	claimWithin = 2 * time.Second
-	scanPause   = 50 * time.Millisecond
-	leaseSlack  = 100 * time.Millisecond // beyond the longest lease: drift and rounding
+	endsBatchDelay   = 40 * time.Millisecond // ends that come within it share a transaction
+	endsWriteTimeout = time.Hour             // a holder goes on trying for as long as it holds the shard
+	claimTimeout     = 2 * time.Second
+	scanRetryDelay   = 50 * time.Millisecond
+	leaseMargin      = 100 * time.Millisecond // beyond the longest lease: drift and rounding
 )
 
 func (ev siteEvent) apply(e *engine) {
@@ -40,27 +40,27 @@
 		klog.ErrorS(err, "kept: a key of the site cannot be read")
 	}
 	e.site.StoreAnswered(ev.sent, e.now)
-	e.followHoldings(ev.sent)
-	e.noteCalm()
+	e.applyHoldings(ev.sent)
+	e.updateSitePacing()
 	e.linksOutdated = true
 }
 
-// noteCalm says whether news of the site may reach this VM late: it holds nothing, and each shard of its
+// updateSitePacing says whether news of the site may reach this VM late: it holds nothing, and each shard of its
 // domain has a holder that it can reach. New holders speak up by themselves.
-func (e *engine) noteCalm() {
+func (e *engine) updateSitePacing() {
 	calm := 0
-	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.now-e.startedAt > calmAfter && e.site.AllShardsHeld(e.vm.config.Domain) {
+	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.now-e.startedAt > startupPeriod && e.site.AllShardsHeld(e.vm.config.Domain) {
 		calm = n
 	}
 	e.vm.relaxedSiteSize.Store(int64(calm))
 }
 
-// calmAfter is how long after its start a VM follows the site at once: the others start with it.
-const calmAfter = 5 * time.Second
+// startupPeriod is how long after its start a VM follows the site at once: the others start with it.
+const startupPeriod = 5 * time.Second
 
-// followHoldings takes up the shards that this VM holds by the store, and drops
+// applyHoldings takes up the shards that this VM holds by the store, and drops
 // those that it does not. sent is when the store was asked.
-func (e *engine) followHoldings(sent time.Duration) {
+func (e *engine) applyHoldings(sent time.Duration) {
 	e.holdersChanged = true
 	all := e.site.Holdings()
 	e.vm.sweepsFinals.Store(len(all) > 0 && e.site.HeldBySelf(all[0]))
@@ -75,15 +75,15 @@
 			h.confirmedAt = max(h.confirmedAt, sent)
 		}
 		if h == nil && mine {
-			e.takeShard(holding)
+			e.acquireShard(holding)
 		}
 	}
 }
 
-// takeShard begins to hold a shard.
-func (e *engine) takeShard(holding site.Holding) {
+// acquireShard begins to hold a shard.
+func (e *engine) acquireShard(holding site.Holding) {
 	// Runs that the earlier holder started and that no worker lists are over then.
-	barrierAt := e.now + e.vm.config.MaxLease + leaseSlack
+	barrierAt := e.now + e.vm.config.MaxLease + leaseMargin
 	if !holding.PredecessorStopped {
 		barrierAt += holdingExpiredAfter
 	}
@@ -105,8 +105,8 @@
 		}
 	}
 	e.useOwnReading(site.DomainOf(holding.Shard))
-	e.placeWorkers(h)
-	e.scan(holding.Shard, h)
+	e.updateWorkers(h)
+	e.scanRecords(holding.Shard, h)
 	e.vm.metrics.shardsTaken.Inc(1)
 	klog.InfoS("kept: shard taken", "shard", holding.Shard, "token", holding.Token, "revision", holding.Revision,
 		"workers", len(h.sessions), "barrier_in", barrierAt-e.now)
@@ -146,16 +146,16 @@
 		"token", c.To.Token, "revision", c.From.Revision, "why", c.Why)
 	domain := site.DomainOf(name)
 	foreign := c.To.Holder == e.vm.config.Name && domain != e.vm.config.Domain
-	confirmed := e.probedAt[name] > 0 && e.now-e.probedAt[name] < probeFresh
+	confirmed := e.probedAt[name] > 0 && e.now-e.probedAt[name] < maxProbeAge
 	e.vm.spawn(func() {
-		ctx, cancel := context.WithTimeout(e.ctx, claimWithin)
+		ctx, cancel := context.WithTimeout(e.ctx, claimTimeout)
 		defer cancel()
-		if foreign && !e.vm.reachesShard(ctx, name) {
-			e.vm.post(claimedEvent{claim: c, err: errUnreachable})
+		if foreign && !e.vm.canReachShard(ctx, name) {
+			e.vm.post(claimedEvent{claim: c, err: errWorkersUnreachable})
 			return
 		}
 		if foreign && !confirmed {
-			e.vm.post(claimedEvent{claim: c, err: errFirstLook})
+			e.vm.post(claimedEvent{claim: c, err: errFirstProbe})
 			return
 		}
 		rev, err := e.vm.store.Commit(ctx, store.Txn{
@@ -166,37 +166,37 @@
 	})
 }
 
-// errFirstLook puts a claim off until the site has been looked at twice, a second apart:
+// errFirstProbe puts a claim off until the site has been looked at twice, a second apart:
 // at a heal, workers of a domain can be reached some 400 ms before the links to its VMs
 // are back, and its shard would go to and fro.
-var errFirstLook = errors.New("a worker was reached for the first time; the holder may be back")
+var errFirstProbe = errors.New("a worker was reached for the first time; the holder may be back")
 
-const probeFresh = 4 * time.Second // between the two looks
+const maxProbeAge = 4 * time.Second // between the two looks
 
-var errUnreachable = errors.New("no worker of the shard can be reached")
+var errWorkersUnreachable = errors.New("no worker of the shard can be reached")
 
-// probeMost is how many workers of a shard are asked whether they can be reached. One that answers is
+// maxProbes is how many workers of a shard are asked whether they can be reached. One that answers is
 // enough.
-const probeMost = 4
+const maxProbes = 4
 
-// reachesShard reports whether a worker of a shard answers. A domain that is cut off looks from
+// canReachShard reports whether a worker of a shard answers. A domain that is cut off looks from
 // outside as if its VMs had died; its own holder serves on there, and a holder outside could not
 // reach any worker and would end all runs after the cut.
 //
 // The workers are those that the last holder noted. To read the list of all workers for it takes the
 // store a second's worth of its link when a domain of a large site is cut off, as several VMs look
 // after each of its shards.
-func (v *VM) reachesShard(ctx context.Context, name string) bool {
-	workers, err := v.readNotedWorkers(ctx, name)
+func (v *VM) canReachShard(ctx context.Context, name string) bool {
+	workers, err := v.readStoredWorkers(ctx, name)
 	if err == nil && len(workers) == 0 {
-		workers, err = v.workersOf(ctx, site.DomainOf(name), true)
+		workers, err = v.readDomainWorkers(ctx, site.DomainOf(name), true)
 	}
 	if err != nil {
 		klog.InfoS("kept: the workers of a shard cannot be read", "shard", name, "why", err)
 		return false
 	}
-	workers = workers[:min(len(workers), probeMost)]
-	answers := make(chan bool, probeMost)
+	workers = workers[:min(len(workers), maxProbes)]
+	answers := make(chan bool, maxProbes)
 	for _, info := range workers {
 		v.spawn(func() {
 			ctx, cancel := context.WithTimeout(ctx, holdWithin)
@@ -216,7 +216,7 @@
 func (ev claimedEvent) apply(e *engine) {
 	name := ev.claim.From.Shard
 	delete(e.claimsInFlight, name)
-	if errors.Is(ev.err, errFirstLook) {
+	if errors.Is(ev.err, errFirstProbe) {
 		e.probedAt[name] = e.now
 	}
 	if ev.err != nil {
@@ -229,12 +229,12 @@
 		return
 	}
 	delete(e.probedAt, name)
-	e.followHoldings(0)
+	e.applyHoldings(0)
 	e.rehome()
 }
 
 // scan reads the unfinished submissions of a shard from the store.
-func (e *engine) scan(name string, h *heldShard) {
+func (e *engine) scanRecords(name string, h *heldShard) {
 	h.scanning = true
 	token := h.holding.Token
 	// What is read later only finds records whose holder was not told of them; what
@@ -243,9 +243,9 @@
 	e.vm.spawn(func() {
 		for h.ctx.Err() == nil {
 			items, _, err := e.vm.readAll(h.ctx, submission.OpenPrefix, stale)
-			ev := scannedEvent{shard: name, token: token, records: recordsOf(name, items)}
+			ev := scannedEvent{shard: name, token: token, records: decodeRecords(name, items)}
 			if err == nil && !stale {
-				ev.known, err = e.vm.readNotedWorkers(h.ctx, name)
+				ev.known, err = e.vm.readStoredWorkers(h.ctx, name)
 			}
 			if err == nil && !stale {
 				ev.evacuations, err = e.vm.readEvacuations(h.ctx)
@@ -254,12 +254,12 @@
 				e.vm.post(ev)
 				return
 			}
-			pause.For(h.ctx, scanPause)
+			pause.For(h.ctx, scanRetryDelay)
 		}
 	})
 }
 
-func recordsOf(name string, items []store.Item) []shard.StoredRecord {
+func decodeRecords(name string, items []store.Item) []shard.StoredRecord {
 	var out []shard.StoredRecord
 	for _, it := range items {
 		id := submission.ID(strings.TrimPrefix(it.Key, submission.OpenPrefix))
@@ -287,7 +287,7 @@
 		ev.evacuations.apply(e) // before the first start here
 	}
 	h.core.AddWorkersOfPreviousHolder(e.now, ev.known)
-	e.alignSessions(h)
+	e.syncSessions(h)
 	for _, r := range ev.records {
 		if !h.core.IsKnown(r) {
 			e.vm.metrics.adopted.Inc(1)
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -275,9 +275,9 @@
 		switch {
 		case site.DomainOf(name) != domain:
 		case changed:
-			e.placeWorkers(h)
+			e.updateWorkers(h)
 		default:
-			e.noteWorkers(h)
+			e.storeWorkers(h)
 		}
 	}
 }
--- a/internal/kept/vm/noted.go
+++ b/internal/kept/vm/noted.go
@@ -15,10 +15,10 @@
 // list alone would take tasks for startable that still run on a worker it has never
 // heard of.
 
-const notedPrefix = "pumiceyard/workers/"
+const storedWorkersPrefix = "pumiceyard/workers/"
 
-// noteWorkers stores the workers of a shard if they are others than before.
-func (e *engine) noteWorkers(h *heldShard) {
+// storeWorkers stores the workers of a shard if they are others than before.
+func (e *engine) storeWorkers(h *heldShard) {
 	if h.scannedAt == 0 || h.storingWorkers {
 		return
 	}
@@ -39,24 +39,24 @@
 	h.storingWorkers = true
 	name, token, guard := h.holding.Shard, h.holding.Token, h.guard()
 	e.vm.spawn(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, claimWithin)
+		ctx, cancel := context.WithTimeout(h.ctx, claimTimeout)
 		defer cancel()
 		_, err := e.vm.store.Commit(ctx, store.Txn{
 			Expect: []store.Condition{guard},
-			Put:    []store.Put{{Key: notedPrefix + name, Value: value}},
+			Put:    []store.Put{{Key: storedWorkersPrefix + name, Value: value}},
 		})
-		e.vm.post(workersNotedEvent{shard: name, token: token, value: string(value), err: err})
+		e.vm.post(workersStoredEvent{shard: name, token: token, value: string(value), err: err})
 	})
 }
 
-type workersNotedEvent struct {
+type workersStoredEvent struct {
 	shard string
 	token uint64
 	value string
 	err   error
 }
 
-func (ev workersNotedEvent) apply(e *engine) {
+func (ev workersStoredEvent) apply(e *engine) {
 	h := e.shards[ev.shard]
 	if h == nil || h.holding.Token != ev.token {
 		return
@@ -69,9 +69,9 @@
 	h.storedWorkers = ev.value
 }
 
-// readNotedWorkers reads the workers that earlier holders of a shard used.
-func (v *VM) readNotedWorkers(ctx context.Context, name string) ([]worker.Info, error) {
-	it, err := v.store.Get(ctx, notedPrefix+name)
+// readStoredWorkers reads the workers that earlier holders of a shard used.
+func (v *VM) readStoredWorkers(ctx context.Context, name string) ([]worker.Info, error) {
+	it, err := v.store.Get(ctx, storedWorkersPrefix+name)
 	if err != nil || it.Revision == 0 {
 		return nil, err
 	}
--- a/internal/kept/vm/peercalls.go
+++ b/internal/kept/vm/peercalls.go
@@ -13,19 +13,19 @@
 
 // peerCalls makes calls of the store through peers.
 type peerCalls struct {
-	mu      sync.Mutex
-	links   map[string]*link.Link
-	reaches map[string]bool // peers that say that the store answers them
-	seq     uint64
-	waiting map[uint64]chan *pb.KeptReply
-	turn    int
+	mu           sync.Mutex
+	links        map[string]*link.Link
+	reachesStore map[string]bool // peers that say that the store answers them
+	seq          uint64
+	waiting      map[uint64]chan *pb.KeptReply
+	nextPeer     int
 }
 
 func newPeerCalls() *peerCalls {
 	return &peerCalls{
-		links:   make(map[string]*link.Link),
-		reaches: make(map[string]bool),
-		waiting: make(map[uint64]chan *pb.KeptReply),
+		links:        make(map[string]*link.Link),
+		reachesStore: make(map[string]bool),
+		waiting:      make(map[uint64]chan *pb.KeptReply),
 	}
 }
 
@@ -33,7 +33,7 @@
 func (p *peerCalls) AnyReachesStore() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, ok := range p.reaches {
+	for name, ok := range p.reachesStore {
 		if ok && p.links[name] != nil {
 			return true
 		}
@@ -43,11 +43,11 @@
 
 // Do implements relay.Transport.
 func (p *peerCalls) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
-	l, seq, answer := p.open()
+	l, seq, answer := p.register()
 	if l == nil {
 		return relay.Reply{}, relay.ErrNotSent
 	}
-	defer p.close(seq)
+	defer p.unregister(seq)
 	left := c.Wait
 	if deadline, ok := ctx.Deadline(); ok {
 		left = time.Until(deadline)
@@ -68,11 +68,11 @@
 }
 
 // open picks a peer that reaches the store, in turn.
-func (p *peerCalls) open() (*link.Link, uint64, chan *pb.KeptReply) {
+func (p *peerCalls) register() (*link.Link, uint64, chan *pb.KeptReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var able []*link.Link
-	for name, ok := range p.reaches {
+	for name, ok := range p.reachesStore {
 		if l := p.links[name]; ok && l != nil {
 			able = append(able, l)
 		}
@@ -80,20 +80,20 @@
 	if len(able) == 0 {
 		return nil, 0, nil
 	}
-	p.turn++
+	p.nextPeer++
 	p.seq++
 	answer := make(chan *pb.KeptReply, 1)
 	p.waiting[p.seq] = answer
-	return able[p.turn%len(able)], p.seq, answer
+	return able[p.nextPeer%len(able)], p.seq, answer
 }
 
-func (p *peerCalls) close(seq uint64) {
+func (p *peerCalls) unregister(seq uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, seq)
 }
 
-func (p *peerCalls) reply(r *pb.KeptReply) {
+func (p *peerCalls) deliver(r *pb.KeptReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if answer := p.waiting[r.Seq]; answer != nil {
@@ -102,27 +102,27 @@
 	}
 }
 
-func (p *peerCalls) set(name string, l *link.Link) {
+func (p *peerCalls) setLink(name string, l *link.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l == nil {
 		delete(p.links, name)
-		delete(p.reaches, name)
+		delete(p.reachesStore, name)
 		return
 	}
 	p.links[name] = l
 }
 
-func (p *peerCalls) setReach(name string, ok bool) {
+func (p *peerCalls) setReachesStore(name string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reaches[name] = ok
+	p.reachesStore[name] = ok
 }
 
-// answerCall makes a call for a peer, on the direct way only: a call that went
+// serveRelayedCall makes a call for a peer, on the direct way only: a call that went
 // from peer to peer could go round in circles.
-func (v *VM) answerCall(ctx context.Context, c *pb.KeptCall) *pb.KeptReply {
-	wait := min(time.Duration(c.WaitNs), maxRelayed)
+func (v *VM) serveRelayedCall(ctx context.Context, c *pb.KeptCall) *pb.KeptReply {
+	wait := min(time.Duration(c.WaitNs), maxRelayedWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	r, err := v.router.DoDirect(ctx, relay.Call{Method: c.Method, Target: c.Target, Body: c.Body, Wait: wait})
@@ -133,5 +133,5 @@
 	return out
 }
 
-// maxRelayed bounds what a peer may ask to wait for.
-const maxRelayed = 5 * time.Second
+// maxRelayedWait bounds what a peer may ask to wait for.
+const maxRelayedWait = 5 * time.Second
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -26,25 +26,25 @@
 // Frame takes what a peer says.
 func (e *engine) Frame(from string, f *pb.KeptFrame) {
 	for _, r := range f.Replies {
-		e.vm.calls.reply(r)
+		e.vm.calls.deliver(r)
 	}
-	e.vm.calls.setReach(from, f.ReachesStore)
-	e.noteWanted(from, f.Wanted)
+	e.vm.calls.setReachesStore(from, f.ReachesStore)
+	e.setLinkWanted(from, f.Wanted)
 	f.Replies = nil // they have been handed over
 	if link.CarriesMessages(f) {
 		e.vm.post(frameEvent{from: from, frame: f})
 	}
 }
 
-// linkLinger is for how long a link is kept that neither end needs: holders change hands and
+// unusedLinkTTL is for how long a link is kept that neither end needs: holders change hands and
 // back within seconds, and a link that is closed takes what waits in it along.
-const linkLinger = 3 * time.Second
+const unusedLinkTTL = 3 * time.Second
 
 // InboundStreamEnded says that a stream from a peer has ended.
-func (e *engine) InboundStreamEnded(from string) { e.noteWanted(from, false) }
+func (e *engine) InboundStreamEnded(from string) { e.setLinkWanted(from, false) }
 
-// noteWanted takes whether a peer needs the link from here.
-func (e *engine) noteWanted(from string, wanted bool) {
+// setLinkWanted takes whether a peer needs the link from here.
+func (e *engine) setLinkWanted(from string, wanted bool) {
 	before, _ := e.linkWantedBy.Swap(from, wanted)
 	if was, _ := before.(bool); was != wanted {
 		e.vm.post(wantedEvent{})
@@ -53,9 +53,9 @@
 
 func (ev wantedEvent) apply(e *engine) { e.linksOutdated = true }
 
-// followMembers opens and closes links as VMs and holders come and go. A link is kept while this
+// updateLinks opens and closes links as VMs and holders come and go. A link is kept while this
 // VM needs it, its peer does, or something of this VM is under way there.
-func (e *engine) followMembers() {
+func (e *engine) updateLinks() {
 	wanted := make(map[string]site.Peer)
 	own := make(map[string]bool)
 	for _, p := range e.site.Peers(e.now) {
@@ -74,7 +74,7 @@
 			e.linkNeededAt[name] = e.now
 			continue
 		}
-		if m, there := e.site.Member(name); there && m.Address == l.Address() && (e.now-e.linkNeededAt[name] < linkLinger || e.busyWith(name)) {
+		if m, there := e.site.Member(name); there && m.Address == l.Address() && (e.now-e.linkNeededAt[name] < unusedLinkTTL || e.hasWorkWith(name)) {
 			l.SetNeeded(false)
 			continue
 		}
@@ -84,7 +84,7 @@
 		delete(e.linkNeededAt, name)
 		e.waiting.forget(name)
 		e.site.LinkClosed(name)
-		e.vm.calls.set(name, nil)
+		e.vm.calls.setLink(name, nil)
 	}
 	for name, p := range wanted {
 		if e.links[name] == nil {
@@ -105,7 +105,7 @@
 	l.SetNeeded(own)
 	e.links[p.Name] = l
 	e.linkNeededAt[p.Name] = e.now
-	e.vm.calls.set(p.Name, l)
+	e.vm.calls.setLink(p.Name, l)
 }
 
 // linkTo returns the link to a peer that there is something to say to. One that was not needed
@@ -121,9 +121,9 @@
 	return e.links[peer]
 }
 
-// busyWith reports whether a peer holds parts of submissions of this VM, or this VM's shards
+// hasWorkWith reports whether a peer holds parts of submissions of this VM, or this VM's shards
 // hold some of the peer's: what is said of them goes over the link.
-func (e *engine) busyWith(name string) bool {
+func (e *engine) hasWorkWith(name string) bool {
 	for _, t := range e.transients {
 		for _, p := range t.parts {
 			if p.holder == name && !p.state.Final() && !t.state.Final() {
@@ -139,17 +139,17 @@
 	return false
 }
 
-// linksPace is between two looks at which links are needed on a large site. While it starts, each VM
+// linkUpdateInterval is between two looks at which links are needed on a large site. While it starts, each VM
 // hears of hundreds of VMs and holders within a second.
-const linksPace = 50 * time.Millisecond
+const linkUpdateInterval = 50 * time.Millisecond
 
-// tidyLinks opens and closes links when VMs or holders have changed, and looks now and then whether
+// maintainLinks opens and closes links when VMs or holders have changed, and looks now and then whether
 // links are kept that nobody needs any more.
-func (e *engine) tidyLinks() {
-	due := e.linksOutdated && (len(e.links) <= site.MaxFullMeshPeers || e.now-e.linksUpdatedAt >= linksPace)
-	if due || e.now-e.linksUpdatedAt >= linkLinger {
+func (e *engine) maintainLinks() {
+	due := e.linksOutdated && (len(e.links) <= site.MaxFullMeshPeers || e.now-e.linksUpdatedAt >= linkUpdateInterval)
+	if due || e.now-e.linksUpdatedAt >= unusedLinkTTL {
 		e.linksOutdated = false
-		e.followMembers()
+		e.updateLinks()
 	}
 }
 
@@ -159,10 +159,10 @@
 	}
 	e.linkUp[ev.name] = true
 	if old := e.peerIncarnations[ev.name]; old != 0 && old != ev.incarnation {
-		e.homeLost(ev.name) // its earlier process ended without being missed
+		e.dropLostHome(ev.name) // its earlier process ended without being missed
 	}
 	e.peerIncarnations[ev.name] = ev.incarnation
-	e.doubt(ev.name)
+	e.requeryHolder(ev.name)
 	e.tellEvacuations(ev.name)
 	e.forgetTold(ev.name)
 	e.site.SetLinkLost(ev.name, false)
@@ -172,7 +172,7 @@
 }
 
 // doubt has a holder asked anew: what was under way on an earlier stream may be lost.
-func (e *engine) doubt(holder string) {
+func (e *engine) requeryHolder(holder string) {
 	for _, h := range e.homes {
 		if h.holder == holder {
 			h.asked = 0
@@ -195,13 +195,13 @@
 	e.linkUp[ev.name] = false
 	e.waiting.forget(ev.name)
 	e.site.SetLinkLost(ev.name, true)
-	e.noteCalm()
-	e.vm.calls.setReach(ev.name, false)
-	e.homeLost(ev.name)
+	e.updateSitePacing()
+	e.vm.calls.setReachesStore(ev.name, false)
+	e.dropLostHome(ev.name)
 }
 
-// homeLost ends the transient submissions of a VM that cannot be reached.
-func (e *engine) homeLost(peer string) {
+// dropLostHome ends the transient submissions of a VM that cannot be reached.
+func (e *engine) dropLostHome(peer string) {
 	for name, h := range e.shards {
 		if n := h.core.HomeLost(e.now, peer); n > 0 {
 			klog.InfoS("kept: submissions ended, their home is lost", "home", peer, "shard", name, "submissions", n)
@@ -240,7 +240,7 @@
 		e.takeBackPart(ref)
 	}
 	for _, l := range f.Loads {
-		e.takeLoad(ev.from, l.Shard, l.Token, loadOf(l))
+		e.takeLoad(ev.from, l.Shard, l.Token, decodeLoad(l))
 	}
 	if f.Unplaced != nil {
 		e.waiting.takeUnplaced(ev.from, f.Unplaced.ByQueue)
@@ -253,23 +253,23 @@
 		e.waiting.takeDomain(w.Domain, domainReport{counts: w.ByQueue, at: e.now - time.Duration(w.AgeNs)})
 	}
 	for _, c := range f.Calls {
-		e.relay(ev.from, c)
+		e.relayCall(ev.from, c)
 	}
 }
 
 // relay makes a call of the store for a peer.
-func (e *engine) relay(from string, c *pb.KeptCall) {
+func (e *engine) relayCall(from string, c *pb.KeptCall) {
 	l := e.links[from]
 	if l == nil {
 		return
 	}
 	e.vm.spawn(func() {
-		r := e.vm.answerCall(e.ctx, c)
+		r := e.vm.serveRelayedCall(e.ctx, c)
 		l.Send(&pb.KeptFrame{Replies: []*pb.KeptReply{r}})
 	})
 }
 
-func loadOf(l *pb.KeptLoad) shard.Load {
+func decodeLoad(l *pb.KeptLoad) shard.Load {
 	out := shard.Load{
 		Ready:            l.Ready,
 		CapacityMilli:    l.RoomMilli,
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -91,7 +91,7 @@
 
 	sweepsFinals atomic.Bool // this VM removes final states
 
-	reportedEntries onceKeys // entries of the list of workers
+	reportedEntries loggedKeys // entries of the list of workers
 
 	orderRTT atomic.Int64 // how long answers of workers to orders usually take, in nanoseconds
 
@@ -117,7 +117,7 @@
 	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 4096, MaxInFlight: 4}, v.store)
 	v.ends = journal.New(journal.Settings{
 		Name:        "ends",
-		BatchDelay:  endsPause,
+		BatchDelay:  endsBatchDelay,
 		Capacity:    65536,
 		MaxInFlight: 2,
 	}, v.store)
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -253,7 +253,7 @@
 func (v *VM) followWorkers(ctx context.Context) {
 	list := make(map[string]worker.Info)
 	take := func(it store.Item) {
-		info, ok := v.readWorker(it)
+		info, ok := v.decodeEntry(it)
 		switch known, there := list[it.Key]; {
 		case ok && there && known.Incarnation().Succeeds(info.Incarnation()):
 			// The earlier incarnation's, which came late.
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -23,7 +23,7 @@
 		e.divisionInFlight = true
 		least := e.site.MinCores(domain)
 		e.vm.spawn(func() {
-			err := e.vm.divide(e.ctx, domain, least)
+			err := e.vm.writeDivision(e.ctx, domain, least)
 			e.vm.post(dividedEvent{domain: domain, err: err})
 		})
 	}
@@ -34,18 +34,18 @@
 	// The workers of a site that starts write their entries within some seconds. A domain that
 	// is divided by the first entries has one shard for ever, and one VM, perhaps one of the
 	// smallest, holds all its workers. So they are counted until two counts are the same.
-	countAgain = 1700 * time.Millisecond // more than a worker's heartbeat
-	countMost  = 5 * time.Second         // then the last count is taken, so that the domain serves
+	workerCountInterval = 1700 * time.Millisecond // more than a worker's heartbeat
+	maxWorkerCountTime  = 5 * time.Second         // then the last count is taken, so that the domain serves
 )
 
 // divide counts the workers of a domain until the count stands, and writes its division, unless
 // another VM has.
-func (v *VM) divide(ctx context.Context, domain string, least float64) error {
+func (v *VM) writeDivision(ctx context.Context, domain string, least float64) error {
 	n, err := v.countWorkers(ctx, domain)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	d := site.PlanLayout(domain, n, least)
 	_, err = v.store.Commit(ctx, store.Txn{
@@ -65,69 +65,69 @@
 	began := v.now()
 	last := -1
 	for {
-		lookCtx, cancel := context.WithTimeout(ctx, claimWithin)
-		workers, err := v.workersOf(lookCtx, domain, false)
+		lookCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+		workers, err := v.readDomainWorkers(lookCtx, domain, false)
 		cancel()
 		if err != nil {
 			return 0, err
 		}
 		n := len(workers)
-		switch over := v.now()-began >= countMost; {
+		switch over := v.now()-began >= maxWorkerCountTime; {
 		case n == 0 && over:
 			return 0, errNoWorkers
 		case n > 0 && (n == last || over):
 			return n, nil
 		}
 		last = n
-		if !pause.For(ctx, countAgain) {
+		if !pause.For(ctx, workerCountInterval) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// workersOf reads the workers of a failure domain from their list.
-func (v *VM) workersOf(ctx context.Context, domain string, stale bool) ([]worker.Info, error) {
+// readDomainWorkers reads the workers of a failure domain from their list.
+func (v *VM) readDomainWorkers(ctx context.Context, domain string, stale bool) ([]worker.Info, error) {
 	items, _, err := v.readAll(ctx, v.config.Layout.WorkerPrefix, stale)
 	if err != nil {
 		return nil, err
 	}
 	var out []worker.Info
 	for _, it := range items {
-		if info, ok := v.readWorker(it); ok && info.Domain == domain {
+		if info, ok := v.decodeEntry(it); ok && info.Domain == domain {
 			out = append(out, info)
 		}
 	}
 	return out, nil
 }
 
-// readWorker reads an entry of the list of workers. One that names no worker to use is left
+// decodeEntry reads an entry of the list of workers. One that names no worker to use is left
 // out, and logged when it is read first.
-func (v *VM) readWorker(it store.Item) (info worker.Info, ok bool) {
+func (v *VM) decodeEntry(it store.Item) (info worker.Info, ok bool) {
 	info, err := v.config.Layout.DecodeWorker(it)
 	if err == nil {
-		v.reportedEntries.forget(it.Key)
+		v.reportedEntries.remove(it.Key)
 		return info, true
 	}
-	if v.reportedEntries.first(it.Key) {
+	if v.reportedEntries.add(it.Key) {
 		klog.ErrorS(err, "kept: an entry of the list names no worker to use", "key", it.Key, "revision", it.Revision)
 	}
 	return worker.Info{}, false
 }
 
-// onceKeys remembers the keys of entries that were complained of: such an entry is read
+// loggedKeys remembers the keys of entries that were complained of: such an entry is read
 // again with each look at the list.
-type onceKeys struct {
+type loggedKeys struct {
 	mu   sync.Mutex
 	seen map[string]struct{}
 }
 
-// onceMost bounds the memory that foreign entries take. Beyond it they are not logged.
-const onceMost = 1024
+// maxLoggedKeys bounds the memory that foreign entries take. Beyond it they are not logged.
+const maxLoggedKeys = 1024
 
-func (o *onceKeys) first(key string) bool {
+func (o *loggedKeys) add(key string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, known := o.seen[key]; known || len(o.seen) >= onceMost {
+	if _, known := o.seen[key]; known || len(o.seen) >= maxLoggedKeys {
 		return false
 	}
 	if o.seen == nil {
@@ -137,7 +137,7 @@
 	return true
 }
 
-func (o *onceKeys) forget(key string) {
+func (o *loggedKeys) remove(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.seen, key)
@@ -156,13 +156,13 @@
 		return
 	}
 	for _, h := range e.shards {
-		e.placeWorkers(h)
+		e.updateWorkers(h)
 	}
 }
 
 // serves reports whether a worker belongs to a service that the configuration names. It is
 // not asked before there is a configuration.
-func (e *engine) serves(info worker.Info) bool {
+func (e *engine) isServed(info worker.Info) bool {
 	_, named := e.services[info.Service]
 	return named || len(e.services) == 0
 }
@@ -180,24 +180,24 @@
 	}
 }
 
-// placeWorkers holds the workers of a shard.
-func (e *engine) placeWorkers(h *heldShard) {
+// updateWorkers holds the workers of a shard.
+func (e *engine) updateWorkers(h *heldShard) {
 	var own []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
 	if d, known := e.site.Layout(domain); known && e.workerLists[domain] != nil {
 		for _, info := range e.workerLists[domain].divide(d)[h.holding.Shard] {
-			if e.serves(info) {
+			if e.isServed(info) {
 				own = append(own, info)
 			}
 		}
 	}
 	h.core.UpdateWorkers(e.now, own)
-	e.alignSessions(h)
-	e.noteWorkers(h)
+	e.syncSessions(h)
+	e.storeWorkers(h)
 }
 
-// alignSessions makes the sessions those of the workers that the core knows.
-func (e *engine) alignSessions(h *heldShard) {
+// syncSessions makes the sessions those of the workers that the core knows.
+func (e *engine) syncSessions(h *heldShard) {
 	known := make(map[string]bool)
 	for _, id := range h.core.WorkerIDs() {
 		known[id] = true
@@ -227,7 +227,7 @@
 
 // holder returns the shard that a session belongs to; nil if it is held no more, or the session has
 // given way to one with the worker's next incarnation.
-func (e *engine) holder(ws *workerSession) *heldShard {
+func (e *engine) sessionShard(ws *workerSession) *heldShard {
 	h := e.shards[ws.shard]
 	if h == nil || h.holding.Token != ws.token || h.sessions[ws.info.Load().ID] != ws {
 		return nil
@@ -236,7 +236,7 @@
 }
 
 func (ev listingEvent) apply(e *engine) {
-	h := e.holder(ev.session)
+	h := e.sessionShard(ev.session)
 	if h == nil {
 		return
 	}
@@ -251,30 +251,30 @@
 }
 
 func (ev fencedEvent) apply(e *engine) {
-	if h := e.holder(ev.session); h != nil {
+	if h := e.sessionShard(ev.session); h != nil {
 		klog.InfoS("kept: a worker has seen a higher token", "worker", ev.session.info.Load().ID, "shard", ev.session.shard, "token", ev.session.token)
 	}
 }
 
 func (ev goneEvent) apply(e *engine) {
-	h := e.holder(ev.session)
+	h := e.sessionShard(ev.session)
 	if h == nil {
 		return
 	}
-	e.succeed(h, ev.session, ev.successor)
+	e.replaceIncarnation(h, ev.session, ev.successor)
 }
 
 // succeed takes the incarnation that answers in place of a session's.
-func (e *engine) succeed(h *heldShard, ws *workerSession, next worker.Incarnation) {
+func (e *engine) replaceIncarnation(h *heldShard, ws *workerSession, next worker.Incarnation) {
 	gone := *ws.info.Load()
 	gone.Born = ws.born.Load()
 	klog.InfoS("kept: worker gone", "worker", gone.Incarnation(), "shard", ws.shard, "successor", next, "why", "another incarnation answers")
 	h.core.WorkerRestarted(e.now, gone, next)
-	e.alignSessions(h)
+	e.syncSessions(h)
 }
 
 func (ev lapsedEvent) apply(e *engine) {
-	h := e.holder(ev.session)
+	h := e.sessionShard(ev.session)
 	if h == nil {
 		return
 	}
@@ -285,7 +285,7 @@
 }
 
 func (ev startReplyEvent) apply(e *engine) {
-	h := e.holder(ev.session)
+	h := e.sessionShard(ev.session)
 	if h == nil {
 		return
 	}
@@ -296,18 +296,18 @@
 			"worker", id, "answer", ev.reply.Verdict)
 	}
 	if ev.reply.Verdict == worker.Gone {
-		e.succeed(h, ev.session, ev.reply.Successor)
+		e.replaceIncarnation(h, ev.session, ev.reply.Successor)
 		return
 	}
 	h.core.HandleStartReply(e.now, id, ev.task, ev.run, ev.reply)
 }
 
 func (ev stopReplyEvent) apply(e *engine) {
-	h := e.holder(ev.session)
+	h := e.sessionShard(ev.session)
 	switch {
 	case h == nil:
 	case ev.reply.Verdict == worker.Gone:
-		e.succeed(h, ev.session, ev.reply.Successor)
+		e.replaceIncarnation(h, ev.session, ev.reply.Successor)
 	default:
 		h.core.HandleStopReply(e.now, ev.session.info.Load().ID, ev.task, ev.run, ev.reply)
 	}
