--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -41,7 +41,7 @@
 		}
 		var conflict *store.ConflictError
 		if !errors.As(err, &conflict) {
-			pause.For(ctx, watchPause)
+			pause.For(ctx, watchBackoffStep)
 		}
 	}
 }
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -93,7 +93,7 @@
 	peerIncarnations  map[string]uint64
 	probedAt          map[string]time.Duration // when a worker of a shard was reached, before its claim
 	loads             map[string]*knownLoad
-	workerLists       map[string]*domainList // of workers, by failure domain of which a shard is held
+	workerLists       map[string]*workerList // of workers, by failure domain of which a shard is held
 	lastListVersion   uint64                 // of lists told so far
 	// holdersChanged says that a holder may be there that was not told of the list of workers.
 	holdersChanged   bool
@@ -126,7 +126,7 @@
 		linkUp:           make(map[string]bool),
 		linkNeededAt:     make(map[string]time.Duration),
 		waiting:          newWaitingReports(),
-		workerLists:      make(map[string]*domainList),
+		workerLists:      make(map[string]*workerList),
 		peerIncarnations: make(map[string]uint64),
 		probedAt:         make(map[string]time.Duration),
 		loads:            make(map[string]*knownLoad),
@@ -146,7 +146,7 @@
 	e.maintainLinks()
 	e.divideDomains()
 	e.claimShards()
-	e.followLists()
+	e.updateLists()
 	for name, h := range e.shards {
 		e.runShard(name, h)
 	}
@@ -217,7 +217,7 @@
 			"worker", s.Worker.ID, "shard", name, "why", s.Reason)
 	}
 	for _, id := range a.Probes {
-		e.sendOrder(h, id, func(ws *workerSession) { ws.look(h.ctx) })
+		e.sendOrder(h, id, func(ws *workerSession) { ws.listNow(h.ctx) })
 	}
 	for _, f := range a.Finals {
 		e.storeFinal(name, h, f)
--- a/internal/kept/vm/follow_test.go
+++ b/internal/kept/vm/follow_test.go
@@ -59,8 +59,8 @@
 			time.Sleep(20 * ms)
 		}
 		rate := float64(n.Load()) / during.Seconds()
-		if atRest := float64(len(calm)) / siteWait.Seconds(); rate > siteShare*w.storeReads+atRest {
-			t.Errorf("%.0f watches a second by %d VMs, want %.0f at most", rate, len(calm), siteShare*w.storeReads+atRest)
+		if atRest := float64(len(calm)) / siteWatchWait.Seconds(); rate > siteReadShare*w.storeReads+atRest {
+			t.Errorf("%.0f watches a second by %d VMs, want %.0f at most", rate, len(calm), siteReadShare*w.storeReads+atRest)
 		}
 		w.store.Delete(site.MemberKey("x"))
 		for name := range holders { // what matters to callers is heard all the same
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -104,7 +104,7 @@
 			h.core.HomeLost(e.now, peer)
 		}
 	}
-	e.useOwnReading(site.DomainOf(holding.Shard))
+	e.useLastRead(site.DomainOf(holding.Shard))
 	e.updateWorkers(h)
 	e.scanRecords(holding.Shard, h)
 	e.vm.metrics.shardsTaken.Inc(1)
@@ -122,7 +122,7 @@
 func (e *engine) dropShard(h *heldShard, now site.Holding) {
 	h.cancel()
 	delete(e.shards, h.holding.Shard)
-	e.forgetList(site.DomainOf(h.holding.Shard))
+	e.dropUnusedList(site.DomainOf(h.holding.Shard))
 	e.vm.metrics.shardsLost.Inc(1)
 	e.vm.metrics.shard(h.holding.Shard).set(0, &shard.Load{})
 	klog.InfoS("kept: shard lost", "shard", h.holding.Shard, "token", h.holding.Token,
@@ -199,7 +199,7 @@
 	answers := make(chan bool, maxProbes)
 	for _, info := range workers {
 		v.spawn(func() {
-			ctx, cancel := context.WithTimeout(ctx, holdWithin)
+			ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 			defer cancel()
 			_, r := v.config.Orders.Hold(ctx, info, worker.Hold{})
 			answers <- r.Verdict != worker.Silent
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -29,7 +29,7 @@
 	v.config.MaxLease = time.Second
 	extend := &atomic.Bool{}
 	extend.Store(true)
-	h := &workerSession{vm: v, extend: extend, seenNow: make(chan struct{}, 1)}
+	h := &workerSession{vm: v, extendLeases: extend, acked: make(chan struct{}, 1)}
 	h.info.Store(&worker.Info{ID: "w", Born: born})
 	h.born.Store(born)
 	return h, s
@@ -41,7 +41,7 @@
 	h, s := scriptedSession(5, answer, answer, worker.Reply{Verdict: worker.Silent}, answer, answer)
 	h.acknowledge(57)
 	for range s.answers {
-		h.hold(t.Context(), time.Second)
+		h.renew(t.Context(), time.Second)
 	}
 	for i, want := range []uint64{0, 57, 57, 0, 57} {
 		if got := s.holds[i].Seen; got != want {
@@ -65,7 +65,7 @@
 		"nobody's was known": {0, 0, worker.Reply{}},
 	} {
 		h, _ := scriptedSession(c.known)
-		if got := h.identify(worker.Reply{Born: c.answers}); got != c.want {
+		if got := h.checkIncarnation(worker.Reply{Born: c.answers}); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -207,7 +207,7 @@
 	wants := func(outdated bool, when string) {
 		t.Helper()
 		e.now = now
-		if got := e.listOutdated(e.workerLists["a"], v.router.LastCalls()); got != outdated {
+		if got := e.isListOutdated(e.workerLists["a"], v.router.LastCalls()); got != outdated {
 			t.Errorf("the list is outdated: %v, want %v, %s", got, outdated, when)
 		}
 	}
@@ -217,7 +217,7 @@
 	}
 	call()
 	wants(true, "without a list")
-	e.workerLists["a"] = &domainList{at: now}
+	e.workerLists["a"] = &workerList{askedAt: now}
 	wants(false, "when it is new")
 	now += leavingWithin
 	call()
@@ -228,7 +228,7 @@
 	direct.fails = false
 	call()
 	wants(false, "just after the store is back")
-	now += storeSteady + time.Millisecond
+	now += storeSteadyPeriod + time.Millisecond
 	call()
 	wants(true, "when the store has answered for long")
 	direct.fails = true
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -26,53 +26,53 @@
 
 // Times of the lists of workers.
 const (
-	listEvery   = 2 * time.Second        // between two words with the whole list
-	listChanged = 150 * time.Millisecond // the same while it changes
-	listFirst   = 400 * time.Millisecond // without a first word for longer, a new holder reads it itself
+	fullListInterval    = 2 * time.Second        // between two words with the whole list
+	changedListInterval = 150 * time.Millisecond // the same while it changes
+	firstListTimeout    = 400 * time.Millisecond // without a first word for longer, a new holder reads it itself
 )
 
 // Times of the lists of workers, as shares of Config.MaxLeaveNoticeDelay.
 const (
-	listWait  = 0.2   // for a change, before the store says that there is none
-	listTold  = 0.125 // between two words that the list stands
-	listFresh = 0.6   // a holder reads the list itself if the one that it was told is older
-	listMost  = 0.9   // nothing starts on an older one
+	listWatchShare   = 0.2   // for a change, before the store says that there is none
+	listConfirmShare = 0.125 // between two words that the list stands
+	listRereadShare  = 0.6   // a holder reads the list itself if the one that it was told is older
+	listExpiryShare  = 0.9   // nothing starts on an older one
 )
 
-// storeSteady is for how long all calls of the store must have been answered before an old list keeps
+// storeSteadyPeriod is for how long all calls of the store must have been answered before an old list keeps
 // tasks from starting. Around an outage, or in a domain that is cut off, it is all there is.
-const storeSteady = 2500 * time.Millisecond
+const storeSteadyPeriod = 2500 * time.Millisecond
 
-// noticeWithin is Config.MaxLeaveNoticeDelay where the settings do not say.
-const noticeWithin = 2 * time.Second
+// defaultLeaveNoticeDelay is Config.MaxLeaveNoticeDelay where the settings do not say.
+const defaultLeaveNoticeDelay = 2 * time.Second
 
-// noticeShare is a part of the time within which a notice must be in force.
-func (c *Config) noticeShare(share float64) time.Duration {
-	return time.Duration(share * float64(cmp.Or(c.MaxLeaveNoticeDelay, noticeWithin)))
+// leaveNoticeShare is a part of the time within which a notice must be in force.
+func (c *Config) leaveNoticeShare(share float64) time.Duration {
+	return time.Duration(share * float64(cmp.Or(c.MaxLeaveNoticeDelay, defaultLeaveNoticeDelay)))
 }
 
-// domainList is the list of the workers of a failure domain.
-type domainList struct {
-	infos   []worker.Info // by ID
-	at      time.Duration // when the store was asked for it, here or by who told of it
+// workerList is the list of the workers of a failure domain.
+type workerList struct {
+	workers []worker.Info // by ID
+	askedAt time.Duration // when the store was asked for it, here or by who told of it
 	version uint64        // at this VM, or at the one that told of it
-	from    string        // who told of it; "": it was read here
+	sender  string        // who told of it; "": it was read here
 
-	division site.ShardLayout         // that the workers are divided by
-	shards   map[string]string        // of the workers, by address
-	byShard  map[string][]worker.Info // nil: they are not divided yet
+	division       site.ShardLayout         // that the workers are divided by
+	shardByAddress map[string]string        // of the workers, by address
+	byShard        map[string][]worker.Info // nil: they are not divided yet
 
-	told        map[string]bool // other holders that were told the list
-	toldVersion uint64          // that all of them were told
-	toldAt      time.Duration   // when they were told anything
-	wholeAt     time.Duration   // when all of them were told the whole list
+	sentTo      map[string]bool // other holders that were told the list
+	sentVersion uint64          // that all of them were told
+	sentAt      time.Duration   // when they were told anything
+	fullSentAt  time.Duration   // when all of them were told the whole list
 }
 
 // own reports whether this VM has read it itself.
-func (l *domainList) own() bool { return l.from == "" }
+func (l *workerList) readHere() bool { return l.sender == "" }
 
 // reads reports whether this VM reads the list of workers for the holders of a domain.
-func (e *engine) reads(domain string) bool {
+func (e *engine) isListReader(domain string) bool {
 	return e.shards[site.ShardName(domain, 0)] != nil
 }
 
@@ -85,72 +85,72 @@
 	return out
 }
 
-// followLists has the list of workers read here while nobody tells of it, and tells the other holders.
-func (e *engine) followLists() {
+// updateLists has the list of workers read here while nobody tells of it, and tells the other holders.
+func (e *engine) updateLists() {
 	reading := false
 	contact := e.vm.router.LastCalls()
 	for name, h := range e.shards {
 		domain := site.DomainOf(name)
 		l := e.workerLists[domain]
 		switch {
-		case e.reads(domain):
+		case e.isListReader(domain):
 			reading = true
 			if l != nil {
-				e.tellWorkers(domain, l)
+				e.sendWorkers(domain, l)
 			}
 		case l == nil:
-			reading = reading || e.now-h.acquiredAt > listFirst
+			reading = reading || e.now-h.acquiredAt > firstListTimeout
 		default:
-			reading = reading || l.own() || e.listOld(l)
+			reading = reading || l.readHere() || e.isListStale(l)
 		}
-		h.core.SetListOutdated(e.listOutdated(l, contact))
+		h.core.SetListOutdated(e.isListOutdated(l, contact))
 	}
 	e.holdersChanged = false
 	if reading != e.readingWorkers {
 		e.readingWorkers = reading
 		e.lastWorkersRead = workersEvent{}
-		e.vm.readWorkers(reading)
+		e.vm.setReadWorkers(reading)
 	}
 }
 
-// listOld reports whether a list that this VM was told is so old that it reads the list itself.
-func (e *engine) listOld(l *domainList) bool {
-	return e.now-l.at > e.vm.config.noticeShare(listFresh)
+// isListStale reports whether a list that this VM was told is so old that it reads the list itself.
+func (e *engine) isListStale(l *workerList) bool {
+	return e.now-l.askedAt > e.vm.config.leaveNoticeShare(listRereadShare)
 }
 
-// listOutdated reports whether nothing may start on a list as a newer one can be had; nil: there is none
+// isListOutdated reports whether nothing may start on a list as a newer one can be had; nil: there is none
 // yet. While the store does not answer, the list, or what the earlier holder has stored, is all there is.
-func (e *engine) listOutdated(l *domainList, c relay.LastCalls) bool {
+func (e *engine) isListOutdated(l *workerList, c relay.LastCalls) bool {
 	if l == nil {
 		return c.AnsweredAt >= c.UnansweredAt
 	}
-	return e.now-c.UnansweredAt > storeSteady && c.AnsweredAt-l.at > e.vm.config.noticeShare(listMost)
+	return e.now-c.UnansweredAt > storeSteadyPeriod && c.AnsweredAt-l.askedAt > e.vm.config.leaveNoticeShare(listExpiryShare)
 }
 
-// tellWorkers tells the other holders of a domain of its workers: the whole list if it has changed, to a
+// sendWorkers tells the other holders of a domain of its workers: the whole list if it has changed, to a
 // holder that is new, and now and then; else that it stands.
-func (e *engine) tellWorkers(domain string, l *domainList) {
-	changed := l.version != l.toldVersion
-	pace := e.vm.config.noticeShare(listTold)
+func (e *engine) sendWorkers(domain string, l *workerList) {
+	changed := l.version != l.sentVersion
+	pace := e.vm.config.leaveNoticeShare(listConfirmShare)
 	if changed {
-		pace = listChanged
+		pace = changedListInterval
 	}
-	due := e.now-l.toldAt >= pace
+	due := e.now-l.sentAt >= pace
 	if !due && !e.holdersChanged {
 		return
 	}
-	all := due && (changed || e.now-l.wholeAt >= listEvery)
+	all := due && (changed || e.now-l.fullSentAt >= fullListInterval)
 	told := make(map[string]bool)
 	var list []byte
 	for _, holder := range e.site.HoldersIn(domain) {
 		if holder == e.vm.config.Name || e.links[holder] == nil {
 			continue
 		}
-		w := &pb.KeptWorkers{Domain: domain, AgeNs: uint64(e.now - l.at), Version: l.version}
+		w := &pb.KeptWorkers{Domain: domain, AgeNs: uint64(e.now - l.askedAt), Version: l.version}
 		switch {
-		case all || !l.told[holder]:
+		case all || !l.sentTo[holder]:
 			if list == nil {
-				list = encodeWorkers(l.infos)
+				list = encodeWorkers(l.workers)
 			}
 			w.List = list
 		case !due:
@@ -161,44 +161,44 @@
 		f := e.frame(holder)
 		f.Workers = append(f.Workers, w)
 	}
-	l.told = told
+	l.sentTo = told
 	if due {
-		l.toldAt = e.now
+		l.sentAt = e.now
 	}
 	if all {
-		l.wholeAt, l.toldVersion = e.now, l.version
+		l.fullSentAt, l.sentVersion = e.now, l.version
 	}
 }
 
-// forgetTold has a peer told the whole lists again: its process or its link is new.
-func (e *engine) forgetTold(peer string) {
+// resendLists has a peer told the whole lists again: its process or its link is new.
+func (e *engine) resendLists(peer string) {
 	for _, l := range e.workerLists {
-		delete(l.told, peer)
+		delete(l.sentTo, peer)
 	}
 	e.holdersChanged = true
 }
 
-// forgetList forgets the list of a domain of which nothing is held any more: it will be out of date when
+// dropUnusedList forgets the list of a domain of which nothing is held any more: it will be out of date when
 // the next shard is taken.
-func (e *engine) forgetList(domain string) {
+func (e *engine) dropUnusedList(domain string) {
 	if !e.heldDomains()[domain] {
 		delete(e.workerLists, domain)
 	}
 }
 
-// takeWorkers takes the reader's word.
-func (e *engine) takeWorkers(from string, w *pb.KeptWorkers) {
+// handleWorkers takes the reader's word.
+func (e *engine) handleWorkers(from string, w *pb.KeptWorkers) {
 	if !e.heldDomains()[w.Domain] {
 		return // this VM has just lost its shard there
 	}
 	at := e.now - time.Duration(w.AgeNs)
 	l := e.workerLists[w.Domain]
-	if l != nil && at < l.at {
+	if l != nil && at < l.askedAt {
 		return // an older list than the one here: of an earlier reader, or one that the store does not answer
 	}
 	if len(w.List) == 0 {
-		if l != nil && l.from == from && l.version == w.Version {
-			l.at = at
+		if l != nil && l.sender == from && l.version == w.Version {
+			l.askedAt = at
 		}
 		return
 	}
@@ -226,16 +226,16 @@
 	}
 	e.lastWorkersRead = ev
 	for domain := range e.heldDomains() {
-		e.useOwnReading(domain)
+		e.useLastRead(domain)
 	}
 }
 
-// useOwnReading takes the list of a domain as this VM has read it last, unless its reader tells of it.
-func (e *engine) useOwnReading(domain string) {
+// useLastRead takes the list of a domain as this VM has read it last, unless its reader tells of it.
+func (e *engine) useLastRead(domain string) {
 	l := e.workerLists[domain]
 	switch {
-	case !e.readingWorkers, e.lastWorkersRead.list == nil, l != nil && e.lastWorkersRead.sent < l.at:
-	case l != nil && !e.reads(domain) && !l.own() && !e.listOld(l):
+	case !e.readingWorkers, e.lastWorkersRead.list == nil, l != nil && e.lastWorkersRead.sent < l.askedAt:
+	case l != nil && !e.isListReader(domain) && !l.readHere() && !e.isListStale(l):
 	default:
 		infos := []worker.Info{}
 		for _, info := range e.lastWorkersRead.list {
@@ -255,20 +255,20 @@
 	})
 	l := e.workerLists[domain]
 	if l == nil {
-		l = &domainList{}
+		l = &workerList{}
 		e.workerLists[domain] = l
 	}
-	changed := l.infos == nil || !slices.EqualFunc(l.infos, infos, sameWorker)
+	changed := l.workers == nil || !slices.EqualFunc(l.workers, infos, sameWorker)
 	switch {
 	case from != "":
 		l.version = version
-	case changed || !l.own():
+	case changed || !l.readHere():
 		l.version = e.nextListVersion()
 	}
-	l.infos, l.at, l.from = infos, at, from
+	l.workers, l.askedAt, l.sender = infos, at, from
 	if changed {
 		l.byShard = nil
-		klog.InfoS("kept: workers of a domain", "domain", domain, "workers", len(infos), "leaving", leavingCount(infos),
+		klog.InfoS("kept: workers of a domain", "domain", domain, "workers", len(infos), "leaving", countLeaving(infos),
 			"told_by", from, "age", e.now-at)
 	}
 	for name, h := range e.shards {
@@ -284,24 +284,24 @@
 
 // divide returns the workers of a list by shard. The shard of an address is worked out once: each is hashed
 // with each shard of the domain.
-func (l *domainList) divide(d site.ShardLayout) map[string][]worker.Info {
+func (l *workerList) workersByShard(d site.ShardLayout) map[string][]worker.Info {
 	if l.division != d {
-		l.division, l.shards, l.byShard = d, nil, nil
+		l.division, l.shardByAddress, l.byShard = d, nil, nil
 	}
 	if l.byShard != nil {
 		return l.byShard
 	}
-	shards := make(map[string]string, len(l.infos))
+	shards := make(map[string]string, len(l.workers))
 	l.byShard = make(map[string][]worker.Info)
-	for _, info := range l.infos {
-		name, known := l.shards[info.Address]
+	for _, info := range l.workers {
+		name, known := l.shardByAddress[info.Address]
 		if !known {
 			name = d.ShardOf(info.Address)
 		}
 		shards[info.Address] = name
 		l.byShard[name] = append(l.byShard[name], info)
 	}
-	l.shards = shards
+	l.shardByAddress = shards
 	return l.byShard
 }
 
@@ -315,13 +315,13 @@
 // none.
 func (e *engine) listAge(shard string) time.Duration {
 	if l := e.workerLists[site.DomainOf(shard)]; l != nil {
-		return e.now - l.at
+		return e.now - l.askedAt
 	}
 	return -1
 }
 
-// leavingCount is the number of workers that take nothing new.
-func leavingCount(infos []worker.Info) int {
+// countLeaving is the number of workers that take nothing new.
+func countLeaving(infos []worker.Info) int {
 	n := 0
 	for i := range infos {
 		if infos[i].Leaving {
--- a/internal/kept/vm/lists_test.go
+++ b/internal/kept/vm/lists_test.go
@@ -20,13 +20,13 @@
 
 // Guards against a worker that is held in a shard of which it is not, as shards are worked out once for an address.
 func TestListIsDividedLikeItsAddresses(t *testing.T) {
-	l := &domainList{}
+	l := &workerList{}
 	d := site.ShardLayout{Domain: "a", Shards: 7}
 	check := func(infos []worker.Info) {
 		t.Helper()
-		l.infos, l.byShard = infos, nil
+		l.workers, l.byShard = infos, nil
 		n := 0
-		for name, of := range l.divide(d) {
+		for name, of := range l.workersByShard(d) {
 			for _, info := range of {
 				if want := d.ShardOf(info.Address); name != want {
 					t.Errorf("%s is in %s, want %s", info.ID, name, want)
@@ -34,8 +34,8 @@
 				n++
 			}
 		}
-		if n != len(infos) || len(l.shards) != len(infos) {
-			t.Errorf("%d of %d workers are in shards, %d addresses are remembered", n, len(infos), len(l.shards))
+		if n != len(infos) || len(l.shardByAddress) != len(infos) {
+			t.Errorf("%d of %d workers are in shards, %d addresses are remembered", n, len(infos), len(l.shardByAddress))
 		}
 	}
 	check(workersAt(40))
@@ -47,12 +47,12 @@
 // Guards against a change of one worker that costs each holder all workers times all shards of its domain.
 func TestDividingAListAgainDoesNotGrow(t *testing.T) {
 	perWorker := func(workers int) float64 {
-		l := &domainList{infos: workersAt(workers)}
+		l := &workerList{workers: workersAt(workers)}
 		d := site.ShardLayout{Domain: "a", Shards: workers / 11}
-		l.divide(d)
+		l.workersByShard(d)
 		allocs := testing.AllocsPerRun(5, func() {
 			l.byShard = nil
-			l.divide(d)
+			l.workersByShard(d)
 		})
 		return allocs / float64(workers)
 	}
@@ -68,12 +68,12 @@
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			d := site.ShardLayout{Domain: "a", Shards: workers / 11}
 			infos := workersAt(workers)
-			l := &domainList{infos: infos}
-			l.divide(d)
+			l := &workerList{workers: infos}
+			l.workersByShard(d)
 			for b.Loop() {
 				l.byShard = nil
 				for i := range d.Shards / 5 {
-					if len(l.divide(d)[site.ShardName("a", i)]) == 0 {
+					if len(l.workersByShard(d)[site.ShardName("a", i)]) == 0 {
 						b.Fatal("a shard without workers")
 					}
 				}
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -164,7 +164,7 @@
 	e.peerIncarnations[ev.name] = ev.incarnation
 	e.requeryHolder(ev.name)
 	e.tellEvacuations(ev.name)
-	e.forgetTold(ev.name)
+	e.resendLists(ev.name)
 	e.site.SetLinkLost(ev.name, false)
 	for _, h := range e.shards {
 		h.loadSentAt = e.now - loadInterval // the peer may have missed the last word
@@ -246,7 +246,7 @@
 		e.waiting.takeUnplaced(ev.from, f.Unplaced.ByQueue)
 	}
 	for _, w := range f.Workers {
-		e.takeWorkers(ev.from, w)
+		e.handleWorkers(ev.from, w)
 	}
 	e.takeEvacuations(ev.from, f.Evacuations)
 	for _, w := range f.Elsewhere {
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -13,53 +13,53 @@
 // Times of the talk with a worker.
 const (
 	// Renewals of a lease of a second: two of them may get lost before it is over.
-	holdWait   = 250 * time.Millisecond
-	holdWithin = 150 * time.Millisecond // for the answer, beyond the wait
-	holdPause  = 30 * time.Millisecond  // after one without an answer
-	seenPoll   = 5 * time.Millisecond   // between looks whether ends are acknowledged
-	seenPolls  = 4                      // then the hold goes on without: it renews the lease
+	renewWait       = 250 * time.Millisecond
+	renewTimeout    = 150 * time.Millisecond // for the answer, beyond the wait
+	renewRetryDelay = 30 * time.Millisecond  // after one without an answer
+	ackPollInterval = 5 * time.Millisecond   // between looks whether ends are acknowledged
+	maxAckPolls     = 4                      // then the hold goes on without: it renews the lease
 	// An order waits for its answer for some times as long as they usually take, within
 	// bounds. A sound worker answers in a millisecond, one in another region in 40; a VM whose
 	// processor is held back for a tenth of a second measures that too. What has no answer is
 	// asked for and made void, which takes some milliseconds: the sooner it begins, the more
 	// can still be done in time elsewhere.
-	orderTimes = 10
-	orderLeast = 45 * time.Millisecond
-	orderMost  = 150 * time.Millisecond
+	orderTimeoutFactor = 10
+	minOrderTimeout    = 45 * time.Millisecond
+	maxOrderTimeout    = 150 * time.Millisecond
 	// Where the answers of all workers take long, it is this VM's own link or processor that is
 	// full. An order given up then is asked for, made void and sent again, each on a new
 	// connection: that fills the link further, and sound workers pass for silent.
-	orderMostBusy = 800 * time.Millisecond
-	tripWeight    = 8                      // of the usual time against a new one
-	tripWeightAll = 64                     // the same, over all workers
-	startVoid     = 700 * time.Millisecond // on the worker's clock: a start that comes later is refused
-	clockDrift    = 0.02                   // most by which a worker's clock is slow
+	maxBusyOrderTimeout = 800 * time.Millisecond
+	rttWeight           = 8                      // of the usual time against a new one
+	sharedRTTWeight     = 64                     // the same, over all workers
+	startValidFor       = 700 * time.Millisecond // on the worker's clock: a start that comes later is refused
+	maxClockDrift       = 0.02                   // most by which a worker's clock is slow
 )
 
 // workerSession speaks to one worker for as long as its shard is held.
 type workerSession struct {
-	vm      *VM
-	shard   string
-	info    atomic.Pointer[worker.Info]
-	born    atomic.Int64 // of the incarnation that it speaks to; 0: not known
-	token   uint64
-	seen    atomic.Uint64
-	seenNow chan struct{}
-	extend  *atomic.Bool // whether leases may be extended
-	silent  atomic.Bool  // the newest call had no answer
-	trip    atomic.Int64 // how long answers to orders usually take, in nanoseconds
-	cancel  context.CancelFunc
+	vm           *VM
+	shard        string
+	info         atomic.Pointer[worker.Info]
+	born         atomic.Int64 // of the incarnation that it speaks to; 0: not known
+	token        uint64
+	ackedEnd     atomic.Uint64
+	acked        chan struct{}
+	extendLeases *atomic.Bool // whether leases may be extended
+	unanswered   atomic.Bool  // the newest call had no answer
+	orderRTT     atomic.Int64 // how long answers to orders usually take, in nanoseconds
+	cancel       context.CancelFunc
 
-	mu       sync.Mutex
-	clock    time.Duration // the worker's, at the time below; 0: it never answered
-	clockAt  time.Duration // when the call left that brought it
-	readAt   time.Duration // when its answer came
-	deadline time.Duration // highest that was sent, on the worker's clock
+	mu              sync.Mutex
+	lastClock       time.Duration // the worker's, at the time below; 0: it never answered
+	clockSentAt     time.Duration // when the call left that brought it
+	clockReceivedAt time.Duration // when its answer came
+	maxDeadline     time.Duration // highest that was sent, on the worker's clock
 }
 
 func startSession(ctx context.Context, v *VM, shard string, info worker.Info, token uint64, extend *atomic.Bool) *workerSession {
 	ctx, cancel := context.WithCancel(ctx)
-	h := &workerSession{vm: v, shard: shard, token: token, extend: extend, cancel: cancel, seenNow: make(chan struct{}, 1)}
+	h := &workerSession{vm: v, shard: shard, token: token, extendLeases: extend, cancel: cancel, acked: make(chan struct{}, 1)}
 	h.info.Store(&info)
 	h.born.Store(info.Born)
 	v.spawn(func() { h.run(ctx) })
@@ -72,7 +72,7 @@
 	lapsed := false
 	for ctx.Err() == nil {
 		sent := h.vm.now()
-		listing, reply := h.hold(ctx, holdWait)
+		listing, reply := h.renew(ctx, renewWait)
 		if ctx.Err() != nil {
 			return
 		}
@@ -80,64 +80,64 @@
 		case worker.Accepted:
 			lapsed = false
 			h.vm.post(listingEvent{session: h, sent: sent, listing: listing})
-			h.awaitSeen(ctx, listing)
+			h.awaitAcks(ctx, listing)
 			continue
 		case worker.Fenced:
 			h.vm.post(fencedEvent{session: h})
-			pause.For(ctx, 4*holdPause)
+			pause.For(ctx, 4*renewRetryDelay)
 			continue
 		case worker.Gone:
 			h.vm.post(goneEvent{session: h, successor: reply.Successor})
 			return
 		}
-		if over, certain := h.leaseOver(h.vm.now()); certain && over && !lapsed {
+		if over, certain := h.leaseExpired(h.vm.now()); certain && over && !lapsed {
 			lapsed = true
 			h.vm.post(lapsedEvent{session: h})
 		}
-		pause.For(ctx, holdPause)
+		pause.For(ctx, renewRetryDelay)
 	}
 }
 
-// awaitSeen waits until the ends of a listing are acknowledged, within a bound: a
+// awaitAcks waits until the ends of a listing are acknowledged, within a bound: a
 // hold that does not acknowledge them would come back at once with the same ends.
-func (h *workerSession) awaitSeen(ctx context.Context, l worker.Listing) {
+func (h *workerSession) awaitAcks(ctx context.Context, l worker.Listing) {
 	if len(l.Ended) == 0 {
 		return
 	}
 	last := l.Ended[len(l.Ended)-1].N
-	for i := 0; i < seenPolls && h.seen.Load() < last; i++ {
+	for i := 0; i < maxAckPolls && h.ackedEnd.Load() < last; i++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.seenNow:
-		case <-time.After(seenPoll):
+		case <-h.acked:
+		case <-time.After(ackPollInterval):
 		}
 	}
 }
 
 // acknowledge has the next hold say that ends up to a number are taken note of.
 func (h *workerSession) acknowledge(seen uint64) {
-	h.seen.Store(seen)
+	h.ackedEnd.Store(seen)
 	select {
-	case h.seenNow <- struct{}{}:
+	case h.acked <- struct{}{}:
 	default:
 	}
 }
 
 // look asks for a listing at once.
-func (h *workerSession) look(ctx context.Context) {
+func (h *workerSession) listNow(ctx context.Context) {
 	sent := h.vm.now()
-	listing, reply := h.hold(ctx, 0)
+	listing, reply := h.renew(ctx, 0)
 	if reply.Verdict == worker.Accepted {
 		h.vm.post(listingEvent{session: h, sent: sent, listing: listing})
 	}
 }
 
-func (h *workerSession) hold(ctx context.Context, wait time.Duration) (worker.Listing, worker.Reply) {
-	order := worker.Hold{Token: h.token, Seen: h.seen.Load(), Wait: wait}
+func (h *workerSession) renew(ctx context.Context, wait time.Duration) (worker.Listing, worker.Reply) {
+	order := worker.Hold{Token: h.token, Seen: h.ackedEnd.Load(), Wait: wait}
 	sent := h.vm.now()
-	now, known := h.workerClock(sent)
-	silent := h.silent.Load()
+	now, known := h.latestClock(sent)
+	silent := h.unanswered.Load()
 	if !known || silent {
 		order.Wait = 0 // the call is to learn the worker's clock, or that it is back
 		// Its next incarnation may answer under the same ID, and number its ends anew: it would forget
@@ -148,16 +148,16 @@
 	// calls though its answers are lost. Without it each new try puts off the time when the
 	// lease is over, and what ran there starts nowhere else: on a played day what four dead
 	// workers had waited for 4.5 s, until they left the list.
-	if known && !silent && h.extend.Load() {
+	if known && !silent && h.extendLeases.Load() {
 		order.Deadline = now + h.vm.config.MaxLease
-		h.sentDeadline(order.Deadline)
+		h.recordDeadline(order.Deadline)
 	}
-	ctx, cancel := context.WithTimeout(ctx, order.Wait+holdWithin)
+	ctx, cancel := context.WithTimeout(ctx, order.Wait+renewTimeout)
 	defer cancel()
 	listing, reply := h.vm.config.Orders.Hold(ctx, *h.info.Load(), order)
-	reply = h.identify(reply)
-	h.silent.Store(reply.Verdict == worker.Silent)
-	h.learn(sent, reply)
+	reply = h.checkIncarnation(reply)
+	h.unanswered.Store(reply.Verdict == worker.Silent)
+	h.recordClock(sent, reply)
 	return listing, reply
 }
 
@@ -168,7 +168,7 @@
 
 // identify tells an answer of another incarnation under the same ID. One of a later incarnation says
 // that the session's has ended; one of an earlier incarnation, which comes late, says nothing.
-func (h *workerSession) identify(r worker.Reply) worker.Reply {
+func (h *workerSession) checkIncarnation(r worker.Reply) worker.Reply {
 	if r.Born == 0 || h.born.CompareAndSwap(0, r.Born) {
 		return r
 	}
@@ -182,87 +182,87 @@
 	}
 }
 
-// workerClock is the highest that the worker's clock can show.
-func (h *workerSession) workerClock(now time.Duration) (time.Duration, bool) {
+// latestClock is the highest that the worker's clock can show.
+func (h *workerSession) latestClock(now time.Duration) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.clock == 0 {
+	if h.lastClock == 0 {
 		return 0, false
 	}
-	return h.clock + now - h.clockAt, true
+	return h.lastClock + now - h.clockSentAt, true
 }
 
-func (h *workerSession) sentDeadline(d time.Duration) {
+func (h *workerSession) recordDeadline(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.deadline = max(h.deadline, d)
+	h.maxDeadline = max(h.maxDeadline, d)
 }
 
-func (h *workerSession) learn(sent time.Duration, r worker.Reply) {
+func (h *workerSession) recordClock(sent time.Duration, r worker.Reply) {
 	if r.Clock == 0 {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.clock == 0 {
+	if h.lastClock == 0 {
 		// An earlier holder may have extended the lease until this call fenced it.
-		h.deadline = max(h.deadline, r.Clock+h.vm.config.MaxLease)
+		h.maxDeadline = max(h.maxDeadline, r.Clock+h.vm.config.MaxLease)
 	}
-	if r.Clock > h.clock {
-		h.clock = r.Clock
-		h.clockAt = sent
-		h.readAt = h.vm.now()
+	if r.Clock > h.lastClock {
+		h.lastClock = r.Clock
+		h.clockSentAt = sent
+		h.clockReceivedAt = h.vm.now()
 	}
 }
 
-// leaseOver reports whether the worker's lease has run out for certain, though its
+// leaseExpired reports whether the worker's lease has run out for certain, though its
 // clock may be slow. It is not certain at all if the worker never answered.
-func (h *workerSession) leaseOver(now time.Duration) (over, certain bool) {
+func (h *workerSession) leaseExpired(now time.Duration) (over, certain bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.clock == 0 {
+	if h.lastClock == 0 {
 		return false, false
 	}
-	least := h.clock + time.Duration(float64(now-h.readAt)*(1-clockDrift))
-	return least > h.deadline, true
+	least := h.lastClock + time.Duration(float64(now-h.clockReceivedAt)*(1-maxClockDrift))
+	return least > h.maxDeadline, true
 }
 
 // startDeadline is until when the worker may carry out a start that leaves now.
 func (h *workerSession) startDeadline() time.Duration {
-	now, known := h.workerClock(h.vm.now())
+	now, known := h.latestClock(h.vm.now())
 	if !known {
 		return 0
 	}
-	d := now + startVoid
-	h.sentDeadline(d)
+	d := now + startValidFor
+	h.recordDeadline(d)
 	return d
 }
 
-// orderWithin is for how long an order waits for its answer.
-func (h *workerSession) orderWithin() time.Duration {
-	own := min(orderTimes*time.Duration(h.trip.Load()), orderMost)
-	all := min(orderTimes*time.Duration(h.vm.orderRTT.Load()), orderMostBusy)
-	return max(own, all, orderLeast)
+// orderTimeout is for how long an order waits for its answer.
+func (h *workerSession) orderTimeout() time.Duration {
+	own := min(orderTimeoutFactor*time.Duration(h.orderRTT.Load()), maxOrderTimeout)
+	all := min(orderTimeoutFactor*time.Duration(h.vm.orderRTT.Load()), maxBusyOrderTimeout)
+	return max(own, all, minOrderTimeout)
 }
 
-// noteTrip takes how long the answer to an order took; one that did not come counts as long as
+// recordRTT takes how long the answer to an order took; one that did not come counts as long as
 // it was waited for. Where answers take longer than the wait, as the VM's own processor is
 // busy, the wait would never grow otherwise, and each start would be made void and repeated.
-func (h *workerSession) noteTrip(took time.Duration) {
-	follow(&h.trip, took, tripWeight)
+func (h *workerSession) recordRTT(took time.Duration) {
+	updateAverage(&h.orderRTT, took, rttWeight)
 }
 
-// noteOrder takes how long an order took. Over all workers only answers count: a tenth of the
+// recordOrder takes how long an order took. Over all workers only answers count: a tenth of the
 // workers that have just died would draw the wait of all orders to its bound otherwise.
-func (h *workerSession) noteOrder(took time.Duration, r worker.Reply) {
-	h.noteTrip(took)
+func (h *workerSession) recordOrder(took time.Duration, r worker.Reply) {
+	h.recordRTT(took)
 	if r.Verdict != worker.Silent {
-		follow(&h.vm.orderRTT, took, tripWeightAll)
+		updateAverage(&h.vm.orderRTT, took, sharedRTTWeight)
 	}
 }
 
 // follow moves a usual time towards a new one. Of two at once one may get lost.
-func follow(usual *atomic.Int64, took time.Duration, weight int64) {
+func updateAverage(usual *atomic.Int64, took time.Duration, weight int64) {
 	before := usual.Load()
 	usual.Store(before + (int64(took)-before)/weight)
 }
@@ -270,21 +270,21 @@
 func (h *workerSession) start(ctx context.Context, s worker.Start) {
 	s.Token = h.token
 	s.Deadline = h.startDeadline()
-	ctx, cancel := context.WithTimeout(ctx, h.orderWithin())
+	ctx, cancel := context.WithTimeout(ctx, h.orderTimeout())
 	defer cancel()
 	sent := h.vm.now()
-	r := h.identify(h.vm.config.Orders.Start(ctx, *h.info.Load(), s))
-	h.learn(sent, r)
-	h.noteOrder(h.vm.now()-sent, r)
+	r := h.checkIncarnation(h.vm.config.Orders.Start(ctx, *h.info.Load(), s))
+	h.recordClock(sent, r)
+	h.recordOrder(h.vm.now()-sent, r)
 	h.vm.post(startReplyEvent{session: h, task: s.Task, run: s.Run, reply: r})
 }
 
 func (h *workerSession) stop(ctx context.Context, s worker.Stop) {
 	s.Token = h.token
-	ctx, cancel := context.WithTimeout(ctx, h.orderWithin())
+	ctx, cancel := context.WithTimeout(ctx, h.orderTimeout())
 	defer cancel()
 	sent := h.vm.now()
-	r := h.identify(h.vm.config.Orders.Stop(ctx, *h.info.Load(), s))
-	h.learn(sent, r)
+	r := h.checkIncarnation(h.vm.config.Orders.Stop(ctx, *h.info.Load(), s))
+	h.recordClock(sent, r)
 	h.vm.post(stopReplyEvent{session: h, task: s.Task, run: s.Run, reply: r})
 }
--- a/internal/kept/vm/session_test.go
+++ b/internal/kept/vm/session_test.go
@@ -15,16 +15,16 @@
 	now := time.Hour
 	v := &VM{config: Config{MaxLease: time.Second}, now: func() time.Duration { return now }}
 	h := &workerSession{vm: v}
-	if _, certain := h.leaseOver(now); certain {
+	if _, certain := h.leaseExpired(now); certain {
 		t.Error("the lease of a worker that never answered is certain")
 	}
-	h.learn(now, worker.Reply{Clock: 5 * time.Minute})
+	h.recordClock(now, worker.Reply{Clock: 5 * time.Minute})
 	now += 900 * time.Millisecond
-	if over, _ := h.leaseOver(now); over {
+	if over, _ := h.leaseExpired(now); over {
 		t.Error("over after 900 ms, the earlier holder may have extended it by a second")
 	}
 	now += 150 * time.Millisecond
-	if over, certain := h.leaseOver(now); !over || !certain {
+	if over, certain := h.leaseExpired(now); !over || !certain {
 		t.Error("not over after 1.05 s")
 	}
 }
@@ -34,14 +34,14 @@
 	now := time.Hour
 	v := &VM{config: Config{MaxLease: time.Second}, now: func() time.Duration { return now }}
 	h := &workerSession{vm: v}
-	h.learn(now, worker.Reply{Clock: 5 * time.Minute})
-	h.sentDeadline(5*time.Minute + 10*time.Second)
+	h.recordClock(now, worker.Reply{Clock: 5 * time.Minute})
+	h.recordDeadline(5*time.Minute + 10*time.Second)
 	now += 10100 * time.Millisecond
-	if over, _ := h.leaseOver(now); over {
+	if over, _ := h.leaseExpired(now); over {
 		t.Error("over after 10.1 s, on a slow clock 9.9 s have passed of 10")
 	}
 	now += 150 * time.Millisecond
-	if over, _ := h.leaseOver(now); !over {
+	if over, _ := h.leaseExpired(now); !over {
 		t.Error("not over after 10.25 s")
 	}
 }
@@ -52,25 +52,25 @@
 func TestWaitForOrdersGrowsWithoutAnswers(t *testing.T) {
 	h := &workerSession{vm: &VM{}}
 	for range 10 {
-		h.noteTrip(time.Millisecond)
+		h.recordRTT(time.Millisecond)
 	}
-	if d := h.orderWithin(); d != orderLeast {
+	if d := h.orderTimeout(); d != minOrderTimeout {
 		t.Errorf("%v with answers in a millisecond", d)
 	}
 	for range 10 {
-		h.noteTrip(h.orderWithin())
+		h.recordRTT(h.orderTimeout())
 	}
-	if d := h.orderWithin(); d != orderMost {
+	if d := h.orderTimeout(); d != maxOrderTimeout {
 		t.Errorf("%v after ten orders without an answer", d)
 	}
-	h.trip.Store(0)
+	h.orderRTT.Store(0)
 	for i := range 100 {
 		took := time.Millisecond
 		if i%18 == 0 {
-			took = h.orderWithin()
+			took = h.orderTimeout()
 		}
-		h.noteTrip(took)
-		if d := h.orderWithin(); d > orderMost/2 {
+		h.recordRTT(took)
+		if d := h.orderTimeout(); d > maxOrderTimeout/2 {
 			t.Fatalf("%v with one answer of eighteen lost", d)
 		}
 	}
@@ -91,18 +91,18 @@
 		unanswered = 0
 		for i, h := range hands {
 			took := queue * time.Duration(round%5+i%3+1) / 2
-			if within := h.orderWithin(); took > within {
-				h.noteOrder(within, worker.Reply{Verdict: worker.Silent})
+			if within := h.orderTimeout(); took > within {
+				h.recordOrder(within, worker.Reply{Verdict: worker.Silent})
 				unanswered++
 				continue
 			}
-			h.noteOrder(took, worker.Reply{Verdict: worker.Accepted})
+			h.recordOrder(took, worker.Reply{Verdict: worker.Accepted})
 		}
 	}
 	if unanswered > 0 {
 		t.Errorf("%d of 20 orders pass for unanswered after 50 rounds", unanswered)
 	}
-	if d := hands[0].orderWithin(); d > orderMostBusy {
+	if d := hands[0].orderTimeout(); d > maxBusyOrderTimeout {
 		t.Errorf("an order waits for %v", d)
 	}
 }
@@ -114,15 +114,15 @@
 	dead, sound := &workerSession{vm: v}, &workerSession{vm: v}
 	for i := range 300 {
 		if i%10 == 0 {
-			dead.noteOrder(dead.orderWithin(), worker.Reply{Verdict: worker.Silent})
+			dead.recordOrder(dead.orderTimeout(), worker.Reply{Verdict: worker.Silent})
 			continue
 		}
-		sound.noteOrder(time.Millisecond, worker.Reply{Verdict: worker.Accepted})
+		sound.recordOrder(time.Millisecond, worker.Reply{Verdict: worker.Accepted})
 	}
-	if d := sound.orderWithin(); d != orderLeast {
+	if d := sound.orderTimeout(); d != minOrderTimeout {
 		t.Errorf("an order to a sound worker waits for %v", d)
 	}
-	if d := dead.orderWithin(); d > orderMost {
+	if d := dead.orderTimeout(); d > maxOrderTimeout {
 		t.Errorf("an order to a dead worker waits for %v", d)
 	}
 }
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -178,7 +178,7 @@
 
 func (ev listedEvent) apply(e *engine) {
 	if l := e.workerLists[ev.domain]; l != nil {
-		ev.reply <- len(l.infos)
+		ev.reply <- len(l.workers)
 		return
 	}
 	ev.reply <- 0
@@ -191,21 +191,21 @@
 	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
 	v.router = relay.New(nil, nil, v.now)
 	e := newEngine(context.Background(), v)
-	fresh := v.config.noticeShare(listFresh)
+	fresh := v.config.leaveNoticeShare(listRereadShare)
 	e.shards["a/1"] = &heldShard{core: shard.New(now, shard.DefaultSettings(), 1, now), acquiredAt: now, storingWorkers: true}
 	wants := func(reading bool, when string) {
 		t.Helper()
 		e.now = now
-		e.followLists()
+		e.updateLists()
 		if e.readingWorkers != reading {
 			t.Errorf("reads the list itself: %v, %s", e.readingWorkers, when)
 		}
 	}
 	word := func(age time.Duration) {
-		e.takeWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), AgeNs: uint64(age)})
+		e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), AgeNs: uint64(age)})
 	}
 	wants(false, "just after the shard was taken")
-	now += listFirst + time.Millisecond
+	now += firstListTimeout + time.Millisecond
 	wants(true, "without a first word")
 	word(0)
 	wants(false, "after a word")
@@ -227,14 +227,14 @@
 	e.now = now
 	e.shards["a/1"] = &heldShard{core: shard.New(now, shard.DefaultSettings(), 1, now), acquiredAt: now, storingWorkers: true}
 	for version := range uint64(2) {
-		e.takeWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), Version: version + 1})
+		e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), Version: version + 1})
 	}
 	e.now += time.Second
-	e.takeWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 1})
+	e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 1})
 	if e.listAge("a/1") != time.Second {
 		t.Error("a word of an earlier version counts")
 	}
-	e.takeWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 2})
+	e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 2})
 	if age := e.listAge("a/1"); age != 0 {
 		t.Errorf("the list is %v old after a word that it stands", age)
 	}
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -21,47 +21,47 @@
 const (
 	// An operator's change must be in force within some seconds, also when a watch has gone
 	// silent: it is asked anew after this part of them and the way's own bound (450 ms).
-	catalogShare  = 0.45
-	catalogWithin = 2 * time.Second // where the settings do not say
+	catalogWaitShare    = 0.45
+	defaultCatalogDelay = 2 * time.Second // where the settings do not say
 	// Workers rewrite their entries at each heartbeat, so a watch of them comes back
 	// at once: without a pause 48 workers cost 32 calls a second at each holder.
-	workersPause = 450 * time.Millisecond
+	maxWorkersPause = 450 * time.Millisecond
 	// The longer the pause, the more comes at once, and what this VM says to its workers waits
 	// behind it: on a link of 2 Mbit/s the changes of 120 workers in 450 ms hold an order up for
 	// 0.1 s, twice as long as it waits for its answer. So the pause is as long as what comes in it
-	// fills the link for workersFill at most.
-	workersPauseLeast = 100 * time.Millisecond
-	workersFill       = 40 * time.Millisecond
-	siteWait          = 1500 * time.Millisecond
-	rangeWithin       = 2 * time.Second
-	watchPause        = 100 * time.Millisecond // after a failure, growing
-	watchMost         = 600 * time.Millisecond
-	sessionTTL        = 4 * time.Second
-	sessionKeep       = 1200 * time.Millisecond
-	sessionHurry      = 250 * time.Millisecond // after a renewal that failed
+	// fills the link for maxWorkersTransfer at most.
+	minWorkersPause      = 100 * time.Millisecond
+	maxWorkersTransfer   = 40 * time.Millisecond
+	siteWatchWait        = 1500 * time.Millisecond
+	rangeTimeout         = 2 * time.Second
+	watchBackoffStep     = 100 * time.Millisecond // after a failure, growing
+	maxWatchBackoff      = 600 * time.Millisecond
+	sessionTTL           = 4 * time.Second
+	sessionRenewInterval = 1200 * time.Millisecond
+	sessionRetryInterval = 250 * time.Millisecond // after a renewal that failed
 )
 
 // follower keeps a copy of the keys under a prefix.
-type follower struct {
-	vm     *VM
-	prefix string
-	wait   time.Duration
-	pause  func(pace time.Duration, events []store.Event) time.Duration // after an answer with changes, made so soon; nil: none
-	whole  func(sent time.Duration, revision uint64, items []store.Item)
-	some   func(sent time.Duration, events []store.Event)
+type prefixWatcher struct {
+	vm         *VM
+	prefix     string
+	maxWait    time.Duration
+	pause      func(pace time.Duration, events []store.Event) time.Duration // after an answer with changes, made so soon; nil: none
+	onSnapshot func(sent time.Duration, revision uint64, items []store.Item)
+	onChanges  func(sent time.Duration, events []store.Event)
 }
 
 // run reads the whole prefix, then its changes, and begins again when the history
 // is lost.
-func (f *follower) run(ctx context.Context) {
+func (f *prefixWatcher) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
 		sent := f.vm.now()
 		items, rev, err := f.vm.readAll(ctx, f.prefix, false)
 		if err == nil {
-			f.whole(sent, rev, items)
+			f.onSnapshot(sent, rev, items)
 			failures = 0
-			err = f.follow(ctx, rev)
+			err = f.watchChanges(ctx, rev)
 		}
 		if ctx.Err() != nil {
 			return
@@ -71,23 +71,23 @@
 			continue
 		}
 		failures++
-		rest(ctx, failures)
+		backOff(ctx, failures)
 	}
 }
 
-func (f *follower) follow(ctx context.Context, rev uint64) error {
+func (f *prefixWatcher) watchChanges(ctx context.Context, rev uint64) error {
 	failures := 0
 	answered := f.vm.now()
 	for {
 		sent := f.vm.now()
-		watchCtx, cancel := context.WithTimeout(ctx, f.wait+rangeWithin)
-		c, err := f.vm.store.Watch(watchCtx, f.prefix, rev, f.wait)
+		watchCtx, cancel := context.WithTimeout(ctx, f.maxWait+rangeTimeout)
+		c, err := f.vm.store.Watch(watchCtx, f.prefix, rev, f.maxWait)
 		cancel()
 		switch {
 		case err == nil:
 			failures = 0
 			rev = max(rev, c.Revision)
-			f.some(sent, c.Events)
+			f.onChanges(sent, c.Events)
 			if f.pause != nil && len(c.Events) > 0 {
 				pause.For(ctx, f.pause(f.vm.now()-answered, c.Events))
 			}
@@ -96,7 +96,7 @@
 			return err
 		default:
 			failures++
-			rest(ctx, failures)
+			backOff(ctx, failures)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func (v *VM) readAll(ctx context.Context, prefix string, stale bool) (items []store.Item, rev uint64, err error) {
 	after := ""
 	for {
-		pageCtx, cancel := context.WithTimeout(ctx, rangeWithin)
+		pageCtx, cancel := context.WithTimeout(ctx, rangeTimeout)
 		p, err := v.store.Range(pageCtx, prefix, after, stale)
 		cancel()
 		if err != nil {
@@ -124,8 +124,8 @@
 }
 
 // rest waits after so many failures in a row.
-func rest(ctx context.Context, failures int) {
-	pause.For(ctx, min(time.Duration(failures)*watchPause, watchMost))
+func backOff(ctx context.Context, failures int) {
+	pause.For(ctx, min(time.Duration(failures)*watchBackoffStep, maxWatchBackoff))
 }
 
 // What all VMs of a site together may spend on following its changes, as a share of the reads that the
@@ -134,8 +134,8 @@
 // Each change wakes the watch of each VM, and there are the more changes the more VMs there are: calls grow
 // with the square of the site.
 const (
-	siteShare     = 0.05
-	sitePauseMost = 500 * time.Millisecond
+	siteReadShare = 0.05
+	maxSitePause  = 500 * time.Millisecond
 )
 
 // sitePause is how long changes of the site may gather after some were read.
@@ -144,15 +144,15 @@
 	if vms == 0 || v.config.StoreReadsPerSecond <= 0 {
 		return 0
 	}
-	return min(time.Duration(float64(vms)/(siteShare*v.config.StoreReadsPerSecond)*float64(time.Second)), sitePauseMost)
+	return min(time.Duration(float64(vms)/(siteReadShare*v.config.StoreReadsPerSecond)*float64(time.Second)), maxSitePause)
 }
 
 func (v *VM) watchSite(ctx context.Context) {
-	f := &follower{vm: v, prefix: site.Prefix, wait: siteWait, pause: v.sitePause}
-	f.whole = func(sent time.Duration, _ uint64, items []store.Item) {
+	f := &prefixWatcher{vm: v, prefix: site.Prefix, maxWait: siteWatchWait, pause: v.sitePause}
+	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
 		v.post(siteEvent{sent: sent, whole: true, items: items})
 	}
-	f.some = func(sent time.Duration, events []store.Event) {
+	f.onChanges = func(sent time.Duration, events []store.Event) {
 		v.post(siteEvent{sent: sent, events: events})
 	}
 	f.run(ctx)
@@ -176,14 +176,14 @@
 		v.post(servicesEvent{services: c.Services})
 		klog.InfoS("kept: configuration in force", "version", c.Version, "revision", it.Revision, "queues", len(c.Queues))
 	}
-	f := &follower{vm: v, prefix: v.config.Layout.CatalogPrefix, wait: time.Duration(catalogShare * float64(cmp.Or(v.config.MaxCatalogDelay, catalogWithin)))}
-	f.whole = func(sent time.Duration, revision uint64, items []store.Item) {
+	f := &prefixWatcher{vm: v, prefix: v.config.Layout.CatalogPrefix, maxWait: time.Duration(catalogWaitShare * float64(cmp.Or(v.config.MaxCatalogDelay, defaultCatalogDelay)))}
+	f.onSnapshot = func(sent time.Duration, revision uint64, items []store.Item) {
 		for _, it := range items {
 			take(it)
 		}
 		v.post(evacuationsEvent{sent: sent, whole: true, revision: revision, notices: v.evacuationsIn(items)})
 	}
-	f.some = func(sent time.Duration, events []store.Event) {
+	f.onChanges = func(sent time.Duration, events []store.Event) {
 		for _, e := range events {
 			if !e.Deleted {
 				take(e.Item)
@@ -198,22 +198,22 @@
 // revision and their names.
 const entryOverhead = 100
 
-// workersPause is how long the changes of the list of workers may gather, after some that came in
+// maxWorkersPause is how long the changes of the list of workers may gather, after some that came in
 // a time.
 func (v *VM) workersPause(in time.Duration, events []store.Event) time.Duration {
 	if v.config.LinkBytesPerSecond <= 0 || in <= 0 {
-		return workersPause
+		return maxWorkersPause
 	}
 	bytes := 0
 	for _, e := range events {
 		bytes += base64.StdEncoding.EncodedLen(len(e.Value)) + entryOverhead
 	}
 	fills := time.Duration(float64(bytes) / v.config.LinkBytesPerSecond * float64(time.Second))
-	return min(max(time.Duration(float64(workersFill)*float64(in)/float64(fills)), workersPauseLeast), workersPause)
+	return min(max(time.Duration(float64(maxWorkersTransfer)*float64(in)/float64(fills)), minWorkersPause), maxWorkersPause)
 }
 
-// readWorkers says whether this VM is to read the list of workers. The newest word counts.
-func (v *VM) readWorkers(on bool) {
+// setReadWorkers says whether this VM is to read the list of workers. The newest word counts.
+func (v *VM) setReadWorkers(on bool) {
 	select {
 	case <-v.readWorkersRequests:
 	default:
@@ -236,7 +236,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			v.followWorkers(watchCtx)
+			v.watchWorkerList(watchCtx)
 		}()
 		for on := true; on; {
 			select {
@@ -250,7 +250,7 @@
 	}
 }
 
-func (v *VM) followWorkers(ctx context.Context) {
+func (v *VM) watchWorkerList(ctx context.Context) {
 	list := make(map[string]worker.Info)
 	take := func(it store.Item) {
 		info, ok := v.decodeEntry(it)
@@ -268,8 +268,8 @@
 	send := func(sent time.Duration) {
 		v.post(workersEvent{sent: sent, list: slices.AppendSeq([]worker.Info{}, maps.Values(list))})
 	}
-	f := &follower{vm: v, prefix: v.config.Layout.WorkerPrefix, wait: v.config.noticeShare(listWait), pause: v.workersPause}
-	f.whole = func(sent time.Duration, _ uint64, items []store.Item) {
+	f := &prefixWatcher{vm: v, prefix: v.config.Layout.WorkerPrefix, maxWait: v.config.leaveNoticeShare(listWatchShare), pause: v.workersPause}
+	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
 		there := make(map[string]bool, len(items))
 		for _, it := range items {
 			there[it.Key] = true
@@ -278,7 +278,7 @@
 		maps.DeleteFunc(list, func(key string, _ worker.Info) bool { return !there[key] })
 		send(sent)
 	}
-	f.some = func(sent time.Duration, events []store.Event) {
+	f.onChanges = func(sent time.Duration, events []store.Event) {
 		for _, e := range events {
 			if e.Deleted {
 				delete(list, e.Key)
@@ -302,18 +302,18 @@
 	}
 	failures := 0
 	for ctx.Err() == nil {
-		err := v.holdSession(ctx, self)
-		if ctx.Err() != nil || errors.Is(err, errLeaving) {
+		err := v.maintainSession(ctx, self)
+		if ctx.Err() != nil || errors.Is(err, errStopping) {
 			return
 		}
 		klog.InfoS("kept: session lost", "vm", v.config.Name, "why", err)
 		failures++
-		rest(ctx, failures)
+		backOff(ctx, failures)
 	}
 }
 
-// holdSession opens a session and renews it until it is lost.
-func (v *VM) holdSession(ctx context.Context, self site.Member) error {
+// maintainSession opens a session and renews it until it is lost.
+func (v *VM) maintainSession(ctx context.Context, self site.Member) error {
 	lease, err := v.store.Grant(ctx, sessionTTL)
 	if err != nil {
 		return err
@@ -323,7 +323,7 @@
 		return err
 	}
 	klog.InfoS("kept: session opened", "vm", self.Name, "lease", lease)
-	pause := sessionKeep
+	pause := sessionRenewInterval
 	for ctx.Err() == nil {
 		select {
 		case <-v.drainRequested:
@@ -332,17 +332,17 @@
 			return ctx.Err()
 		case <-time.After(pause):
 		}
-		pause = sessionKeep
+		pause = sessionRenewInterval
 		err := v.store.KeepAlive(ctx, lease)
 		if errors.Is(err, store.ErrNoLease) {
 			return err
 		}
 		if err != nil {
 			klog.V(1).InfoS("kept: session not renewed", "why", err)
-			pause = sessionHurry
+			pause = sessionRetryInterval
 		}
 		if v.sessionKeyDeleted.Swap(false) {
-			return errKeyGone
+			return errSessionKeyDeleted
 		}
 	}
 	return nil
@@ -354,9 +354,9 @@
 	if err := v.store.Revoke(ctx, lease); err != nil {
 		klog.InfoS("kept: session not ended, its key lapses by itself", "why", err)
 	}
-	return errLeaving
+	return errStopping
 }
 
-var errLeaving = errors.New("this VM stops")
+var errStopping = errors.New("this VM stops")
 
-var errKeyGone = errors.New("the key is gone though its lease stands")
+var errSessionKeyDeleted = errors.New("the key is gone though its lease stands")
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -185,7 +185,7 @@
 	var own []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
 	if d, known := e.site.Layout(domain); known && e.workerLists[domain] != nil {
-		for _, info := range e.workerLists[domain].divide(d)[h.holding.Shard] {
+		for _, info := range e.workerLists[domain].workersByShard(d)[h.holding.Shard] {
 			if e.isServed(info) {
 				own = append(own, info)
 			}
