--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -22,7 +22,7 @@
 	w.hosts[id].ClockAhead = time.Second - w.now
 }
 
-// lossesOf returns the losses that are counted against a task.
+// decodeLosses returns the losses that are counted against a task.
 func (w *world) lossesOf(id submission.ID) []submission.Loss {
 	return w.shard.jobs[id].tasks[0].losses
 }
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -78,7 +78,7 @@
 	site              *site.Site
 	shards            map[string]*heldShard
 	homes             map[submission.ID]*home // stored submissions
-	transients        map[submission.ID]*transient
+	transients        map[submission.ID]*transientSubmission
 	deferred          []submitEvent // came before the shards are known
 	startedAt         time.Duration
 	retryTurns        policy.RetrySchedule // of callers that were refused here
@@ -120,7 +120,7 @@
 		site:             site.New(site.DefaultSettings(), self, c.Domains, v.now()),
 		shards:           make(map[string]*heldShard),
 		homes:            make(map[submission.ID]*home),
-		transients:       make(map[submission.ID]*transient),
+		transients:       make(map[submission.ID]*transientSubmission),
 		startedAt:        v.now(),
 		links:            make(map[string]*link.Link),
 		linkUp:           make(map[string]bool),
@@ -151,7 +151,7 @@
 		e.runShard(name, h)
 	}
 	e.releaseEarly()
-	e.moveTransients()
+	e.driveTransients()
 	e.askForStates()
 	e.signalDrained()
 	e.tellLoads()
@@ -228,12 +228,12 @@
 	for _, m := range a.Reassigns {
 		e.storeMove(name, h, m)
 	}
-	e.reportLosses(name, a)
+	e.logLosses(name, a)
 	for _, l := range a.TaskLosses {
-		e.tellLosses(l)
+		e.reportTaskLosses(l)
 	}
 	for _, n := range a.Outcomes {
-		e.tellNote(n) // before the state: what is told as returned has not completed
+		e.reportTaskOutcome(n) // before the state: what is told as returned has not completed
 	}
 	for _, s := range a.States {
 		w := h.report(s)
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -143,7 +143,7 @@
 			Run:        r.Run,
 			FailedRuns: int(r.Fails),
 
-			Losses: lossesOf(r.Losses),
+			Losses: decodeLosses(r.Losses),
 		})
 	}
 	return out
@@ -151,12 +151,12 @@
 
 // takeReturned gives tasks that a holder has given back to other shards. They keep their place in
 // the order: their objective runs from when the submission came.
-func (e *engine) takeReturned(t *transient, p *part, told []shard.ReturnedTask) {
+func (e *engine) takeReturned(t *transientSubmission, p *part, told []shard.ReturnedTask) {
 	var back []shard.ReturnedTask
 	for _, r := range told {
 		if p.record.Has(r.Task) { // else it was given to another shard before
 			back = append(back, r)
-			t.begun = t.begun || r.Run > 0
+			t.started = t.started || r.Run > 0
 		}
 	}
 	if len(back) == 0 {
@@ -183,7 +183,7 @@
 // unfinished part of a submission at most, so some may have to wait for the end of another part.
 // Where no shard may start anything, the callers are told at once: that it has not run only if
 // that is certain.
-func (e *engine) giveElsewhere(t *transient) {
+func (e *engine) giveElsewhere(t *transientSubmission) {
 	for len(t.unassigned) > 0 {
 		all := e.reachableShards(t.record)
 		if len(all) == 0 {
@@ -202,13 +202,13 @@
 
 // hasUnfinished reports whether a shard has a part of which tasks are to be done, there or, as it was
 // rejected, elsewhere: that part must not be replaced.
-func (t *transient) hasUnfinished(shard string) bool {
+func (t *transientSubmission) hasUnfinished(shard string) bool {
 	p := t.part(shard)
 	return p != nil && p.state != submission.Done
 }
 
 // endUnassigned ends a submission of which nobody may start what is left.
-func (e *engine) endUnassigned(t *transient) {
+func (e *engine) endUnassigned(t *transientSubmission) {
 	switch {
 	case t.anyBegun():
 		e.giveUp(t, "its failure domains are evacuated")
@@ -219,7 +219,7 @@
 }
 
 // ownTasks is the number of tasks that shards have.
-func (t *transient) ownTasks() int {
+func (t *transientSubmission) ownTasks() int {
 	n := 0
 	for _, p := range t.parts {
 		n += p.record.Tasks()
@@ -227,28 +227,28 @@
 	return n
 }
 
-func (e *engine) assignElsewhere(t *transient, lost unassignedTasks, shards []policy.Candidate) {
+func (e *engine) assignElsewhere(t *transientSubmission, lost unassignedTasks, shards []policy.Candidate) {
 	tasks := lost.tasks
-	for _, portion := range e.vm.config.Policy.Split(shards, len(tasks), divisible(lost.record), longestEstimate(lost.record)) {
+	for _, portion := range e.vm.config.Policy.Split(shards, len(tasks), isDivisible(lost.record), longestEstimate(lost.record)) {
 		rec := partOf(lost.record, tasks[:portion.Tasks])
 		tasks = tasks[portion.Tasks:]
 		rec.Shard = portion.Shard
 		rec.Serial = e.nextSerial()
-		p := &part{record: rec, shard: portion.Shard, changed: e.now}
+		p := &part{record: rec, shard: portion.Shard, updatedAt: e.now}
 		t.replace(p)
 		l := e.loads[p.shard]
 		l.sentMilli += int64(portion.Tasks) * largestTask(rec)
 		klog.InfoS("kept: given to another shard", "id", t.record.ID, "from", lost.record.Shard, "shard", p.shard,
-			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.now-t.came)
-		e.give(t, p, l)
+			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.now-t.receivedAt)
+		e.sendPart(t, p, l)
 	}
 }
 
 // replace adds a part, in the place of one that its shard has completed.
-func (t *transient) replace(p *part) {
+func (t *transientSubmission) replace(p *part) {
 	// Others may be going through the parts now.
 	parts := slices.DeleteFunc(slices.Clone(t.parts), func(old *part) bool { return old.shard == p.shard })
-	t.begun = t.begun || len(parts) < len(t.parts)
+	t.started = t.started || len(parts) < len(t.parts)
 	t.parts = append(parts, p)
 }
 
@@ -277,13 +277,13 @@
 }
 
 // endReturned takes that a holder has nothing left of a part: what it kept has completed.
-func (e *engine) endReturned(t *transient, p *part) {
+func (e *engine) endReturned(t *transientSubmission, p *part) {
 	p.state = submission.Done
 	if p.record.Tasks() == 0 {
 		// The shard may be given another part later. Others may be going through the parts now.
 		t.parts = slices.DeleteFunc(slices.Clone(t.parts), func(other *part) bool { return other == p })
 	}
-	e.endIfDone(t)
+	e.completeIfDone(t)
 }
 
 // storeMove writes a stored submission, of which nothing runs, under a shard that may start it. The
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -117,7 +117,7 @@
 			for name, h := range e.shards {
 				e.runShard(name, h)
 			}
-			e.moveTransients()
+			e.driveTransients()
 		}
 	})
 }
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -250,7 +250,7 @@
 		return
 	}
 	if r.Transient {
-		e.takeTransient(from, r, a.Resumed)
+		e.handleTransientAssign(from, r, a.Resumed)
 		return
 	}
 	h := e.shards[r.Shard]
--- a/internal/kept/vm/losses.go
+++ b/internal/kept/vm/losses.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func lossesOf(in []*pb.KeptLoss) []submission.Loss {
+func decodeLosses(in []*pb.KeptLoss) []submission.Loss {
 	var out []submission.Loss
 	for _, l := range in {
 		out = append(out, submission.Loss{Worker: l.Worker, Run: l.Run, Weight: int(l.Weight), Certain: l.Certain})
@@ -26,8 +26,8 @@
 	return out
 }
 
-// reportLosses logs and counts workers that were lost with tasks on them, and tasks given up for it.
-func (e *engine) reportLosses(name string, a shard.Actions) {
+// logLosses logs and counts workers that were lost with tasks on them, and tasks given up for it.
+func (e *engine) logLosses(name string, a shard.Actions) {
 	for _, l := range a.WorkerLosses {
 		e.vm.metrics.countLostTasks(l.Unrelated, l.Tasks)
 		klog.InfoS("kept: worker lost under tasks", "worker", l.Worker, "shard", name, "tasks", l.Tasks, "others_lost_too", l.Unrelated)
@@ -39,10 +39,10 @@
 	}
 }
 
-// tellLosses tells a submission's home which workers were lost under a task.
-func (e *engine) tellLosses(a shard.TaskLossesAction) {
+// reportTaskLosses tells a submission's home which workers were lost under a task.
+func (e *engine) reportTaskLosses(a shard.TaskLossesAction) {
 	if a.Home == e.vm.config.Name {
-		e.learnLosses(a.Task, a.Losses)
+		e.applyTaskLosses(a.Task, a.Losses)
 		return
 	}
 	f := e.frame(a.Home)
@@ -54,7 +54,7 @@
 	})
 }
 
-// learnLosses keeps which workers were lost under a task, for the next holder.
-func (e *engine) learnLosses(ref submission.TaskRef, losses []submission.Loss) {
-	e.learnProgress(ref, func(p *submission.Progress) { p.NoteLosses(ref.Task, losses) })
+// applyTaskLosses keeps which workers were lost under a task, for the next holder.
+func (e *engine) applyTaskLosses(ref submission.TaskRef, losses []submission.Loss) {
+	e.updateProgress(ref, func(p *submission.Progress) { p.NoteLosses(ref.Task, losses) })
 }
--- a/internal/kept/vm/losses_test.go
+++ b/internal/kept/vm/losses_test.go
@@ -66,7 +66,7 @@
 	v := &VM{now: func() time.Duration { return time.Hour }}
 	e := newEngine(context.Background(), v)
 	rec := equalTasks("s", 2, runhost.Work{Time: 50 * ms})
-	e.transients["s"] = &transient{record: rec, parts: []*part{{record: rec}}}
+	e.transients["s"] = &transientSubmission{record: rec, parts: []*part{{record: rec}}}
 	ref := submission.TaskRef{ID: "s", Task: submission.Task{Index: 1}}
 	for range 2 {
 		frameEvent{from: "a2", frame: &pb.KeptFrame{Losses: []*pb.KeptLosses{{
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -19,10 +19,10 @@
 		v.post(engineCall(func(e *engine) {
 			rec := equalTasks("job", 2, runhost.Work{Time: 50 * ms})
 			rec.Serial = 9
-			p := &part{record: rec, shard: "b/0", token: e.loads["b/0"].token, holder: e.loads["b/0"].holder}
-			sub := &transient{record: rec, parts: []*part{p}, state: submission.Queued}
+			p := &part{record: rec, shard: "b/0", holderToken: e.loads["b/0"].token, holder: e.loads["b/0"].holder}
+			sub := &transientSubmission{record: rec, parts: []*part{p}, state: submission.Queued}
 			e.transients["job"] = sub
-			e.learnPart(sub, p, stateReport{shard: "b/0", token: p.token, state: submission.Done, serial: 5})
+			e.applyPartReport(sub, p, stateReport{shard: "b/0", token: p.holderToken, state: submission.Done, serial: 5})
 			reply <- sub.state
 			delete(e.transients, "job")
 		}))
@@ -52,7 +52,7 @@
 			gone.Elsewhere = []submission.Task{{Index: 0}, {Index: 1}}
 			p := &part{record: &rejected, shard: "b/0", state: submission.Rejected}
 			back := unassignedTasks{record: &gone, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
-			sub := &transient{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{back}}
+			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{back}}
 			e.transients["job"] = sub
 			e.evacuations.Take(evacuation.Notice{Domain: "a", Revision: 1 << 40, Evacuated: true})
 			e.giveElsewhere(sub)
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -181,7 +181,7 @@
 	for _, t := range e.transients {
 		for _, p := range t.parts {
 			if p.holder == holder {
-				p.asked, p.changed = 0, 0
+				p.queriedAt, p.updatedAt = 0, 0
 			}
 		}
 	}
@@ -217,12 +217,12 @@
 	for _, n := range f.Notes {
 		ref := submission.TaskRef{ID: submission.ID(n.Id)}
 		ref.Step, ref.Index = int(n.Step), int(n.Index)
-		e.learnNote(ref, int(n.Fails))
+		e.applyTaskOutcome(ref, int(n.Fails))
 	}
 	for _, w := range f.Losses {
 		ref := submission.TaskRef{ID: submission.ID(w.Id)}
 		ref.Step, ref.Index = int(w.Step), int(w.Index)
-		e.learnLosses(ref, lossesOf(w.Losses))
+		e.applyTaskLosses(ref, decodeLosses(w.Losses))
 	}
 	for _, s := range f.States {
 		e.learnState(submission.ID(s.Id), stateReport{shard: s.Shard, token: s.Token, state: submission.State(s.State), serial: s.Serial, returned: returnedOf(s.Returned)})
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -124,7 +124,7 @@
 func (e *engine) learnState(id submission.ID, w stateReport) {
 	if t := e.transients[id]; t != nil {
 		if p := t.part(w.shard); p != nil {
-			e.learnPart(t, p, w)
+			e.applyPartReport(t, p, w)
 		}
 		return
 	}
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -27,43 +27,43 @@
 
 // reconsider takes a divided submission back when its time is over, and gives parts that
 // came back out again when others have begun.
-func (e *engine) reconsider(t *transient) {
+func (e *engine) reconsider(t *transientSubmission) {
 	if !e.vm.config.Policy.TakeBack || len(t.parts) < 2 || t.state.Final() {
 		return
 	}
 	switch {
-	case t.takenBackAt == 0 && t.anyReturned():
-		t.takenBackAt = e.now // a holder has rejected its part by itself
-	case t.takenBackAt == 0 && !t.anyBegun():
-		if reason := e.vm.config.Policy.KeepWaiting(e.now, e.work(t.record, t.came)); reason.Refused() {
+	case t.recalledAt == 0 && t.anyReturned():
+		t.recalledAt = e.now // a holder has rejected its part by itself
+	case t.recalledAt == 0 && !t.anyBegun():
+		if reason := e.vm.config.Policy.KeepWaiting(e.now, e.work(t.record, t.receivedAt)); reason.Refused() {
 			e.takeBack(t, reason)
 		}
-	case t.takenBackAt > 0 && t.anyReturned() && (t.anyBegun() || e.now-t.takenBackAt > takeBackWithin):
+	case t.recalledAt > 0 && t.anyReturned() && (t.anyBegun() || e.now-t.recalledAt > takeBackWithin):
 		e.giveOutAgain(t)
 	}
 }
 
-func (t *transient) anyBegun() bool {
-	return t.begun || slices.ContainsFunc(t.parts, func(p *part) bool {
-		return p.moves > 0 || p.state == submission.Running || p.state == submission.Done
+func (t *transientSubmission) anyBegun() bool {
+	return t.started || slices.ContainsFunc(t.parts, func(p *part) bool {
+		return p.handovers > 0 || p.state == submission.Running || p.state == submission.Done
 	})
 }
 
-func (t *transient) anyReturned() bool {
+func (t *transientSubmission) anyReturned() bool {
 	return slices.ContainsFunc(t.parts, func(p *part) bool { return p.state == submission.Rejected })
 }
 
-func (e *engine) takeBack(t *transient, reason policy.Reason) {
-	t.takenBackAt = e.now
-	klog.InfoS("kept: taken back", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.came)
-	e.tellHolders(t,
+func (e *engine) takeBack(t *transientSubmission, reason policy.Reason) {
+	t.recalledAt = e.now
+	klog.InfoS("kept: taken back", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.receivedAt)
+	e.notifyPartHolders(t,
 		func(own *shard.Shard) { own.TakeBack(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.TakenBack = append(f.TakenBack, part) })
 }
 
 // giveOutAgain hands the parts that came back to the shards that do them soonest. A shard
 // has one part of a submission at most.
-func (e *engine) giveOutAgain(t *transient) {
+func (e *engine) giveOutAgain(t *transientSubmission) {
 	for _, p := range t.parts {
 		if p.state != submission.Rejected {
 			continue
@@ -76,16 +76,16 @@
 		p.record.Serial = e.nextSerial()
 		p.record.Shard = p.shard
 		p.state = submission.Queued
-		p.token = 0
-		p.changed = e.now
+		p.holderToken = 0
+		p.updatedAt = e.now
 		klog.InfoS("kept: given out again", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "tasks", p.record.Tasks())
-		e.give(t, p, l)
+		e.sendPart(t, p, l)
 	}
-	t.takenBackAt = 0
+	t.recalledAt = 0
 }
 
 // shardFor chooses the shard that a part is given to next; nil if there is none.
-func (e *engine) shardFor(t *transient, p *part) *knownLoad {
+func (e *engine) shardFor(t *transientSubmission, p *part) *knownLoad {
 	shards := e.reachableShards(p.record)
 	shards = slices.DeleteFunc(shards, func(c policy.Candidate) bool {
 		other := t.part(c.Shard)
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -27,36 +27,36 @@
 const (
 	// A holder that was killed is replaced within some 50 ms, one that fell silent
 	// within a second.
-	holderAway = 1100 * time.Millisecond
-	movesMost  = 5                // holders that a part is given to one after the other
-	answersFor = 10 * time.Second // an end is kept for callers whose answer was lost
+	holderUnreachableTimeout = 1100 * time.Millisecond
+	maxHandovers             = 5                // holders that a part is given to one after the other
+	resultRetention          = 10 * time.Second // an end is kept for callers whose answer was lost
 )
 
 // transient is a submission at its home.
-type transient struct {
-	record  *submission.Record // the whole
-	parts   []*part
-	state   submission.State
-	came    time.Duration
-	ended   time.Duration
-	waiters []chan Outcome
-	// takenBackAt is when its parts were taken back, while that is not decided; 0: it is.
-	takenBackAt time.Duration
-	begun       bool // though no part here says so
-	unassigned  []unassignedTasks
+type transientSubmission struct {
+	record         *submission.Record // the whole
+	parts          []*part
+	state          submission.State
+	receivedAt     time.Duration
+	endedAt        time.Duration
+	outcomeWaiters []chan Outcome
+	// recalledAt is when its parts were taken back, while that is not decided; 0: it is.
+	recalledAt time.Duration
+	started    bool // though no part here says so
+	unassigned []unassignedTasks
 }
 
 // part is what one shard has of it.
 type part struct {
-	record  *submission.Record
-	shard   string
-	token   uint64        // under which a holder was told of it; 0: none was
-	holder  string        // that was told of it
-	lostAt  time.Duration // since when that holder cannot be reached; 0: it can
-	moves   int
-	changed time.Duration
-	asked   time.Duration
-	state   submission.State
+	record           *submission.Record
+	shard            string
+	holderToken      uint64        // under which a holder was told of it; 0: none was
+	holder           string        // that was told of it
+	unreachableSince time.Duration // since when that holder cannot be reached; 0: it can
+	handovers        int
+	updatedAt        time.Duration
+	queriedAt        time.Duration
+	state            submission.State
 }
 
 func (e *engine) submitTransient(ev submitEvent) {
@@ -66,10 +66,10 @@
 			ev.reply <- Outcome{Kind: Ended, State: t.state} // its first answer was lost
 			return
 		}
-		t.waiters = append(t.waiters, ev.reply)
+		t.outcomeWaiters = append(t.outcomeWaiters, ev.reply)
 		return
 	}
-	parts, refusal := e.divide(ev.record, ev.came)
+	parts, refusal := e.splitIntoParts(ev.record, ev.came)
 	if refusal != nil {
 		e.vm.metrics.queue(ev.record.Queue).countEnd("refused", e.now-ev.came)
 		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.now-ev.came, "retry_after", refusal.RetryAfter)
@@ -80,12 +80,12 @@
 	for _, p := range parts {
 		p.record.Serial = ev.record.Serial
 	}
-	t := &transient{
-		record:  ev.record,
-		parts:   parts,
-		state:   submission.Queued,
-		came:    ev.came,
-		waiters: []chan Outcome{ev.reply},
+	t := &transientSubmission{
+		record:         ev.record,
+		parts:          parts,
+		state:          submission.Queued,
+		receivedAt:     ev.came,
+		outcomeWaiters: []chan Outcome{ev.reply},
 	}
 	e.transients[id] = t
 	e.vm.metrics.queue(ev.record.Queue).taken.Inc(1)
@@ -95,7 +95,7 @@
 		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
 			"tasks", p.record.Tasks(), "of", ev.record.Tasks(), "objective", ev.record.Terms.Objective(ev.record.Chain()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
 		l.sentMilli += int64(demand(p.record)) * largestTask(p.record)
-		e.give(t, p, l)
+		e.sendPart(t, p, l)
 	}
 }
 
@@ -106,16 +106,16 @@
 }
 
 // divide makes the parts of a submission. Steps that wait for each other stay together.
-func (e *engine) divide(r *submission.Record, came time.Duration) ([]*part, *Outcome) {
+func (e *engine) splitIntoParts(r *submission.Record, came time.Duration) ([]*part, *Outcome) {
 	r.Home = e.vm.config.Name
 	shards, refusal := e.candidates(r, came)
 	if refusal != nil {
 		return nil, refusal
 	}
-	portions := e.vm.config.Policy.Split(shards, demand(r), divisible(r), longestEstimate(r))
+	portions := e.vm.config.Policy.Split(shards, demand(r), isDivisible(r), longestEstimate(r))
 	if len(portions) == 1 {
 		r.Shard = portions[0].Shard
-		return []*part{{record: r, shard: r.Shard, changed: e.now}}, nil
+		return []*part{{record: r, shard: r.Shard, updatedAt: e.now}}, nil
 	}
 	var parts []*part
 	first := r.Steps[0].First
@@ -127,27 +127,27 @@
 		piece.Steps[0].Count = portion.Tasks
 		piece.Part = true
 		first += portion.Tasks
-		parts = append(parts, &part{record: &piece, shard: piece.Shard, changed: e.now})
+		parts = append(parts, &part{record: &piece, shard: piece.Shard, updatedAt: e.now})
 	}
 	return parts, nil
 }
 
 // divisible reports whether several shards can have parts of a submission.
-func divisible(r *submission.Record) bool { return len(r.Steps) == 1 && r.Steps[0].MaxPerWorker == 0 }
+func isDivisible(r *submission.Record) bool { return len(r.Steps) == 1 && r.Steps[0].MaxPerWorker == 0 }
 
 // give hands a part to the holder of its shard.
-func (e *engine) give(t *transient, p *part, l *knownLoad) {
-	p.record.Age = e.now - t.came
-	if p.token == 0 {
+func (e *engine) sendPart(t *transientSubmission, p *part, l *knownLoad) {
+	p.record.Age = e.now - t.receivedAt
+	if p.holderToken == 0 {
 		p.record.Token = l.token
 	}
 	// Whoever is not the first holder has to look for runs of the first one, also when
 	// it is told for the second time as the first message was lost.
 	resumed := p.record.Token != l.token
-	p.token = l.token
+	p.holderToken = l.token
 	p.holder = l.holder
-	p.asked = e.now
-	p.lostAt = 0
+	p.queriedAt = e.now
+	p.unreachableSince = 0
 	if own := e.shards[p.shard]; own != nil {
 		if resumed {
 			own.core.Resume(e.now, p.record)
@@ -160,8 +160,8 @@
 	f.Assign = append(f.Assign, &pb.KeptAssign{Id: string(p.record.ID), Record: p.record.Encode(), Resumed: resumed})
 }
 
-// takeTransient takes a part that its home hands over.
-func (e *engine) takeTransient(from string, r *submission.Record, resumed bool) {
+// handleTransientAssign takes a part that its home hands over.
+func (e *engine) handleTransientAssign(from string, r *submission.Record, resumed bool) {
 	h := e.shards[r.Shard]
 	switch {
 	case h == nil:
@@ -175,63 +175,63 @@
 	}
 }
 
-// moveTransients gives parts whose shard has a new holder to that one, and gives up
+// driveTransients gives parts whose shard has a new holder to that one, and gives up
 // submissions of which a holder is away for too long.
-func (e *engine) moveTransients() {
+func (e *engine) driveTransients() {
 	for _, t := range e.transients {
 		for _, p := range t.parts {
 			if t.state.Final() || p.state.Final() {
 				continue
 			}
 			l := e.loads[p.shard]
-			if l.token > p.token && e.reachable(p.shard) {
-				e.movePart(t, p, l)
+			if l.token > p.holderToken && e.reachable(p.shard) {
+				e.handOverPart(t, p, l)
 				continue
 			}
-			e.watchHolder(t, p)
+			e.checkHolder(t, p)
 		}
 		e.giveElsewhere(t)
 		e.reconsider(t)
-		if t.state.Final() && e.now-t.ended > answersFor {
+		if t.state.Final() && e.now-t.endedAt > resultRetention {
 			delete(e.transients, t.record.ID)
 		}
 	}
 }
 
-func (e *engine) movePart(t *transient, p *part, l *knownLoad) {
-	p.moves++
-	if p.moves > movesMost {
+func (e *engine) handOverPart(t *transientSubmission, p *part, l *knownLoad) {
+	p.handovers++
+	if p.handovers > maxHandovers {
 		e.giveUp(t, "a shard of it changes hands again and again")
 		return
 	}
 	klog.InfoS("kept: given to a new holder", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "from", p.holder)
-	e.give(t, p, l)
+	e.sendPart(t, p, l)
 }
 
-// watchHolder asks a holder that has said nothing for a while, and gives up on one that
+// checkHolder asks a holder that has said nothing for a while, and gives up on one that
 // cannot be reached.
-func (e *engine) watchHolder(t *transient, p *part) {
+func (e *engine) checkHolder(t *transientSubmission, p *part) {
 	if p.holder != e.vm.config.Name && !e.linkUp[p.holder] {
-		if p.lostAt == 0 {
-			p.lostAt = e.now
+		if p.unreachableSince == 0 {
+			p.unreachableSince = e.now
 		}
-		if e.now-p.lostAt > holderAway {
+		if e.now-p.unreachableSince > holderUnreachableTimeout {
 			e.giveUp(t, "the holder of a shard is away")
 		}
 		return
 	}
-	p.lostAt = 0
-	if e.now-max(p.asked, p.changed) > stateQueryInterval {
-		e.askPart(t, p)
+	p.unreachableSince = 0
+	if e.now-max(p.queriedAt, p.updatedAt) > stateQueryInterval {
+		e.queryPart(t, p)
 	}
 }
 
-// askPart asks a holder how far a part is.
-func (e *engine) askPart(t *transient, p *part) {
-	p.asked = e.now
+// queryPart asks a holder how far a part is.
+func (e *engine) queryPart(t *transientSubmission, p *part) {
+	p.queriedAt = e.now
 	if own := e.shards[p.shard]; own != nil {
 		said, _ := own.core.Report(t.record.ID)
-		e.learnPart(t, p, own.report(said))
+		e.applyPartReport(t, p, own.report(said))
 		return
 	}
 	f := e.frame(p.holder)
@@ -239,36 +239,36 @@
 }
 
 // endExpired tells the callers to send the submission again.
-func (e *engine) giveUp(t *transient, why string) {
-	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.came)
-	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.came, "parts", len(t.parts))
-	e.forgetTransient(t, Outcome{Kind: Indeterminate, Why: why})
+func (e *engine) giveUp(t *transientSubmission, why string) {
+	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.receivedAt)
+	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.receivedAt, "parts", len(t.parts))
+	e.dropTransient(t, Outcome{Kind: Indeterminate, Why: why})
 }
 
-// forgetTransient ends all parts, answers the callers, and keeps nothing.
-func (e *engine) forgetTransient(t *transient, o Outcome) {
-	e.withdraw(t)
-	t.answer(o)
+// dropTransient ends all parts, answers the callers, and keeps nothing.
+func (e *engine) dropTransient(t *transientSubmission, o Outcome) {
+	e.cancelParts(t)
+	t.replyOutcome(o)
 	delete(e.transients, t.record.ID)
 }
 
-func (t *transient) answer(o Outcome) {
-	for _, w := range t.waiters {
+func (t *transientSubmission) replyOutcome(o Outcome) {
+	for _, w := range t.outcomeWaiters {
 		w <- o
 	}
-	t.waiters = nil
+	t.outcomeWaiters = nil
 }
 
 // withdraw tells the holders of unfinished parts that nobody waits for them.
-func (e *engine) withdraw(t *transient) {
-	e.tellHolders(t,
+func (e *engine) cancelParts(t *transientSubmission) {
+	e.notifyPartHolders(t,
 		func(own *shard.Shard) { own.Cancel(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.Cancelled = append(f.Cancelled, part) })
 }
 
-// tellHolders says something of each unfinished part to the shard that has it, if it is one
+// notifyPartHolders says something of each unfinished part to the shard that has it, if it is one
 // of this VM's, or else to its holder.
-func (e *engine) tellHolders(t *transient, here func(*shard.Shard), there func(*pb.KeptFrame, *pb.KeptRef)) {
+func (e *engine) notifyPartHolders(t *transientSubmission, here func(*shard.Shard), there func(*pb.KeptFrame, *pb.KeptRef)) {
 	for _, p := range t.parts {
 		if p.state.Final() {
 			continue
@@ -284,11 +284,11 @@
 }
 
 // all reports whether each part is in a state.
-func (t *transient) all(state submission.State) bool {
+func (t *transientSubmission) allPartsIn(state submission.State) bool {
 	return !slices.ContainsFunc(t.parts, func(p *part) bool { return p.state != state })
 }
 
-func (t *transient) part(shard string) *part {
+func (t *transientSubmission) part(shard string) *part {
 	for _, p := range t.parts {
 		if p.shard == shard {
 			return p
@@ -297,7 +297,7 @@
 	return nil
 }
 
-// learnPart takes a holder's word about a part.
+// applyPartReport takes a holder's word about a part.
 //
 // An earlier holder that does not know yet that it was replaced may reject what it has in
 // its queue, while the next one, which has been given the part, starts it: the caller
@@ -308,7 +308,7 @@
 // before another part that it is given later, it answers of the one before: the caller would be
 // told that it has not run while it does, or that it is done while a part of it is not. Such an
 // answer says that the holder does not have the part.
-func (e *engine) learnPart(t *transient, p *part, w stateReport) {
+func (e *engine) applyPartReport(t *transientSubmission, p *part, w stateReport) {
 	if t.state.Final() || p.state.Final() {
 		return
 	}
@@ -317,10 +317,10 @@
 	if state.Final() && !own {
 		state = submission.Unknown
 	}
-	if w.token != p.token && state != submission.Done && state != submission.Failed {
+	if w.token != p.holderToken && state != submission.Done && state != submission.Failed {
 		return
 	}
-	p.changed = e.now
+	p.updatedAt = e.now
 	if own {
 		e.takeReturned(t, p, w.returned)
 	}
@@ -333,24 +333,24 @@
 	case submission.Unknown:
 		// The holder never got it, or it is the holder no more. In the first case it
 		// can be given once more; in the second the next holder comes by itself.
-		if l := e.loads[p.shard]; l.token == p.token && e.reachable(p.shard) {
-			e.movePart(t, p, l)
+		if l := e.loads[p.shard]; l.token == p.holderToken && e.reachable(p.shard) {
+			e.handOverPart(t, p, l)
 		}
 	case submission.Cancelled:
 		p.state = state
 		e.giveUp(t, "a holder has ended it")
 	case submission.Rejected:
 		p.state = state
-		if t.all(submission.Rejected) && len(t.unassigned) == 0 {
+		if t.allPartsIn(submission.Rejected) && len(t.unassigned) == 0 {
 			e.endRejected(t)
 		}
 	case submission.Failed:
 		p.state = state
-		e.withdraw(t)
+		e.cancelParts(t)
 		e.endTransient(t, state)
 	case submission.Done:
 		p.state = state
-		e.endIfDone(t)
+		e.completeIfDone(t)
 	default:
 		p.state = max(p.state, state)
 	}
@@ -358,8 +358,8 @@
 
 // endRejected ends a submission of which all that is left was rejected. A task that was given back
 // may have run, and failed.
-func (e *engine) endRejected(t *transient) {
-	if t.begun {
+func (e *engine) endRejected(t *transientSubmission) {
+	if t.started {
 		e.giveUp(t, "what is left of it cannot be done in time")
 		return
 	}
@@ -368,37 +368,37 @@
 
 // refuseTransient tells the callers of a submission, of which nothing has begun, when to come
 // again.
-func (e *engine) refuseTransient(t *transient, why policy.Reason) {
+func (e *engine) refuseTransient(t *transientSubmission, why policy.Reason) {
 	after := e.comeBack(t.record, e.reachableShards(t.record))
-	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.came)
-	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.came, "retry_after", after, "parts", len(t.parts))
-	e.forgetTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
+	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.receivedAt)
+	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.receivedAt, "retry_after", after, "parts", len(t.parts))
+	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
 }
 
-// endIfDone ends a submission of which each task has completed, and gives out what waited for the
+// completeIfDone ends a submission of which each task has completed, and gives out what waited for the
 // end of a part.
-func (e *engine) endIfDone(t *transient) {
+func (e *engine) completeIfDone(t *transientSubmission) {
 	if len(t.unassigned) > 0 {
 		e.giveElsewhere(t)
 		return
 	}
-	if t.all(submission.Done) {
+	if t.allPartsIn(submission.Done) {
 		e.endTransient(t, submission.Done)
 	}
 }
 
-func (e *engine) endTransient(t *transient, state submission.State) {
+func (e *engine) endTransient(t *transientSubmission, state submission.State) {
 	t.state = state
-	t.ended = e.now
-	e.vm.metrics.queue(t.record.Queue).countEnd(state.String(), e.now-t.came)
-	klog.InfoS("kept: answered", "id", t.record.ID, "queue", t.record.Queue, "state", state.String(), "after", e.now-t.came, "parts", len(t.parts))
-	t.answer(Outcome{Kind: Ended, State: state})
+	t.endedAt = e.now
+	e.vm.metrics.queue(t.record.Queue).countEnd(state.String(), e.now-t.receivedAt)
+	klog.InfoS("kept: answered", "id", t.record.ID, "queue", t.record.Queue, "state", state.String(), "after", e.now-t.receivedAt, "parts", len(t.parts))
+	t.replyOutcome(Outcome{Kind: Ended, State: state})
 }
 
-// tellNote tells a submission's home what has become of a task.
-func (e *engine) tellNote(n shard.OutcomeAction) {
+// reportTaskOutcome tells a submission's home what has become of a task.
+func (e *engine) reportTaskOutcome(n shard.OutcomeAction) {
 	if n.Home == e.vm.config.Name {
-		e.learnNote(n.Task, n.FailedRuns)
+		e.applyTaskOutcome(n.Task, n.FailedRuns)
 		return
 	}
 	f := e.frame(n.Home)
@@ -410,20 +410,20 @@
 	})
 }
 
-// learnNote keeps what has become of a task, for the next holder.
-func (e *engine) learnNote(ref submission.TaskRef, fails int) {
-	e.learnProgress(ref, func(p *submission.Progress) { p.Note(ref.Task, fails) })
+// applyTaskOutcome keeps what has become of a task, for the next holder.
+func (e *engine) applyTaskOutcome(ref submission.TaskRef, fails int) {
+	e.updateProgress(ref, func(p *submission.Progress) { p.Note(ref.Task, fails) })
 }
 
-// learnProgress takes a holder's word of a task into the record of the part that has it.
-func (e *engine) learnProgress(ref submission.TaskRef, note func(*submission.Progress)) {
+// updateProgress takes a holder's word of a task into the record of the part that has it.
+func (e *engine) updateProgress(ref submission.TaskRef, note func(*submission.Progress)) {
 	t := e.transients[ref.ID]
 	if t == nil || t.state.Final() {
 		return
 	}
 	for _, p := range t.parts {
 		if p.record.Has(ref.Task) {
-			p.changed = e.now
+			p.updatedAt = e.now
 			note(&p.record.Progress)
 		}
 	}
@@ -439,12 +439,12 @@
 	if t == nil {
 		return
 	}
-	t.waiters = slices.DeleteFunc(t.waiters, func(w chan Outcome) bool { return w == ev.reply })
-	if t.state.Final() || len(t.waiters) > 0 {
+	t.outcomeWaiters = slices.DeleteFunc(t.outcomeWaiters, func(w chan Outcome) bool { return w == ev.reply })
+	if t.state.Final() || len(t.outcomeWaiters) > 0 {
 		return
 	}
-	e.vm.metrics.queue(t.record.Queue).countEnd("abandoned", e.now-t.came)
-	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.now-t.came, "why", "its caller has gone")
-	e.withdraw(t)
+	e.vm.metrics.queue(t.record.Queue).countEnd("abandoned", e.now-t.receivedAt)
+	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.now-t.receivedAt, "why", "its caller has gone")
+	e.cancelParts(t)
 	delete(e.transients, ev.id)
 }
--- a/internal/kept/vm/transient_test.go
+++ b/internal/kept/vm/transient_test.go
@@ -19,17 +19,17 @@
 		a := e.frame(holder).Assign
 		return a[len(a)-1]
 	}
-	e.give(&transient{}, p, &knownLoad{holder: "first", token: 3})
+	e.sendPart(&transientSubmission{}, p, &knownLoad{holder: "first", token: 3})
 	if last("first").Resumed {
 		t.Error("its first holder is to look for runs of an earlier one")
 	}
 	for range 2 {
-		e.give(&transient{}, p, &knownLoad{holder: "second", token: 4})
+		e.sendPart(&transientSubmission{}, p, &knownLoad{holder: "second", token: 4})
 		if !last("second").Resumed {
 			t.Error("the second holder is told that nothing of it has run")
 		}
 	}
-	e.give(&transient{}, p, &knownLoad{holder: "third", token: 5})
+	e.sendPart(&transientSubmission{}, p, &knownLoad{holder: "third", token: 5})
 	if r, err := submission.DecodeRecord("job", last("third").Record); err != nil || r.Token != 3 || !last("third").Resumed {
 		t.Errorf("the third holder gets %+v, %v", r, err)
 	}
@@ -40,13 +40,13 @@
 // yet that it was replaced, and rejects what waits in its queue. Cause: the home took the
 // word of whoever named the shard.
 func TestRejectionByAnEarlierHolderCountsForNothing(t *testing.T) {
-	p := &part{record: &submission.Record{ID: "job", Token: 3}, shard: "a/0", token: 4, holder: "second", state: submission.Queued}
-	tr := &transient{record: p.record, parts: []*part{p}, waiters: []chan Outcome{make(chan Outcome, 1)}}
-	e := &engine{now: time.Hour, transients: map[submission.ID]*transient{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 4}}}
+	p := &part{record: &submission.Record{ID: "job", Token: 3}, shard: "a/0", holderToken: 4, holder: "second", state: submission.Queued}
+	tr := &transientSubmission{record: p.record, parts: []*part{p}, outcomeWaiters: []chan Outcome{make(chan Outcome, 1)}}
+	e := &engine{now: time.Hour, transients: map[submission.ID]*transientSubmission{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 4}}}
 	for _, state := range []submission.State{submission.Rejected, submission.Cancelled, submission.Unknown, submission.Running} {
 		e.learnState("job", stateReport{shard: "a/0", token: 3, state: state})
 	}
-	if len(tr.waiters[0]) > 0 || p.state != submission.Queued || e.transients["job"] == nil {
+	if len(tr.outcomeWaiters[0]) > 0 || p.state != submission.Queued || e.transients["job"] == nil {
 		t.Errorf("the home believed it: %s", p.state)
 	}
 }
@@ -55,11 +55,11 @@
 // was rejected by a holder and is handed to it again; the holder is asked before that has
 // come. Cause: its answer was of the hand-in before.
 func TestRejectionOfAnEarlierHandInCountsForNothing(t *testing.T) {
-	p := &part{record: &submission.Record{ID: "job", Token: 3, Serial: 8}, shard: "a/0", token: 3, holder: "a1", state: submission.Queued}
-	tr := &transient{record: p.record, parts: []*part{p}, waiters: []chan Outcome{make(chan Outcome, 1)}}
-	e := &engine{now: time.Hour, transients: map[submission.ID]*transient{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 3}}}
+	p := &part{record: &submission.Record{ID: "job", Token: 3, Serial: 8}, shard: "a/0", holderToken: 3, holder: "a1", state: submission.Queued}
+	tr := &transientSubmission{record: p.record, parts: []*part{p}, outcomeWaiters: []chan Outcome{make(chan Outcome, 1)}}
+	e := &engine{now: time.Hour, transients: map[submission.ID]*transientSubmission{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 3}}}
 	e.learnState("job", stateReport{shard: "a/0", token: 3, state: submission.Rejected, serial: 7})
-	if len(tr.waiters) == 0 || len(tr.waiters[0]) > 0 || p.state != submission.Queued {
+	if len(tr.outcomeWaiters) == 0 || len(tr.outcomeWaiters[0]) > 0 || p.state != submission.Queued {
 		t.Errorf("the home believed it: %s", p.state)
 	}
 }
