--- a/internal/kept/vm/early.go
+++ b/internal/kept/vm/early.go
@@ -33,7 +33,7 @@
 	if e.now-e.startedAt >= e.vm.config.Policy.StartHold() {
 		return false
 	}
-	switch e.work(ev.record, ev.came).Band(e.now) {
+	switch e.work(ev.record, ev.receivedAt).Band(e.now) {
 	case policy.InTime:
 		return true
 	case policy.Late:
--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -25,7 +25,7 @@
 		Guards:      []store.Condition{h.guard()},
 		GiveUpAfter: endsWriteTimeout,
 		Done: func(r journal.Result) {
-			e.vm.post(finalEvent{shard: name, id: string(f.ID), token: token, state: f.State, result: r})
+			e.vm.post(finalStoredEvent{shard: name, id: string(f.ID), token: token, state: f.State, result: r})
 		},
 	})
 	if !ok {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (ev finalEvent) apply(e *engine) {
+func (ev finalStoredEvent) apply(e *engine) {
 	h := e.shards[ev.shard]
 	if h == nil || h.holding.Token != ev.token {
 		return
@@ -82,7 +82,7 @@
 		Guards:      []store.Condition{h.guard()},
 		GiveUpAfter: endsWriteTimeout,
 		Done: func(r journal.Result) {
-			e.vm.post(savedEvent{shard: name, id: id, token: token, result: r})
+			e.vm.post(progressStoredEvent{shard: name, id: id, token: token, result: r})
 		},
 	})
 	if !ok {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (ev savedEvent) apply(e *engine) {
+func (ev progressStoredEvent) apply(e *engine) {
 	h := e.shards[ev.shard]
 	if h == nil || h.holding.Token != ev.token {
 		return
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -309,7 +309,7 @@
 		Guards:      []store.Condition{h.guard(), {Key: site.ShardKey(rec.Shard), Revision: to.Revision}},
 		GiveUpAfter: endsWriteTimeout,
 		Done: func(r journal.Result) {
-			e.vm.post(movedEvent{shard: name, token: token, before: m.Revision, record: rec, result: r})
+			e.vm.post(reassignStoredEvent{shard: name, token: token, oldRevision: m.Revision, record: rec, result: r})
 		},
 	})
 	if !added {
@@ -317,7 +317,7 @@
 	}
 }
 
-func (ev movedEvent) apply(e *engine) {
+func (ev reassignStoredEvent) apply(e *engine) {
 	h := e.shards[ev.shard]
 	if h == nil || h.holding.Token != ev.token {
 		return // the next holder finds it in the store, under one shard or the other
@@ -341,8 +341,8 @@
 }
 
 // recordChanged reports whether the write failed as the submission was cancelled or ended.
-func (ev movedEvent) recordChanged() bool {
+func (ev reassignStoredEvent) recordChanged() bool {
 	return slices.ContainsFunc(ev.result.Items, func(it store.Item) bool {
-		return it.Key == submission.OpenKey(ev.record.ID) && it.Revision != ev.before
+		return it.Key == submission.OpenKey(ev.record.ID) && it.Revision != ev.oldRevision
 	})
 }
--- a/internal/kept/vm/events.go
+++ b/internal/kept/vm/events.go
@@ -20,9 +20,9 @@
 // From callers.
 type (
 	submitEvent struct {
-		record *submission.Record
-		reply  chan Outcome  // buffered
-		came   time.Duration // set by the engine
+		record     *submission.Record
+		reply      chan Outcome  // buffered
+		receivedAt time.Duration // set by the engine
 	}
 	stateEvent struct {
 		id    submission.ID
@@ -61,18 +61,18 @@
 		sent time.Duration // when the call left
 		list []worker.Info
 	}
-	servicesEvent struct{ services []catalog.Service }
-	createdEvent  struct {
+	servicesEvent     struct{ services []catalog.Service }
+	recordStoredEvent struct {
 		record *submission.Record
 		result journal.Result
 	}
-	finalEvent struct {
+	finalStoredEvent struct {
 		shard, id string
 		token     uint64
 		state     submission.State
 		result    journal.Result
 	}
-	savedEvent struct {
+	progressStoredEvent struct {
 		shard, id string
 		token     uint64
 		result    journal.Result
@@ -83,11 +83,11 @@
 		err      error
 	}
 	scannedEvent struct {
-		shard       string
-		token       uint64
-		records     []shard.StoredRecord
-		known       []worker.Info     // the workers that earlier holders used
-		evacuations *evacuationsEvent // nil: they were not asked for
+		shard           string
+		token           uint64
+		records         []shard.StoredRecord
+		previousWorkers []worker.Info     // the workers that earlier holders used
+		evacuations     *evacuationsEvent // nil: they were not asked for
 	}
 	// evacuationsEvent brings what the store says of evacuations.
 	evacuationsEvent struct {
@@ -96,17 +96,17 @@
 		revision uint64
 		notices  []evacuation.Notice
 	}
-	movedEvent struct {
-		shard  string
-		token  uint64
-		before uint64 // revision of the record that was to be replaced
-		record *submission.Record
-		result journal.Result
+	reassignStoredEvent struct {
+		shard       string
+		token       uint64
+		oldRevision uint64 // revision of the record that was to be replaced
+		record      *submission.Record
+		result      journal.Result
 	}
-	lookedUpEvent struct {
-		id     submission.ID
-		found  lookup
-		failed error
+	lookupDoneEvent struct {
+		id    submission.ID
+		found lookup
+		err   error
 	}
 )
 
@@ -117,7 +117,7 @@
 		incarnation uint64
 	}
 	peerLostEvent struct{ name, why string }
-	wantedEvent   struct{} // a peer needs the link from here, or does not any more
+	linkNeedEvent struct{} // a peer needs the link from here, or does not any more
 	frameEvent    struct {
 		from  string
 		frame *pb.KeptFrame
@@ -131,13 +131,13 @@
 		sent    time.Duration
 		listing worker.Listing
 	}
-	fencedEvent struct{ session *workerSession }
-	goneEvent   struct {
+	workerFencedEvent   struct{ session *workerSession }
+	workerReplacedEvent struct {
 		session   *workerSession
 		successor worker.Incarnation // that answers in its place; without ID: not known
 	}
-	lapsedEvent     struct{ session *workerSession }
-	startReplyEvent struct {
+	leaseExpiredEvent struct{ session *workerSession }
+	startReplyEvent   struct {
 		session *workerSession
 		task    submission.TaskRef
 		run     uint64
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -245,7 +245,7 @@
 			items, _, err := e.vm.readAll(h.ctx, submission.OpenPrefix, stale)
 			ev := scannedEvent{shard: name, token: token, records: decodeRecords(name, items)}
 			if err == nil && !stale {
-				ev.known, err = e.vm.readStoredWorkers(h.ctx, name)
+				ev.previousWorkers, err = e.vm.readStoredWorkers(h.ctx, name)
 			}
 			if err == nil && !stale {
 				ev.evacuations, err = e.vm.readEvacuations(h.ctx)
@@ -286,7 +286,7 @@
 	if ev.evacuations != nil {
 		ev.evacuations.apply(e) // before the first start here
 	}
-	h.core.AddWorkersOfPreviousHolder(e.now, ev.known)
+	h.core.AddWorkersOfPreviousHolder(e.now, ev.previousWorkers)
 	e.syncSessions(h)
 	for _, r := range ev.records {
 		if !h.core.IsKnown(r) {
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -42,7 +42,7 @@
 )
 
 func (ev submitEvent) apply(e *engine) {
-	ev.came = e.now
+	ev.receivedAt = e.now
 	if !e.holdEarly(ev) {
 		e.decide(ev)
 	}
@@ -71,7 +71,7 @@
 		e.homes[id] = h
 	}
 	h.record = ev.record
-	h.came = ev.came
+	h.came = ev.receivedAt
 	h.changed = e.now
 	h.waiters = append(h.waiters, ev.reply)
 	e.create(h)
@@ -108,7 +108,7 @@
 		},
 		Guards:      []store.Condition{{Key: site.ShardKey(name), Revision: holding.Revision}},
 		GiveUpAfter: intakeWithin,
-		Done:        func(r journal.Result) { e.vm.post(createdEvent{record: rec, result: r}) },
+		Done:        func(r journal.Result) { e.vm.post(recordStoredEvent{record: rec, result: r}) },
 	})
 	if !added {
 		e.refuse(h, Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "too many submissions wait for the store"})
@@ -147,7 +147,7 @@
 	return sum
 }
 
-func (ev createdEvent) apply(e *engine) {
+func (ev recordStoredEvent) apply(e *engine) {
 	h := e.homes[ev.record.ID]
 	if h == nil || h.created || h.record != ev.record {
 		return
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -47,11 +47,11 @@
 func (e *engine) setLinkWanted(from string, wanted bool) {
 	before, _ := e.linkWantedBy.Swap(from, wanted)
 	if was, _ := before.(bool); was != wanted {
-		e.vm.post(wantedEvent{})
+		e.vm.post(linkNeedEvent{})
 	}
 }
 
-func (ev wantedEvent) apply(e *engine) { e.linksOutdated = true }
+func (ev linkNeedEvent) apply(e *engine) { e.linksOutdated = true }
 
 // updateLinks opens and closes links as VMs and holders come and go. A link is kept while this
 // VM needs it, its peer does, or something of this VM is under way there.
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -83,16 +83,16 @@
 			h.awaitAcks(ctx, listing)
 			continue
 		case worker.Fenced:
-			h.vm.post(fencedEvent{session: h})
+			h.vm.post(workerFencedEvent{session: h})
 			pause.For(ctx, 4*renewRetryDelay)
 			continue
 		case worker.Gone:
-			h.vm.post(goneEvent{session: h, successor: reply.Successor})
+			h.vm.post(workerReplacedEvent{session: h, successor: reply.Successor})
 			return
 		}
 		if over, certain := h.leaseExpired(h.vm.now()); certain && over && !lapsed {
 			lapsed = true
-			h.vm.post(lapsedEvent{session: h})
+			h.vm.post(leaseExpiredEvent{session: h})
 		}
 		pause.For(ctx, renewRetryDelay)
 	}
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -183,7 +183,7 @@
 	}
 	e.vm.spawn(func() {
 		found, err := e.vm.readSubmission(e.ctx, id)
-		e.vm.post(lookedUpEvent{id: id, found: found, failed: err})
+		e.vm.post(lookupDoneEvent{id: id, found: found, err: err})
 	})
 }
 
@@ -213,7 +213,7 @@
 	return lookup{}, nil
 }
 
-func (ev lookedUpEvent) apply(e *engine) {
+func (ev lookupDoneEvent) apply(e *engine) {
 	h := e.homes[ev.id]
 	if h == nil {
 		return
@@ -222,8 +222,8 @@
 	askers := h.askers
 	h.askers = nil
 	switch {
-	case ev.failed != nil:
-		klog.InfoS("kept: a submission's state could not be read", "id", ev.id, "why", ev.failed)
+	case ev.err != nil:
+		klog.InfoS("kept: a submission's state could not be read", "id", ev.id, "why", ev.err)
 		answerAll(askers, StateAnswer{Err: ErrUnavailable})
 		if !h.created && len(h.waiters) == 0 {
 			delete(e.homes, ev.id)
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -69,10 +69,10 @@
 		t.outcomeWaiters = append(t.outcomeWaiters, ev.reply)
 		return
 	}
-	parts, refusal := e.splitIntoParts(ev.record, ev.came)
+	parts, refusal := e.splitIntoParts(ev.record, ev.receivedAt)
 	if refusal != nil {
-		e.vm.metrics.queue(ev.record.Queue).countEnd("refused", e.now-ev.came)
-		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.now-ev.came, "retry_after", refusal.RetryAfter)
+		e.vm.metrics.queue(ev.record.Queue).countEnd("refused", e.now-ev.receivedAt)
+		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.now-ev.receivedAt, "retry_after", refusal.RetryAfter)
 		ev.reply <- *refusal
 		return
 	}
@@ -84,7 +84,7 @@
 		record:         ev.record,
 		parts:          parts,
 		state:          submission.Queued,
-		receivedAt:     ev.came,
+		receivedAt:     ev.receivedAt,
 		outcomeWaiters: []chan Outcome{ev.reply},
 	}
 	e.transients[id] = t
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -250,13 +250,13 @@
 	}
 }
 
-func (ev fencedEvent) apply(e *engine) {
+func (ev workerFencedEvent) apply(e *engine) {
 	if h := e.sessionShard(ev.session); h != nil {
 		klog.InfoS("kept: a worker has seen a higher token", "worker", ev.session.info.Load().ID, "shard", ev.session.shard, "token", ev.session.token)
 	}
 }
 
-func (ev goneEvent) apply(e *engine) {
+func (ev workerReplacedEvent) apply(e *engine) {
 	h := e.sessionShard(ev.session)
 	if h == nil {
 		return
@@ -273,7 +273,7 @@
 	e.syncSessions(h)
 }
 
-func (ev lapsedEvent) apply(e *engine) {
+func (ev leaseExpiredEvent) apply(e *engine) {
 	h := e.sessionShard(ev.session)
 	if h == nil {
 		return
