--- a/internal/connection/submissions/submissions.go
+++ b/internal/connection/submissions/submissions.go
@@ -84,16 +84,16 @@
 	rec := &submission.Record{ID: submission.ID(m.Key), Queue: q.Name, Spec: m.Spec, Terms: q.Terms, Transient: m.Transient}
 	for i, w := range m.Steps {
 		step := submission.Step{
-			Count:        int(w.Count),
-			CPUMilli:     int64(w.CpuMilli),
-			MemMB:        int64(w.MemoryMb),
-			GPU:          int64(w.Gpu),
-			Estimate:     time.Duration(w.EstimateMillis) * time.Millisecond,
-			Label:        w.Label,
-			MaxPerWorker: int(w.MostPerWorker),
+			Count:         int(w.Count),
+			CPUMilli:      int64(w.CpuMilli),
+			MemMB:         int64(w.MemoryMb),
+			GPU:           int64(w.Gpu),
+			Estimate:      time.Duration(w.EstimateMillis) * time.Millisecond,
+			RequiredLabel: w.Label,
+			MaxPerWorker:  int(w.MostPerWorker),
 		}
 		for _, a := range w.After {
-			step.After = append(step.After, int(a))
+			step.DependsOn = append(step.DependsOn, int(a))
 		}
 		if w.Count == 0 {
 			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Why: "a step has tasks"}
--- a/internal/connection/submissions/submissions_test.go
+++ b/internal/connection/submissions/submissions_test.go
@@ -73,7 +73,7 @@
 		t.Fatalf("%s, %v", state, err)
 	}
 	r := e.got
-	if r.ID != "a-1" || r.Queue != "q" || r.Tasks() != 3 || r.Terms.Service != "desk" || r.Steps[0].Estimate != 40*time.Millisecond || len(r.Steps[1].After) != 1 {
+	if r.ID != "a-1" || r.Queue != "q" || r.TaskCount() != 3 || r.Terms.Service != "desk" || r.Steps[0].Estimate != 40*time.Millisecond || len(r.Steps[1].DependsOn) != 1 {
 		t.Errorf("the entry VM got %+v", r)
 	}
 	if n, err := k.Waiting(t.Context(), "q"); n != 7 || err != nil {
--- a/internal/kept/shard/crash_test.go
+++ b/internal/kept/shard/crash_test.go
@@ -144,7 +144,7 @@
 		w.now += testTick
 		w.step()
 		for _, j := range w.shard.jobs {
-			if p := j.progress(); len(p.Lost) > 0 {
+			if p := j.progress(); len(p.Losses) > 0 {
 				rec := *j.rec
 				rec.Progress = p
 				saved = &rec
--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -82,7 +82,7 @@
 	rec := *j.rec
 	rec.Progress = j.progress()
 	for _, t := range j.tasks {
-		rec.RunsBefore = max(rec.RunsBefore, t.run)
+		rec.MaxRunElsewhere = max(rec.MaxRunElsewhere, t.run)
 	}
 	s.out.Reassigns = append(s.out.Reassigns, ReassignAction{Record: &rec, Revision: j.revision})
 }
--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -87,7 +87,7 @@
 	w.run(100 * ms)
 	rec := w.submission("a", 2, runhost.Work{Time: 200 * ms})
 	next := rec.Steps[0]
-	next.After = []int{0}
+	next.DependsOn = []int{0}
 	rec.Steps = append(rec.Steps, next)
 	w.assign(rec)
 	w.run(50 * ms)
@@ -156,7 +156,7 @@
 		w.hold(2, true)
 		again := *rec
 		again.Serial = 9
-		again.Elsewhere = []submission.Task{{Index: 1}}
+		again.TasksElsewhere = []submission.Task{{Index: 1}}
 		if listedBefore {
 			w.run(200 * ms)
 		}
--- a/internal/kept/shard/job.go
+++ b/internal/kept/shard/job.go
@@ -101,26 +101,26 @@
 		state:    submission.Queued,
 		came:     now - r.Record.Age,
 		here:     now,
-		runBase:  max(runBase, r.Record.RunsBefore),
-		chain:    r.Record.Chain(),
+		runBase:  max(runBase, r.Record.MaxRunElsewhere),
+		chain:    r.Record.CriticalPath(),
 	}
 	for si := range r.Record.Steps {
 		step := &r.Record.Steps[si]
 		j.steps = append(j.steps, stepState{first: len(j.tasks), left: step.Count})
 		for i := range step.Count {
-			ref := submission.Task{Step: si, Index: step.First + i}
+			ref := submission.Task{Step: si, Index: step.FirstIndex + i}
 			j.tasks = append(j.tasks, &task{
 				job:   j,
 				ref:   submission.TaskRef{ID: r.Record.ID, Task: ref},
 				step:  step,
 				fails: r.Record.Progress.Failed[ref],
 
-				losses: slices.Clone(r.Record.Progress.Lost[ref]),
+				losses: slices.Clone(r.Record.Progress.Losses[ref]),
 			})
 		}
 	}
 	j.left = len(j.tasks)
-	for _, e := range r.Record.Elsewhere {
+	for _, e := range r.Record.TasksElsewhere {
 		if t := j.task(e); t != nil {
 			j.leave(t, absent)
 		}
@@ -143,7 +143,7 @@
 		return nil
 	}
 	step := &j.rec.Steps[ref.Step]
-	index := ref.Index - step.First
+	index := ref.Index - step.FirstIndex
 	if index < 0 || index >= step.Count {
 		return nil
 	}
@@ -199,7 +199,7 @@
 
 // due reports whether the steps before a task's step are done.
 func (j *job) due(t *task) bool {
-	for _, before := range t.step.After {
+	for _, before := range t.step.DependsOn {
 		if before >= 0 && before < len(j.steps) && j.steps[before].left > 0 {
 			return false
 		}
@@ -218,7 +218,7 @@
 			p.Failed[t.ref.Task] = t.fails
 		}
 		if t.state != complete {
-			p.NoteLosses(t.ref.Task, t.losses)
+			p.RecordLosses(t.ref.Task, t.losses)
 		}
 	}
 	return p
--- a/internal/kept/shard/limits_test.go
+++ b/internal/kept/shard/limits_test.go
@@ -15,7 +15,7 @@
 	w.run(100 * ms)
 	rec := w.submission("a", 1, runhost.Work{Time: 50 * ms, Fails: true})
 	rec.Transient = false
-	rec.Progress.Note(submission.Task{}, 1)
+	rec.Progress.RecordOutcome(submission.Task{}, 1)
 	w.hold(2, true)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(2 * time.Second)
@@ -32,7 +32,7 @@
 	rec := w.submission("a", 2, runhost.Work{Time: 100 * ms})
 	rec.Transient = false
 	second := rec.Steps[0]
-	second.After = []int{0}
+	second.DependsOn = []int{0}
 	rec.Steps = append(rec.Steps, second)
 	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 7})
 	w.run(60 * ms)
@@ -57,7 +57,7 @@
 	w.list()
 	w.run(100 * ms)
 	rec := w.submission("a", 4, runhost.Work{Time: 100 * ms, CPUMilli: 1000})
-	rec.Steps[0].Label = "fast"
+	rec.Steps[0].RequiredLabel = "fast"
 	rec.Steps[0].MaxPerWorker = 1
 	w.assign(rec)
 	w.run(50 * ms)
--- a/internal/kept/shard/overload_test.go
+++ b/internal/kept/shard/overload_test.go
@@ -90,7 +90,7 @@
 	rec.Steps[0].Estimate = time.Duration(float64(k.time) * (0.67 + 0.83*l.rng.Float64()))
 	rec.Terms.Priority = k.priority
 	rec.Queue = k.name
-	rec.Patience = 1500*ms + 2*k.time
+	rec.CallerTimeout = 1500*ms + 2*k.time
 	objective := rec.Terms.Objective(k.time)
 	l.due[id] = l.w.now + objective
 	l.kinds[id] = i
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -208,7 +208,7 @@
 		ReceivedAt:    j.came,
 		Objective:     j.rec.Terms.Objective(takes),
 		RunTime:       takes,
-		CallerTimeout: j.rec.Patience,
+		CallerTimeout: j.rec.CallerTimeout,
 		Started:       j.offered,
 	}
 }
@@ -227,7 +227,7 @@
 // rejectHopeless ends a transient submission of which nothing has run and that is not worth
 // waiting for any more. The caller learns at once that it has not run.
 func (s *Shard) rejectHopeless(now time.Duration, j *job) {
-	if !j.rec.Transient || j.rec.Part || j.state.Final() || j.begun() {
+	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.begun() {
 		return
 	}
 	if reason := s.settings.Policy.KeepWaiting(now, s.work(j)); reason.Refused() {
@@ -338,7 +338,7 @@
 	info := &r.host.info
 	step := t.step
 	switch {
-	case info.Service != t.job.rec.Terms.Service, !info.HasLabel(step.Label):
+	case info.Service != t.job.rec.Terms.Service, !info.HasLabel(step.RequiredLabel):
 		return false
 	case step.CPUMilli > r.cpu, step.MemMB > r.mem, step.GPU > r.gpu:
 		return false
--- a/internal/kept/shard/progress_test.go
+++ b/internal/kept/shard/progress_test.go
@@ -92,11 +92,11 @@
 	w.list()
 	w.run(300 * ms)
 	short := w.submission("short", 1, runhost.Work{Time: 40 * ms})
-	short.Steps[0].Label = "patient"
+	short.Steps[0].RequiredLabel = "patient"
 	w.assign(short)
 	w.run(20 * ms)
 	pair := w.submission("a", 2, runhost.Work{Time: 900 * ms})
-	pair.Steps[0].Label = "pair"
+	pair.Steps[0].RequiredLabel = "pair"
 	pair.Steps[0].MaxPerWorker = 1
 	w.assign(pair)
 	w.hosts["w3"].Info.Labels = []string{"pair"}
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -92,7 +92,7 @@
 	if r.failed[s.Task] >= rec.Terms.Attempts {
 		r.broken = append(r.broken, fmt.Sprintf("%v starts after %d failed runs", s.Task, r.failed[s.Task]))
 	}
-	for _, before := range rec.Steps[s.Task.Step].After {
+	for _, before := range rec.Steps[s.Task.Step].DependsOn {
 		for i := range rec.Steps[before].Count {
 			if w.ledger.Done(submission.TaskRef{ID: rec.ID, Task: submission.Task{Step: before, Index: i}}) == 0 {
 				r.broken = append(r.broken, fmt.Sprintf("%v starts before %d.%d is done", s.Task, before, i))
@@ -203,7 +203,7 @@
 	for i := range n % 3 {
 		step := rec.Steps[0]
 		step.Count = 1 + (n+i)%3
-		step.After = []int{i}
+		step.DependsOn = []int{i}
 		rec.Steps = append(rec.Steps, step)
 	}
 	p.made[id] = p.works[id]
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -171,7 +171,7 @@
 // add takes a submission among the open ones.
 func (s *Shard) add(j *job) {
 	s.jobs[j.rec.ID] = j
-	s.anyLosses = s.anyLosses || len(j.rec.Progress.Lost) > 0
+	s.anyLosses = s.anyLosses || len(j.rec.Progress.Losses) > 0
 }
 
 // Knows returns the state of a submission here.
--- a/internal/kept/shard/shard_test.go
+++ b/internal/kept/shard/shard_test.go
@@ -316,7 +316,7 @@
 	for i := range 20 {
 		next := rec.Steps[0]
 		next.Count = 4
-		next.After = []int{i}
+		next.DependsOn = []int{i}
 		rec.Steps = append(rec.Steps, next)
 	}
 	w.assign(rec)
--- a/internal/kept/shard/takeback_test.go
+++ b/internal/kept/shard/takeback_test.go
@@ -43,7 +43,7 @@
 	w.run(50 * ms)
 	for i := range 12 {
 		rec := w.submission(submission.ID(fmt.Sprint("part-", i)), 2, runhost.Work{Time: time.Duration(50+rng.IntN(300)) * ms})
-		rec.Part = true
+		rec.Partial = true
 		rec.Serial = uint64(i + 1)
 		w.assign(rec)
 	}
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -72,7 +72,7 @@
 	if len(r.Steps) == 0 {
 		return extent{}
 	}
-	return extent{first: r.Steps[0].First, count: r.Steps[0].Count, elsewhere: fmt.Sprint(r.Elsewhere)}
+	return extent{first: r.Steps[0].FirstIndex, count: r.Steps[0].Count, elsewhere: fmt.Sprint(r.TasksElsewhere)}
 }
 
 // takeOverHome makes the VM at which a caller has asked again the submission's home.
--- a/internal/kept/submission/loss.go
+++ b/internal/kept/submission/loss.go
@@ -22,15 +22,15 @@
 	return append(losses, l)
 }
 
-// NoteLosses takes the losses of workers under a task.
-func (p *Progress) NoteLosses(t Task, losses []Loss) {
+// RecordLosses takes the losses of workers under a task.
+func (p *Progress) RecordLosses(t Task, losses []Loss) {
 	if len(losses) == 0 {
 		return
 	}
-	if p.Lost == nil {
-		p.Lost = make(map[Task][]Loss)
+	if p.Losses == nil {
+		p.Losses = make(map[Task][]Loss)
 	}
 	for _, l := range losses {
-		p.Lost[t] = AddLoss(p.Lost[t], l)
+		p.Losses[t] = AddLoss(p.Losses[t], l)
 	}
 }
--- a/internal/kept/submission/submission.go
+++ b/internal/kept/submission/submission.go
@@ -54,14 +54,14 @@
 // Step is a group of equal tasks.
 type Step struct {
 	Count         int           `json:"n"`
-	First         int           `json:"f,omitempty"` // index of its first task: a part of a step begins above 0
+	FirstIndex    int           `json:"f,omitempty"` // index of its first task: a part of a step begins above 0
 	CPUMilli      int64         `json:"c,omitempty"` // of each task, in thousandths of a core
 	MemMB         int64         `json:"m,omitempty"`
 	GPU           int64         `json:"g,omitempty"`
 	Estimate      time.Duration `json:"e,omitempty"` // of one task; the caller's, often far off
-	After         []int         `json:"a,omitempty"` // steps whose tasks must all be done first
+	DependsOn     []int         `json:"a,omitempty"` // steps whose tasks must all be done first
 	Checkpointing bool          `json:"k,omitempty"`
-	Label         string        `json:"l,omitempty"` // that the worker must have
+	RequiredLabel string        `json:"l,omitempty"` // that the worker must have
 	DataRack      string        `json:"d,omitempty"` // rack with the data; elsewhere a task takes longer
 	MaxPerWorker  int           `json:"p,omitempty"` // 0: any number on one worker
 }
@@ -90,7 +90,7 @@
 type Progress struct {
 	Done   []Task          `json:"d,omitempty"` // tasks that have ended well
 	Failed map[Task]int    `json:"f,omitempty"` // failed runs of the others
-	Lost   map[Task][]Loss `json:"l,omitempty"` // workers that were lost under the others
+	Losses map[Task][]Loss `json:"l,omitempty"` // workers that were lost under the others
 }
 
 // Record is a submission as the store keeps it.
@@ -107,26 +107,26 @@
 	// them again if it gets no answer; they may then run again from the start, but
 	// never twice at the same time.
 	Transient bool `json:"r,omitempty"`
-	Part      bool `json:"u,omitempty"` // other shards have the other tasks
+	Partial   bool `json:"u,omitempty"` // other shards have the other tasks
 	// Serial tells the hand-ins of a transient submission apart: a caller that sends it
 	// again makes a new one, a home that hands it over again does not.
 	Serial uint64 `json:"z,omitempty"`
 	// Patience is how long the caller of a transient submission waits; 0: not known.
-	Patience time.Duration `json:"w,omitempty"`
+	CallerTimeout time.Duration `json:"w,omitempty"`
 	// Age is for how long a transient submission had been at its home when it was handed to
 	// the holder: its objective runs from when it came.
 	Age      time.Duration `json:"y,omitempty"`
 	Progress Progress      `json:"p,omitzero"`
 	// Elsewhere are tasks of the steps that are not this part's: they have completed, or another
 	// shard has them.
-	Elsewhere []Task `json:"o,omitempty"`
-	// RunsBefore is the highest number that runs at other shards had.
-	RunsBefore uint64 `json:"n,omitempty"`
+	TasksElsewhere []Task `json:"o,omitempty"`
+	// MaxRunElsewhere is the highest number that runs at other shards had.
+	MaxRunElsewhere uint64 `json:"n,omitempty"`
 }
 
 // Tasks is the number of the record's tasks, of all steps.
-func (r *Record) Tasks() int {
-	n := -len(r.Elsewhere)
+func (r *Record) TaskCount() int {
+	n := -len(r.TasksElsewhere)
 	for _, s := range r.Steps {
 		n += s.Count
 	}
@@ -134,13 +134,13 @@
 }
 
 // Chain is the longest run of estimates along the steps that depend on each other.
-func (r *Record) Chain() time.Duration {
+func (r *Record) CriticalPath() time.Duration {
 	longest := make([]time.Duration, len(r.Steps))
 	var most time.Duration
 	for i := range r.Steps {
 		step := &r.Steps[i]
 		var before time.Duration
-		for _, a := range step.After {
+		for _, a := range step.DependsOn {
 			if a >= 0 && a < i {
 				before = max(before, longest[a])
 			}
@@ -157,16 +157,16 @@
 		return false
 	}
 	s := &r.Steps[t.Step]
-	return t.Index >= s.First && t.Index < s.First+s.Count && !slices.Contains(r.Elsewhere, t)
+	return t.Index >= s.FirstIndex && t.Index < s.FirstIndex+s.Count && !slices.Contains(r.TasksElsewhere, t)
 }
 
 // All returns the record's tasks.
-func (r *Record) All() []Task {
+func (r *Record) AllTasks() []Task {
 	var out []Task
 	for step := range r.Steps {
 		s := &r.Steps[step]
 		for i := range s.Count {
-			if t := (Task{Step: step, Index: s.First + i}); !slices.Contains(r.Elsewhere, t) {
+			if t := (Task{Step: step, Index: s.FirstIndex + i}); !slices.Contains(r.TasksElsewhere, t) {
 				out = append(out, t)
 			}
 		}
@@ -176,7 +176,7 @@
 
 // Note takes what has become of a task: the number of its runs that have failed, or 0
 // if it has completed.
-func (p *Progress) Note(t Task, fails int) {
+func (p *Progress) RecordOutcome(t Task, fails int) {
 	if fails == 0 {
 		p.Done = append(p.Done, t)
 		return
--- a/internal/kept/submission/validate_test.go
+++ b/internal/kept/submission/validate_test.go
@@ -12,7 +12,7 @@
 func soundRecord() *Record {
 	return &Record{
 		ID:    "5c0e7a21d94b36f8",
-		Steps: []Step{{Count: 4, CPUMilli: 500, MemMB: 256, Estimate: 900 * time.Millisecond}, {Count: 20, After: []int{0}}},
+		Steps: []Step{{Count: 4, CPUMilli: 500, MemMB: 256, Estimate: 900 * time.Millisecond}, {Count: 20, DependsOn: []int{0}}},
 	}
 }
 
@@ -23,16 +23,16 @@
 	}
 	for field, change := range map[string]func(*Record){
 		"id":                        func(r *Record) { r.ID = "a/b" },
-		"steps":                     func(r *Record) { r.Steps[1].Count = tasksMost },
+		"steps":                     func(r *Record) { r.Steps[1].Count = maxTasks },
 		"step 0: count":             func(r *Record) { r.Steps[0].Count = 2_000_000_000 },
 		"step 0: processor":         func(r *Record) { r.Steps[0].CPUMilli = -1 },
 		"step 0: memory":            func(r *Record) { r.Steps[0].MemMB = -1 },
 		"step 0: accelerators":      func(r *Record) { r.Steps[0].GPU = -1 },
 		"step 0: estimate":          func(r *Record) { r.Steps[0].Estimate = -1 },
 		"step 0: most per worker":   func(r *Record) { r.Steps[0].MaxPerWorker = -1 },
-		"step 0: first task":        func(r *Record) { r.Steps[0].First = -1 },
-		"step 1: steps before it":   func(r *Record) { r.Steps[1].After = []int{1} },
-		"step 0: steps before it":   func(r *Record) { r.Steps[0].After = []int{-1} },
+		"step 0: first task":        func(r *Record) { r.Steps[0].FirstIndex = -1 },
+		"step 1: steps before it":   func(r *Record) { r.Steps[1].DependsOn = []int{1} },
+		"step 0: steps before it":   func(r *Record) { r.Steps[0].DependsOn = []int{-1} },
 		"steps: no tasks":           func(r *Record) { r.Steps[0].Count, r.Steps[1].Count = 0, 0 },
 		"steps: 0 of them, 1 to 10": func(r *Record) { r.Steps = nil },
 	} {
@@ -56,15 +56,15 @@
 		if err != nil {
 			return
 		}
-		if r.Chain() < 0 {
-			t.Errorf("%q takes %s", value, r.Chain())
+		if r.CriticalPath() < 0 {
+			t.Errorf("%q takes %s", value, r.CriticalPath())
 		}
 		again, err := DecodeRecord("id", r.Encode())
 		if err != nil {
 			t.Fatalf("%q cannot be read when it is stored again: %v", value, err)
 		}
-		if !slices.Equal(again.All(), r.All()) || !slices.Equal(again.Progress.Done, r.Progress.Done) ||
-			!maps.Equal(again.Progress.Failed, r.Progress.Failed) || len(again.Progress.Lost) != len(r.Progress.Lost) {
+		if !slices.Equal(again.AllTasks(), r.AllTasks()) || !slices.Equal(again.Progress.Done, r.Progress.Done) ||
+			!maps.Equal(again.Progress.Failed, r.Progress.Failed) || len(again.Progress.Losses) != len(r.Progress.Losses) {
 			t.Errorf("%q is %+v when it is stored again, not %+v", value, again, r)
 		}
 	})
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -164,9 +164,9 @@
 	}
 	e.vm.metrics.sentAway.Inc(int64(len(back)))
 	left := *p.record // the holder may be this VM, with the same record
-	left.Elsewhere = slices.Clone(left.Elsewhere)
+	left.TasksElsewhere = slices.Clone(left.TasksElsewhere)
 	for _, r := range back {
-		left.Elsewhere = append(left.Elsewhere, r.Task)
+		left.TasksElsewhere = append(left.TasksElsewhere, r.Task)
 	}
 	p.record = &left
 	t.unassigned = append(t.unassigned, unassignedTasks{record: p.record, tasks: back})
@@ -222,7 +222,7 @@
 func (t *transientSubmission) ownTasks() int {
 	n := 0
 	for _, p := range t.parts {
-		n += p.record.Tasks()
+		n += p.record.TaskCount()
 	}
 	return n
 }
@@ -255,22 +255,22 @@
 // partOf makes the record of a part of returned tasks.
 func partOf(from *submission.Record, mine []shard.ReturnedTask) *submission.Record {
 	rec := *from
-	rec.Elsewhere = nil
+	rec.TasksElsewhere = nil
 	rec.Token = 0
-	rec.Part = true
+	rec.Partial = true
 	rec.Progress = submission.Progress{}
 	names := make([]submission.Task, len(mine))
 	for i, r := range mine {
 		names[i] = r.Task
-		rec.RunsBefore = max(rec.RunsBefore, r.Run)
+		rec.MaxRunElsewhere = max(rec.MaxRunElsewhere, r.Run)
 		if r.FailedRuns > 0 {
-			rec.Progress.Note(r.Task, r.FailedRuns)
+			rec.Progress.RecordOutcome(r.Task, r.FailedRuns)
 		}
-		rec.Progress.NoteLosses(r.Task, r.Losses)
+		rec.Progress.RecordLosses(r.Task, r.Losses)
 	}
-	for _, task := range rec.All() {
+	for _, task := range rec.AllTasks() {
 		if !slices.Contains(names, task) {
-			rec.Elsewhere = append(rec.Elsewhere, task)
+			rec.TasksElsewhere = append(rec.TasksElsewhere, task)
 		}
 	}
 	return &rec
@@ -279,7 +279,7 @@
 // endReturned takes that a holder has nothing left of a part: what it kept has completed.
 func (e *engine) endReturned(t *transientSubmission, p *part) {
 	p.state = submission.Done
-	if p.record.Tasks() == 0 {
+	if p.record.TaskCount() == 0 {
 		// The shard may be given another part later. Others may be going through the parts now.
 		t.parts = slices.DeleteFunc(slices.Clone(t.parts), func(other *part) bool { return other == p })
 	}
@@ -328,7 +328,7 @@
 		h.core.Reassigned(e.now, rec.ID, ev.result.Revision)
 		e.vm.metrics.sentAway.Inc(1)
 		klog.InfoS("kept: sent away from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
-			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.Tasks())
+			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.TaskCount())
 		if own := e.homes[rec.ID]; own != nil {
 			own.shard = rec.Shard
 		}
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -135,12 +135,12 @@
 func demand(r *submission.Record) int {
 	sum := 0
 	for i := range r.Steps {
-		if len(r.Steps[i].After) == 0 {
+		if len(r.Steps[i].DependsOn) == 0 {
 			sum += r.Steps[i].Count
 		}
 	}
-	for _, t := range r.Elsewhere {
-		if len(r.Steps[t.Step].After) == 0 {
+	for _, t := range r.TasksElsewhere {
+		if len(r.Steps[t.Step].DependsOn) == 0 {
 			sum--
 		}
 	}
@@ -162,7 +162,7 @@
 		q.taken.Inc(1)
 		q.stored.RecordDuration(e.now - h.came)
 		klog.InfoS("kept: accepted", "id", ev.record.ID, "queue", ev.record.Queue, "shard", h.shard, "token", ev.record.Token,
-			"revision", h.revision, "tasks", ev.record.Tasks(), "took", e.now-h.came, "tries", ev.result.Attempts)
+			"revision", h.revision, "tasks", ev.record.TaskCount(), "took", e.now-h.came, "tries", ev.result.Attempts)
 		e.answer(h, Outcome{Kind: Accepted})
 		e.assign(h)
 	case journal.Conflict:
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -58,14 +58,14 @@
 
 // work is a submission that came at a time and has not begun, as the policy sees it.
 func (e *engine) work(r *submission.Record, came time.Duration) *policy.Work {
-	takes := r.Chain()
+	takes := r.CriticalPath()
 	return &policy.Work{
 		ID:            r.ID,
 		Priority:      r.Terms.Priority,
 		ReceivedAt:    came,
 		Objective:     r.Terms.Objective(takes),
 		RunTime:       takes,
-		CallerTimeout: r.Patience,
+		CallerTimeout: r.CallerTimeout,
 	}
 }
 
--- a/internal/kept/vm/losses.go
+++ b/internal/kept/vm/losses.go
@@ -56,5 +56,5 @@
 
 // applyTaskLosses keeps which workers were lost under a task, for the next holder.
 func (e *engine) applyTaskLosses(ref submission.TaskRef, losses []submission.Loss) {
-	e.updateProgress(ref, func(p *submission.Progress) { p.NoteLosses(ref.Task, losses) })
+	e.updateProgress(ref, func(p *submission.Progress) { p.RecordLosses(ref.Task, losses) })
 }
--- a/internal/kept/vm/losses_test.go
+++ b/internal/kept/vm/losses_test.go
@@ -73,7 +73,7 @@
 			Id: "s", Index: 1, Losses: []*pb.KeptLoss{{Worker: "w", Run: 1, Weight: 1}},
 		}}}}.apply(e)
 	}
-	if p := rec.Progress; len(p.Done) > 0 || len(p.Lost[ref.Task]) != 1 {
+	if p := rec.Progress; len(p.Done) > 0 || len(p.Losses[ref.Task]) != 1 {
 		t.Errorf("the progress is %+v, want one loss and no end", p)
 	}
 }
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -48,8 +48,8 @@
 		v.post(engineCall(func(e *engine) {
 			whole := equalTasks("job", 2, runhost.Work{Time: 50 * ms})
 			rejected, gone := *whole, *whole
-			rejected.Elsewhere = []submission.Task{{Index: 1}}
-			gone.Elsewhere = []submission.Task{{Index: 0}, {Index: 1}}
+			rejected.TasksElsewhere = []submission.Task{{Index: 1}}
+			gone.TasksElsewhere = []submission.Task{{Index: 0}, {Index: 1}}
 			p := &part{record: &rejected, shard: "b/0", state: submission.Rejected}
 			back := unassignedTasks{record: &gone, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
 			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{back}}
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -78,7 +78,7 @@
 		p.state = submission.Queued
 		p.holderToken = 0
 		p.updatedAt = e.now
-		klog.InfoS("kept: given out again", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "tasks", p.record.Tasks())
+		klog.InfoS("kept: given out again", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "tasks", p.record.TaskCount())
 		e.sendPart(t, p, l)
 	}
 	t.recalledAt = 0
@@ -91,7 +91,7 @@
 		other := t.part(c.Shard)
 		return other != nil && other != p
 	})
-	portions := e.vm.config.Policy.Split(shards, p.record.Tasks(), false, longestEstimate(p.record))
+	portions := e.vm.config.Policy.Split(shards, p.record.TaskCount(), false, longestEstimate(p.record))
 	if len(portions) == 0 {
 		return nil
 	}
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -93,7 +93,7 @@
 		l := e.loads[p.shard]
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
 		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
-			"tasks", p.record.Tasks(), "of", ev.record.Tasks(), "objective", ev.record.Terms.Objective(ev.record.Chain()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
+			"tasks", p.record.TaskCount(), "of", ev.record.TaskCount(), "objective", ev.record.Terms.Objective(ev.record.CriticalPath()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
 		l.sentMilli += int64(demand(p.record)) * largestTask(p.record)
 		e.sendPart(t, p, l)
 	}
@@ -118,14 +118,14 @@
 		return []*part{{record: r, shard: r.Shard, updatedAt: e.now}}, nil
 	}
 	var parts []*part
-	first := r.Steps[0].First
+	first := r.Steps[0].FirstIndex
 	for _, portion := range portions {
 		piece := *r
 		piece.Shard = portion.Shard
 		piece.Steps = slices.Clone(r.Steps)
-		piece.Steps[0].First = first
+		piece.Steps[0].FirstIndex = first
 		piece.Steps[0].Count = portion.Tasks
-		piece.Part = true
+		piece.Partial = true
 		first += portion.Tasks
 		parts = append(parts, &part{record: &piece, shard: piece.Shard, updatedAt: e.now})
 	}
@@ -412,7 +412,7 @@
 
 // applyTaskOutcome keeps what has become of a task, for the next holder.
 func (e *engine) applyTaskOutcome(ref submission.TaskRef, fails int) {
-	e.updateProgress(ref, func(p *submission.Progress) { p.Note(ref.Task, fails) })
+	e.updateProgress(ref, func(p *submission.Progress) { p.RecordOutcome(ref.Task, fails) })
 }
 
 // updateProgress takes a holder's word of a task into the record of the part that has it.
