--- a/internal/connection/runhost/runhost.go
+++ b/internal/connection/runhost/runhost.go
@@ -22,7 +22,7 @@
 	pool *wire.Pool[pumiceyardv1connect.RunHostServiceClient]
 }
 
-var _ worker.Orders = (*Client)(nil)
+var _ worker.Client = (*Client)(nil)
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
@@ -36,7 +36,7 @@
 // Close drops all connections.
 func (c *Client) Close() { c.pool.Close() }
 
-var silent = worker.Reply{Verdict: worker.Silent}
+var silent = worker.Reply{Verdict: worker.NoAnswer}
 
 // call makes one call. A connection on which a call has no answer is left.
 func call[R any](ctx context.Context, c *Client, address string, do func(pumiceyardv1connect.RunHostServiceClient) (*connect.Response[R], error)) (*R, bool) {
@@ -98,7 +98,7 @@
 
 // Hold implements worker.Orders.
 func (c *Client) Hold(ctx context.Context, to worker.Info, h worker.Hold) (worker.Listing, worker.Reply) {
-	req := &pb.HoldRunsRequest{Worker: to.ID, Token: h.Token, Seen: h.Seen, DeadlineNs: int64(h.Deadline), WaitNs: int64(h.Wait)}
+	req := &pb.HoldRunsRequest{Worker: to.ID, Token: h.Token, Seen: h.AckedEnd, DeadlineNs: int64(h.Deadline), WaitNs: int64(h.Wait)}
 	r, ok := call(ctx, c, to.Address, func(s pumiceyardv1connect.RunHostServiceClient) (*connect.Response[pb.HoldRunsResponse], error) {
 		return s.HoldRuns(ctx, connect.NewRequest(req))
 	})
@@ -112,7 +112,7 @@
 		l.Running = append(l.Running, worker.Running{Task: refOf(run.Task), Run: run.Run, Checkpoint: run.Checkpoint, Percent: int(run.Percent)})
 	}
 	for _, e := range r.Ended {
-		l.Ended = append(l.Ended, worker.Ended{N: e.Number, Task: refOf(e.Task), Run: e.Run, How: worker.How(e.How), Checkpoint: e.Checkpoint})
+		l.Ended = append(l.Ended, worker.Ended{Seq: e.Number, Task: refOf(e.Task), Run: e.Run, Reason: worker.EndReason(e.How), Checkpoint: e.Checkpoint})
 	}
 	return l, reply
 }
@@ -120,12 +120,12 @@
 // Server serves one worker's address from any worker.Orders.
 type Server struct {
 	info   worker.Info
-	orders worker.Orders
+	orders worker.Client
 	http   *http.Server
 }
 
 // NewServer returns a server for the worker at an address.
-func NewServer(info worker.Info, orders worker.Orders) *Server {
+func NewServer(info worker.Info, orders worker.Client) *Server {
 	s := &Server{info: info, orders: orders}
 	mux := http.NewServeMux()
 	mux.Handle(pumiceyardv1connect.NewRunHostServiceHandler(s, wire.HandlerOptions()...))
@@ -149,7 +149,7 @@
 var errSilent = connect.NewError(connect.CodeUnavailable, context.DeadlineExceeded)
 
 func answerOf(r worker.Reply) (*connect.Response[pb.RunReply], error) {
-	if r.Verdict == worker.Silent {
+	if r.Verdict == worker.NoAnswer {
 		return nil, errSilent
 	}
 	return connect.NewResponse(&pb.RunReply{Verdict: uint32(r.Verdict), ClockNs: int64(r.Clock)}), nil
@@ -179,11 +179,11 @@
 	m := req.Msg
 	l, r := s.orders.Hold(ctx, s.meant(m.Worker), worker.Hold{
 		Token:    m.Token,
-		Seen:     m.Seen,
+		AckedEnd: m.Seen,
 		Deadline: time.Duration(m.DeadlineNs),
 		Wait:     time.Duration(m.WaitNs),
 	})
-	if r.Verdict == worker.Silent {
+	if r.Verdict == worker.NoAnswer {
 		return nil, errSilent
 	}
 	out := &pb.HoldRunsResponse{Reply: &pb.RunReply{Verdict: uint32(r.Verdict), ClockNs: int64(r.Clock)}, BornUnixMillis: r.Born}
@@ -191,7 +191,7 @@
 		out.Running = append(out.Running, &pb.ListedRun{Task: taskOf(run.Task), Run: run.Run, Checkpoint: run.Checkpoint, Percent: uint32(run.Percent)})
 	}
 	for _, e := range l.Ended {
-		out.Ended = append(out.Ended, &pb.EndedRun{Number: e.N, Task: taskOf(e.Task), Run: e.Run, How: uint32(e.How), Checkpoint: e.Checkpoint})
+		out.Ended = append(out.Ended, &pb.EndedRun{Number: e.Seq, Task: taskOf(e.Task), Run: e.Run, How: uint32(e.Reason), Checkpoint: e.Checkpoint})
 	}
 	return connect.NewResponse(out), nil
 }
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -60,7 +60,7 @@
 // notRun reports whether a verdict says that a start was not, and will not be, carried out.
 func notRun(v worker.Verdict) bool {
 	switch v {
-	case worker.NoRoom, worker.Unwell, worker.Outrun, worker.Late, worker.Malformed, worker.Fenced:
+	case worker.NoRoom, worker.Unavailable, worker.Superseded, worker.DeadlinePassed, worker.Malformed, worker.Fenced:
 		return true
 	default:
 		return false
--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -210,7 +210,7 @@
 	s := New(w.now, settings, 2, w.now+time.Second)
 	old := w.hosts["w0"].Info
 	s.UpdateWorkers(w.now, []worker.Info{old})
-	s.HandleListing(w.now, "w0", w.now, worker.Listing{Clock: time.Hour, Ended: []worker.Ended{{N: 40}}})
+	s.HandleListing(w.now, "w0", w.now, worker.Listing{Clock: time.Hour, Ended: []worker.Ended{{Seq: 40}}})
 	next := old
 	next.Born++
 	next.Revision++
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -27,8 +27,8 @@
 	h.info.Born = cmp.Or(h.info.Born, l.Born)
 	s.foundAgain(now, h)
 	for _, e := range l.Ended {
-		if e.N > h.taken {
-			h.taken = e.N
+		if e.Seq > h.taken {
+			h.taken = e.Seq
 			fresh = append(fresh, e)
 			s.ended(now, h, e)
 		}
@@ -49,13 +49,13 @@
 	h.seenStart(e.Task, e.Run)
 	j, open := s.jobs[e.Task.ID]
 	if !open {
-		h.ends = append(h.ends, endEntry{n: e.N})
+		h.ends = append(h.ends, endEntry{n: e.Seq})
 		if now-h.listedAt < resumeWithin {
 			s.orphans[e.Task.ID] = append(s.orphans[e.Task.ID], orphanEnd{host: h, end: e, at: now})
 		}
 		return
 	}
-	h.ends = append(h.ends, endEntry{n: e.N, job: j})
+	h.ends = append(h.ends, endEntry{n: e.Seq, job: j})
 	if j.unsaved == 0 {
 		j.unsaved = now
 	}
@@ -80,10 +80,10 @@
 		t.checkpoint = e.Checkpoint
 	}
 	switch {
-	case e.How == worker.Completed:
+	case e.Reason == worker.Completed:
 		s.completed(now, h, t, current)
 		return
-	case e.How == worker.Failed:
+	case e.Reason == worker.Failed:
 		s.failedRun(now, h, t, e.Run)
 	}
 	if current {
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -44,11 +44,11 @@
 func (r *records) take(w *world, a Actions) {
 	for _, s := range a.Acks {
 		for _, e := range r.listed[s.Worker] {
-			if e.N <= s.UpTo {
+			if e.Seq <= s.UpTo {
 				r.note(e)
 			}
 		}
-		r.listed[s.Worker] = slices.DeleteFunc(r.listed[s.Worker], func(e worker.Ended) bool { return e.N <= s.UpTo })
+		r.listed[s.Worker] = slices.DeleteFunc(r.listed[s.Worker], func(e worker.Ended) bool { return e.Seq <= s.UpTo })
 	}
 	for _, s := range a.Starts {
 		r.check(w, s)
@@ -72,7 +72,7 @@
 }
 
 func (r *records) note(e worker.Ended) {
-	switch e.How {
+	switch e.Reason {
 	case worker.Completed:
 		r.noted[e.Task] = true
 	case worker.Failed:
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -29,10 +29,10 @@
 	case worker.NoRoom:
 		h.fullTill = now + fullFor
 		s.release(now, t)
-	case worker.Unwell:
+	case worker.Unavailable:
 		h.sickTill = now + sickFor
 		s.release(now, t)
-	case worker.Outrun, worker.Late:
+	case worker.Superseded, worker.DeadlinePassed:
 		s.release(now, t)
 	case worker.Malformed:
 		s.release(now, t)
@@ -40,9 +40,9 @@
 	case worker.Fenced:
 		t.state = unsure // another holder decides; this one will learn it from the store
 		t.since = now
-	case worker.Gone:
+	case worker.Replaced:
 		s.WorkerGone(now, id)
-	case worker.Silent:
+	case worker.NoAnswer:
 		t.state = unsure
 		t.since = now
 		s.out.Probes = append(s.out.Probes, id)
@@ -55,7 +55,7 @@
 	if !known {
 		return
 	}
-	if r.Verdict == worker.Gone {
+	if r.Verdict == worker.Replaced {
 		s.WorkerGone(now, id)
 		return
 	}
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -269,9 +269,9 @@
 		}
 		w.left[id] = w.now
 	}
-	order := worker.Hold{Token: w.shard.Token(), Seen: w.seen[id], Deadline: w.now + h.ClockAhead + time.Second}
+	order := worker.Hold{Token: w.shard.Token(), AckedEnd: w.seen[id], Deadline: w.now + h.ClockAhead + time.Second}
 	if w.unanswered[id] {
-		order.Seen = 0
+		order.AckedEnd = 0
 	}
 	l, r := h.Hold(w.now, order)
 	if known := w.born[id]; known > 0 && r.Born > known {
@@ -339,7 +339,7 @@
 	if h := w.hosts[id]; h != nil && !w.unmet(h) {
 		order.Deadline += h.ClockAhead
 	}
-	silence := worker.Reply{Verdict: worker.Silent}
+	silence := worker.Reply{Verdict: worker.NoAnswer}
 	if w.late != nil {
 		if d := w.late(s); d > 0 {
 			w.pending = append(w.pending, pendingStart{at: w.now + d, worker: id, order: order})
@@ -363,7 +363,7 @@
 	w.stops = append(w.stops, s)
 	h := w.reach(s.Worker.ID)
 	if h == nil {
-		w.shard.HandleStopReply(w.now, s.Worker.ID, s.Task, s.Run, worker.Reply{Verdict: worker.Silent})
+		w.shard.HandleStopReply(w.now, s.Worker.ID, s.Task, s.Run, worker.Reply{Verdict: worker.NoAnswer})
 		return
 	}
 	r := h.Stop(w.now, worker.Stop{Task: s.Task, Run: s.Run, Token: w.shard.Token()})
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -29,16 +29,16 @@
 }
 
 func (unreachable) Start(context.Context, worker.Info, worker.Start) worker.Reply {
-	return worker.Reply{Verdict: worker.Silent}
+	return worker.Reply{Verdict: worker.NoAnswer}
 }
 
 func (unreachable) Stop(context.Context, worker.Info, worker.Stop) worker.Reply {
-	return worker.Reply{Verdict: worker.Silent}
+	return worker.Reply{Verdict: worker.NoAnswer}
 }
 
 func (unreachable) Hold(ctx context.Context, _ worker.Info, _ worker.Hold) (worker.Listing, worker.Reply) {
 	pause.For(ctx, time.Minute)
-	return worker.Listing{}, worker.Reply{Verdict: worker.Silent}
+	return worker.Listing{}, worker.Reply{Verdict: worker.NoAnswer}
 }
 
 // loneEngine is an engine that holds a shard of two workers and knows another's, and is reached by events only.
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -202,7 +202,7 @@
 			ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 			defer cancel()
 			_, r := v.config.Orders.Hold(ctx, info, worker.Hold{})
-			answers <- r.Verdict != worker.Silent
+			answers <- r.Verdict != worker.NoAnswer
 		})
 	}
 	for range workers {
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -11,7 +11,7 @@
 
 // scripted answers holds one after the other as a script says, and remembers them.
 type scripted struct {
-	worker.Orders
+	worker.Client
 	answers []worker.Reply
 	holds   []worker.Hold
 }
@@ -38,13 +38,13 @@
 // Guards against ends of the next incarnation that are forgotten as they have numbers of earlier ones.
 func TestHoldAfterSilenceAcknowledgesNothing(t *testing.T) {
 	answer := worker.Reply{Clock: time.Second, Born: 5}
-	h, s := scriptedSession(5, answer, answer, worker.Reply{Verdict: worker.Silent}, answer, answer)
+	h, s := scriptedSession(5, answer, answer, worker.Reply{Verdict: worker.NoAnswer}, answer, answer)
 	h.acknowledge(57)
 	for range s.answers {
 		h.renew(t.Context(), time.Second)
 	}
 	for i, want := range []uint64{0, 57, 57, 0, 57} {
-		if got := s.holds[i].Seen; got != want {
+		if got := s.holds[i].AckedEnd; got != want {
 			t.Errorf("hold %d acknowledges %d, want %d", i, got, want)
 		}
 	}
@@ -60,8 +60,8 @@
 		"the same":           {5, 5, worker.Reply{Born: 5}},
 		"does not say":       {5, 0, worker.Reply{}},
 		"was not known":      {0, 5, worker.Reply{Born: 5}},
-		"a later one":        {5, 9, worker.Reply{Verdict: worker.Gone, Successor: next}},
-		"an earlier one":     {5, 3, worker.Reply{Verdict: worker.Silent}},
+		"a later one":        {5, 9, worker.Reply{Verdict: worker.Replaced, Successor: next}},
+		"an earlier one":     {5, 3, worker.Reply{Verdict: worker.NoAnswer}},
 		"nobody's was known": {0, 0, worker.Reply{}},
 	} {
 		h, _ := scriptedSession(c.known)
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -86,7 +86,7 @@
 			h.vm.post(workerFencedEvent{session: h})
 			pause.For(ctx, 4*renewRetryDelay)
 			continue
-		case worker.Gone:
+		case worker.Replaced:
 			h.vm.post(workerReplacedEvent{session: h, successor: reply.Successor})
 			return
 		}
@@ -104,7 +104,7 @@
 	if len(l.Ended) == 0 {
 		return
 	}
-	last := l.Ended[len(l.Ended)-1].N
+	last := l.Ended[len(l.Ended)-1].Seq
 	for i := 0; i < maxAckPolls && h.ackedEnd.Load() < last; i++ {
 		select {
 		case <-ctx.Done():
@@ -134,7 +134,7 @@
 }
 
 func (h *workerSession) renew(ctx context.Context, wait time.Duration) (worker.Listing, worker.Reply) {
-	order := worker.Hold{Token: h.token, Seen: h.ackedEnd.Load(), Wait: wait}
+	order := worker.Hold{Token: h.token, AckedEnd: h.ackedEnd.Load(), Wait: wait}
 	sent := h.vm.now()
 	now, known := h.latestClock(sent)
 	silent := h.unanswered.Load()
@@ -142,7 +142,7 @@
 		order.Wait = 0 // the call is to learn the worker's clock, or that it is back
 		// Its next incarnation may answer under the same ID, and number its ends anew: it would forget
 		// those that it has not listed yet.
-		order.Seen = 0
+		order.AckedEnd = 0
 	}
 	// A worker that does not answer is asked, and its lease is not extended: it may hear the
 	// calls though its answers are lost. Without it each new try puts off the time when the
@@ -156,7 +156,7 @@
 	defer cancel()
 	listing, reply := h.vm.config.Orders.Hold(ctx, *h.info.Load(), order)
 	reply = h.checkIncarnation(reply)
-	h.unanswered.Store(reply.Verdict == worker.Silent)
+	h.unanswered.Store(reply.Verdict == worker.NoAnswer)
 	h.recordClock(sent, reply)
 	return listing, reply
 }
@@ -174,9 +174,9 @@
 	}
 	switch born := h.born.Load(); {
 	case r.Born > born:
-		return worker.Reply{Verdict: worker.Gone, Successor: worker.Incarnation{ID: h.info.Load().ID, Born: r.Born}}
+		return worker.Reply{Verdict: worker.Replaced, Successor: worker.Incarnation{ID: h.info.Load().ID, Born: r.Born}}
 	case r.Born < born:
-		return worker.Reply{Verdict: worker.Silent}
+		return worker.Reply{Verdict: worker.NoAnswer}
 	default:
 		return r
 	}
@@ -256,7 +256,7 @@
 // workers that have just died would draw the wait of all orders to its bound otherwise.
 func (h *workerSession) recordOrder(took time.Duration, r worker.Reply) {
 	h.recordRTT(took)
-	if r.Verdict != worker.Silent {
+	if r.Verdict != worker.NoAnswer {
 		updateAverage(&h.vm.orderRTT, took, sharedRTTWeight)
 	}
 }
--- a/internal/kept/vm/session_test.go
+++ b/internal/kept/vm/session_test.go
@@ -92,7 +92,7 @@
 		for i, h := range hands {
 			took := queue * time.Duration(round%5+i%3+1) / 2
 			if within := h.orderTimeout(); took > within {
-				h.recordOrder(within, worker.Reply{Verdict: worker.Silent})
+				h.recordOrder(within, worker.Reply{Verdict: worker.NoAnswer})
 				unanswered++
 				continue
 			}
@@ -114,7 +114,7 @@
 	dead, sound := &workerSession{vm: v}, &workerSession{vm: v}
 	for i := range 300 {
 		if i%10 == 0 {
-			dead.recordOrder(dead.orderTimeout(), worker.Reply{Verdict: worker.Silent})
+			dead.recordOrder(dead.orderTimeout(), worker.Reply{Verdict: worker.NoAnswer})
 			continue
 		}
 		sound.recordOrder(time.Millisecond, worker.Reply{Verdict: worker.Accepted})
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -47,7 +47,7 @@
 	PeerDial            wire.Dialer // nil: TCP
 	Direct              relay.Transport
 	Store               func(relay.Transport) store.Store // the store, over a way of making calls
-	Orders              worker.Orders
+	Orders              worker.Client
 	Layout              StoreLayout
 	Policy              policy.Settings
 	Cores               float64 // processor of this VM, in cores; 0: not known
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -242,10 +242,10 @@
 	}
 	id := ev.session.info.Load().ID
 	for _, end := range h.core.HandleListing(e.now, id, ev.sent, ev.listing) {
-		e.vm.metrics.countRunEnd(end.How.String())
-		if end.How != worker.Completed {
+		e.vm.metrics.countRunEnd(end.Reason.String())
+		if end.Reason != worker.Completed {
 			klog.InfoS("kept: run ended", "id", end.Task.ID, "step", end.Task.Step, "index", end.Task.Index, "run", end.Run,
-				"worker", id, "how", end.How.String(), "number", end.N)
+				"worker", id, "how", end.Reason.String(), "number", end.Seq)
 		}
 	}
 }
@@ -295,7 +295,7 @@
 		klog.InfoS("kept: start not accepted", "id", ev.task.ID, "step", ev.task.Step, "index", ev.task.Index, "run", ev.run,
 			"worker", id, "answer", ev.reply.Verdict)
 	}
-	if ev.reply.Verdict == worker.Gone {
+	if ev.reply.Verdict == worker.Replaced {
 		e.replaceIncarnation(h, ev.session, ev.reply.Successor)
 		return
 	}
@@ -306,7 +306,7 @@
 	h := e.sessionShard(ev.session)
 	switch {
 	case h == nil:
-	case ev.reply.Verdict == worker.Gone:
+	case ev.reply.Verdict == worker.Replaced:
 		e.replaceIncarnation(h, ev.session, ev.reply.Successor)
 	default:
 		h.core.HandleStopReply(e.now, ev.session.info.Load().ID, ev.task, ev.run, ev.reply)
--- a/internal/kept/worker/worker.go
+++ b/internal/kept/worker/worker.go
@@ -73,9 +73,9 @@
 
 // Room that no worker has. Sums over a site stay far below what an int64 holds.
 const (
-	cpuMost = 1 << 31 // thousandths of a core
-	gpuMost = 1 << 31
-	memMost = 1 << 40 // megabytes
+	maxCPUMilli = 1 << 31 // thousandths of a core
+	maxGPU      = 1 << 31
+	maxMemMB    = 1 << 40 // megabytes
 )
 
 // Problem says why an entry of the list of workers names no worker to use; "": it names one.
@@ -93,7 +93,7 @@
 		return "it names no address"
 	case w.Born < 0:
 		return "its start is not a time"
-	case w.CPUMilli <= 0 || w.CPUMilli > cpuMost, w.MemMB <= 0 || w.MemMB > memMost, w.GPU < 0 || w.GPU > gpuMost:
+	case w.CPUMilli <= 0 || w.CPUMilli > maxCPUMilli, w.MemMB <= 0 || w.MemMB > maxMemMB, w.GPU < 0 || w.GPU > maxGPU:
 		return "its room is not that of a worker"
 	default:
 		return ""
@@ -105,15 +105,15 @@
 
 // The answers to an order.
 const (
-	Accepted  Verdict = iota
-	Fenced            // a higher token was seen; nothing was done
-	Outrun            // a run as high was stopped or has ended there; it never starts
-	Late              // the order's deadline has passed; it never starts
-	NoRoom            // nothing was done
-	Malformed         // nothing was done, and it would fail again
-	Unwell            // nothing was done; the worker is not in order
-	Gone              // another incarnation answers at the address
-	Silent            // no answer: it may have been done, or be done later
+	Accepted       Verdict = iota
+	Fenced                 // a higher token was seen; nothing was done
+	Superseded             // a run as high was stopped or has ended there; it never starts
+	DeadlinePassed         // the order's deadline has passed; it never starts
+	NoRoom                 // nothing was done
+	Malformed              // nothing was done, and it would fail again
+	Unavailable            // nothing was done; the worker is not in order
+	Replaced               // another incarnation answers at the address
+	NoAnswer               // no answer: it may have been done, or be done later
 )
 
 var verdictNames = [...]string{"accepted", "fenced", "outrun", "late", "no room", "malformed", "unwell", "gone", "silent"}
@@ -121,21 +121,21 @@
 func (v Verdict) String() string { return verdictNames[v] }
 
 // How says how a run ended.
-type How uint8
+type EndReason uint8
 
 // The ends of a run.
 const (
-	Completed How = iota
-	Failed        // by its own fault or the worker's
-	Stopped       // on an order
-	Lapsed        // its lease ran out
-	Broken        // another member of its gang ended
-	Alone         // it waited too long for the rest of its gang
+	Completed    EndReason = iota
+	Failed                 // by its own fault or the worker's
+	Stopped                // on an order
+	LeaseExpired           // its lease ran out
+	GangBroken             // another member of its gang ended
+	GangTimeout            // it waited too long for the rest of its gang
 )
 
-var howNames = [...]string{"completed", "failed", "stopped", "lapsed", "broken", "alone"}
+var endReasonNames = [...]string{"completed", "failed", "stopped", "lapsed", "broken", "alone"}
 
-func (h How) String() string { return howNames[h] }
+func (h EndReason) String() string { return endReasonNames[h] }
 
 // Start is the order to run a task.
 type Start struct {
@@ -157,7 +157,7 @@
 // Hold extends the lease of all that runs on a worker and asks what does.
 type Hold struct {
 	Token    uint64
-	Seen     uint64        // ends up to this number need not be listed again
+	AckedEnd uint64        // ends up to this number need not be listed again
 	Deadline time.Duration // on the worker's clock; 0: no extension
 	Wait     time.Duration // for the next end, before it answers
 }
@@ -172,10 +172,10 @@
 
 // Ended is a run that is over.
 type Ended struct {
-	N          uint64 // numbers the ends of this worker
+	Seq        uint64 // numbers the ends of this worker
 	Task       submission.TaskRef
 	Run        uint64
-	How        How
+	Reason     EndReason
 	Checkpoint string
 }
 
@@ -197,7 +197,7 @@
 }
 
 // Orders reaches workers. Calls return Silent when ctx ends first.
-type Orders interface {
+type Client interface {
 	Start(ctx context.Context, to Info, order Start) Reply
 	Stop(ctx context.Context, to Info, order Stop) Reply
 	Hold(ctx context.Context, to Info, order Hold) (Listing, Reply)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -275,7 +275,7 @@
 }
 
 // From returns the way of a VM of a domain to the workers.
-func (f *Fleet) From(domain string) worker.Orders { return &way{fleet: f, domain: domain} }
+func (f *Fleet) From(domain string) worker.Client { return &way{fleet: f, domain: domain} }
 
 type way struct {
 	fleet  *Fleet
@@ -302,7 +302,7 @@
 
 // do makes a call after a trip, and brings its answer after another.
 func (w *way) do(ctx context.Context, to worker.Info, call func(h *runhost.Host, now time.Duration) (worker.Reply, bool)) worker.Reply {
-	silent := worker.Reply{Verdict: worker.Silent}
+	silent := worker.Reply{Verdict: worker.NoAnswer}
 	if !pause.For(ctx, trip) {
 		return silent
 	}
@@ -317,7 +317,7 @@
 	}
 	w.fleet.mu.Unlock()
 	if successor != "" {
-		return worker.Reply{Verdict: worker.Gone, Successor: worker.Incarnation{ID: successor}}
+		return worker.Reply{Verdict: worker.Replaced, Successor: worker.Incarnation{ID: successor}}
 	}
 	if !answered {
 		<-ctx.Done()
@@ -390,7 +390,7 @@
 			return listing, r
 		}
 		if !pause.For(ctx, poll) {
-			return worker.Listing{}, worker.Reply{Verdict: worker.Silent}
+			return worker.Listing{}, worker.Reply{Verdict: worker.NoAnswer}
 		}
 	}
 }
--- a/internal/standin/runhost/runhost.go
+++ b/internal/standin/runhost/runhost.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func (l *Ledger) end(ref submission.TaskRef, how worker.How) {
+func (l *Ledger) end(ref submission.TaskRef, how worker.EndReason) {
 	l.live[ref]--
 	if how == worker.Completed {
 		l.done[ref]++
@@ -174,7 +174,7 @@
 	return r.began + r.work.Time
 }
 
-func (h *Host) how(r *run) worker.How {
+func (h *Host) how(r *run) worker.EndReason {
 	switch {
 	case r.stopsAt > 0 && (r.work.Hangs || r.stopsAt < r.began+r.work.Time):
 		return worker.Stopped
@@ -187,14 +187,14 @@
 
 func (h *Host) lapse() {
 	for len(h.running) > 0 {
-		h.finish(h.running[0], worker.Lapsed)
+		h.finish(h.running[0], worker.LeaseExpired)
 	}
 }
 
-func (h *Host) finish(r *run, how worker.How) {
+func (h *Host) finish(r *run, how worker.EndReason) {
 	h.running = slices.DeleteFunc(h.running, func(o *run) bool { return o == r })
 	h.lastEnd++
-	h.ended = append(h.ended, worker.Ended{N: h.lastEnd, Task: r.task, Run: r.number, How: how})
+	h.ended = append(h.ended, worker.Ended{Seq: h.lastEnd, Task: r.task, Run: r.number, Reason: how})
 	h.barred[r.task] = max(h.barred[r.task], r.number)
 	h.Ledger.end(r.task, how)
 }
@@ -202,7 +202,7 @@
 // Crash ends the worker's life with all that runs there.
 func (h *Host) Crash() {
 	for _, r := range h.running {
-		h.Ledger.end(r.task, worker.Lapsed)
+		h.Ledger.end(r.task, worker.LeaseExpired)
 		h.Ledger.Crashes[r.task]++
 	}
 	h.running = nil
@@ -238,9 +238,9 @@
 	work := h.Works(s)
 	switch {
 	case s.Deadline > 0 && now > s.Deadline:
-		reply.Verdict = worker.Late
+		reply.Verdict = worker.DeadlinePassed
 	case s.Run <= h.barred[s.Task]:
-		reply.Verdict = worker.Outrun
+		reply.Verdict = worker.Superseded
 	case h.used()+work.CPUMilli > h.Info.CPUMilli && !h.Unguarded:
 		reply.Verdict = worker.NoRoom
 	default:
@@ -250,7 +250,7 @@
 		h.running = append(h.running, &run{task: s.Task, number: s.Run, work: work, began: now})
 		h.Ledger.begin(s.Task, s.Run, h.Info.ID)
 	}
-	if reply.Verdict != worker.Late {
+	if reply.Verdict != worker.DeadlinePassed {
 		h.extend(now, s.Deadline)
 	}
 	return reply
@@ -305,7 +305,7 @@
 		return worker.Listing{}, reply
 	}
 	h.extend(now, h.callersTime(o.Deadline))
-	h.ended = slices.DeleteFunc(h.ended, func(e worker.Ended) bool { return e.N <= o.Seen })
+	h.ended = slices.DeleteFunc(h.ended, func(e worker.Ended) bool { return e.Seq <= o.AckedEnd })
 	l := worker.Listing{Clock: reply.Clock, Born: reply.Born, Ended: slices.Clone(h.ended[:min(len(h.ended), listMost)])}
 	for _, r := range h.running {
 		percent := 0
