--- a/internal/kept/vm/callers.go
+++ b/internal/kept/vm/callers.go
@@ -48,7 +48,7 @@
 func (v *VM) Submit(ctx context.Context, r *submission.Record) Outcome {
 	reply := make(chan Outcome, 1)
 	if !v.post(submitEvent{record: r, reply: reply}) {
-		return Outcome{Kind: Refused, RetryAfter: retryAfter, Why: "this entry VM is overloaded"}
+		return Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "this entry VM is overloaded"}
 	}
 	select {
 	case o := <-reply:
@@ -59,21 +59,21 @@
 	}
 }
 
-// endWait is how long a question for a state waits for the end: well within what callers
+// finalStateWait is how long a question for a state waits for the end: well within what callers
 // wait for an answer (1.5 s), and longer than an end takes to come from its worker (20 ms;
 // 250 ms beside a slow store).
-const endWait = 300 * time.Millisecond
+const finalStateWait = 300 * time.Millisecond
 
 // State returns how far a submission is. If it has not ended yet, the answer waits up to
-// endWait for the end: callers ask when their tasks have ended, some milliseconds before
+// finalStateWait for the end: callers ask when their tasks have ended, some milliseconds before
 // that is known here, and would ask again a quarter of a second later.
 func (v *VM) State(ctx context.Context, id submission.ID) (submission.State, error) {
 	ended := make(chan struct{})
-	state, err := v.stateNow(ctx, id, ended)
+	state, err := v.queryState(ctx, id, ended)
 	if err != nil || state == submission.Unknown || state.Final() {
 		return state, err
 	}
-	timer := time.NewTimer(endWait)
+	timer := time.NewTimer(finalStateWait)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -81,23 +81,23 @@
 	case <-ctx.Done():
 		return state, nil
 	}
-	return v.stateNow(ctx, id, nil)
+	return v.queryState(ctx, id, nil)
 }
 
-// stateNow asks the engine; ended, if not nil, is closed at the submission's end.
-func (v *VM) stateNow(ctx context.Context, id submission.ID, ended chan struct{}) (submission.State, error) {
+// queryState asks the engine; ended, if not nil, is closed at the submission's end.
+func (v *VM) queryState(ctx context.Context, id submission.ID, ended chan struct{}) (submission.State, error) {
 	reply := make(chan StateAnswer, 1)
-	return v.askState(ctx, stateEvent{id: id, reply: reply, ended: ended}, reply)
+	return v.requestState(ctx, stateEvent{id: id, reply: reply, ended: ended}, reply)
 }
 
 // Cancel ends a submission and returns its final state.
 func (v *VM) Cancel(ctx context.Context, id submission.ID) (submission.State, error) {
 	reply := make(chan StateAnswer, 1)
-	return v.askState(ctx, cancelEvent{id: id, reply: reply}, reply)
+	return v.requestState(ctx, cancelEvent{id: id, reply: reply}, reply)
 }
 
-func (v *VM) askState(ctx context.Context, ev event, reply chan StateAnswer) (submission.State, error) {
-	a, err := ask(ctx, v, ev, reply)
+func (v *VM) requestState(ctx context.Context, ev event, reply chan StateAnswer) (submission.State, error) {
+	a, err := postAndWait(ctx, v, ev, reply)
 	if err != nil {
 		return submission.Unknown, err
 	}
@@ -105,7 +105,7 @@
 }
 
 // ask posts an event and waits for its answer.
-func ask[A any](ctx context.Context, v *VM, ev event, reply chan A) (answer A, err error) {
+func postAndWait[A any](ctx context.Context, v *VM, ev event, reply chan A) (answer A, err error) {
 	if !v.post(ev) {
 		return answer, ErrUnavailable
 	}
@@ -121,5 +121,5 @@
 // may be some hundred milliseconds old.
 func (v *VM) Waiting(ctx context.Context, queue string) (int, error) {
 	reply := make(chan int, 1)
-	return ask(ctx, v, waitingEvent{queue: queue, reply: reply}, reply)
+	return postAndWait(ctx, v, waitingEvent{queue: queue, reply: reply}, reply)
 }
--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -66,7 +66,7 @@
 	if ev.state != submission.Cancelled {
 		return
 	}
-	e.learnState(ev.id, stateReport{state: submission.Cancelled})
+	e.applyStateReport(ev.id, stateReport{state: submission.Cancelled})
 	ref := &pb.KeptRef{Id: string(ev.id)}
 	e.stopCancelled(ref)
 	for name := range e.links {
--- a/internal/kept/vm/early.go
+++ b/internal/kept/vm/early.go
@@ -82,7 +82,7 @@
 			e.deferred = append(e.deferred, ev)
 			continue
 		}
-		e.decide(ev)
+		e.admit(ev)
 	}
 }
 
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -77,7 +77,7 @@
 	now               time.Duration // of this round
 	site              *site.Site
 	shards            map[string]*heldShard
-	homes             map[submission.ID]*home // stored submissions
+	tracked           map[submission.ID]*trackedSubmission // stored submissions
 	transients        map[submission.ID]*transientSubmission
 	deferred          []submitEvent // came before the shards are known
 	startedAt         time.Duration
@@ -119,7 +119,7 @@
 		ctx:              ctx,
 		site:             site.New(site.DefaultSettings(), self, c.Domains, v.now()),
 		shards:           make(map[string]*heldShard),
-		homes:            make(map[submission.ID]*home),
+		tracked:          make(map[submission.ID]*trackedSubmission),
 		transients:       make(map[submission.ID]*transientSubmission),
 		startedAt:        v.now(),
 		links:            make(map[string]*link.Link),
@@ -152,7 +152,7 @@
 	}
 	e.releaseEarly()
 	e.driveTransients()
-	e.askForStates()
+	e.queryOverdueStates()
 	e.signalDrained()
 	e.tellLoads()
 	e.tellUnplaced()
@@ -166,12 +166,12 @@
 	}
 	e.vm.metrics.heldWorkers.Update(float64(workers))
 	e.vm.metrics.heldShards.Update(float64(len(e.shards)))
-	e.vm.metrics.openSubmissions.Update(float64(len(e.transients) + len(e.homes)))
+	e.vm.metrics.openSubmissions.Update(float64(len(e.transients) + len(e.tracked)))
 }
 
 // pace is the longest time to the next round.
 func (e *engine) roundInterval() time.Duration {
-	if len(e.shards)+len(e.transients)+len(e.homes)+len(e.deferred) == 0 && e.drained == nil {
+	if len(e.shards)+len(e.transients)+len(e.tracked)+len(e.deferred) == 0 && e.drained == nil {
 		return idleRoundInterval
 	}
 	return busyRoundInterval
@@ -237,8 +237,8 @@
 	}
 	for _, s := range a.States {
 		w := h.report(s)
-		e.tellState(s.ID, s.Home, w)
-		e.tellAskers(h, s, w)
+		e.reportState(s.ID, s.Home, w)
+		e.notifyAskers(h, s, w)
 	}
 }
 
@@ -302,12 +302,12 @@
 		return
 	}
 	e.prunedAt = e.now
-	for id, h := range e.homes {
-		if h.state.Final() && e.now-h.changed > endedRetention {
-			delete(e.homes, id)
+	for id, h := range e.tracked {
+		if h.state.Final() && e.now-h.updatedAt > endedRetention {
+			delete(e.tracked, id)
 		}
 	}
 	for _, h := range e.shards {
-		h.forgetAskers()
+		h.pruneAskers()
 	}
 }
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -296,7 +296,7 @@
 		h.core.ReassignFailed(e.now, rec.ID)
 		return
 	}
-	rec.Shard = e.vm.config.Policy.Split(shards, demand(rec), false, longestEstimate(rec))[0].Shard
+	rec.Shard = e.vm.config.Policy.Split(shards, startableTasks(rec), false, longestEstimate(rec))[0].Shard
 	to := e.site.Holding(rec.Shard)
 	rec.Token = to.Token
 	token := h.holding.Token
@@ -329,10 +329,10 @@
 		e.vm.metrics.sentAway.Inc(1)
 		klog.InfoS("kept: sent away from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
 			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.TaskCount())
-		if own := e.homes[rec.ID]; own != nil {
+		if own := e.tracked[rec.ID]; own != nil {
 			own.shard = rec.Shard
 		}
-		e.assign(&home{id: rec.ID, record: rec, revision: ev.result.Revision, shard: rec.Shard})
+		e.assignToHolder(&trackedSubmission{id: rec.ID, record: rec, revision: ev.result.Revision, shard: rec.Shard})
 	case ev.result.Outcome == journal.Conflict && ev.recordChanged():
 		h.core.RecordConflict(e.now, rec.ID)
 	default:
--- a/internal/kept/vm/events.go
+++ b/internal/kept/vm/events.go
@@ -105,7 +105,7 @@
 	}
 	lookupDoneEvent struct {
 		id    submission.ID
-		found lookup
+		found storeLookup
 		err   error
 	}
 )
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -230,7 +230,7 @@
 	}
 	delete(e.probedAt, name)
 	e.applyHoldings(0)
-	e.rehome()
+	e.requeryNewHolders()
 }
 
 // scan reads the unfinished submissions of a shard from the store.
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -20,7 +20,7 @@
 		if len(e.evacuations.Domains()) > 0 {
 			why = policy.AllDomainsEvacuated
 		}
-		return nil, &Outcome{Kind: Refused, RetryAfter: retryAfter, Why: string(why)}
+		return nil, &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: string(why)}
 	}
 	if reason := policy.Admit(e.now, e.work(r, came), shards); reason.Refused() {
 		return nil, &Outcome{Kind: Refused, RetryAfter: e.comeBack(r, shards), Why: string(reason)}
@@ -72,7 +72,7 @@
 // comeBack is after what time a caller that is refused should try again.
 func (e *engine) comeBack(r *submission.Record, shards []policy.Candidate) time.Duration {
 	if len(shards) == 0 {
-		return retryAfter
+		return defaultRetryAfter
 	}
 	return e.retryTurns.RetryAfter(e.now, policy.MinWait(shards), e.workTime(r))
 }
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -173,9 +173,9 @@
 
 // doubt has a holder asked anew: what was under way on an earlier stream may be lost.
 func (e *engine) requeryHolder(holder string) {
-	for _, h := range e.homes {
+	for _, h := range e.tracked {
 		if h.holder == holder {
-			h.asked = 0
+			h.queriedAt = 0
 		}
 	}
 	for _, t := range e.transients {
@@ -212,7 +212,7 @@
 func (ev frameEvent) apply(e *engine) {
 	f := ev.frame
 	for _, a := range f.Assign {
-		e.takeAssigned(ev.from, a)
+		e.receiveAssign(ev.from, a)
 	}
 	for _, n := range f.Notes {
 		ref := submission.TaskRef{ID: submission.ID(n.Id)}
@@ -225,14 +225,14 @@
 		e.applyTaskLosses(ref, decodeLosses(w.Losses))
 	}
 	for _, s := range f.States {
-		e.learnState(submission.ID(s.Id), stateReport{shard: s.Shard, token: s.Token, state: submission.State(s.State), serial: s.Serial, returned: returnedOf(s.Returned)})
+		e.applyStateReport(submission.ID(s.Id), stateReport{shard: s.Shard, token: s.Token, state: submission.State(s.State), serial: s.Serial, returned: returnedOf(s.Returned)})
 	}
 	for _, ref := range f.Queries {
-		e.takeQuery(ev.from, ref)
+		e.receiveQuery(ev.from, ref)
 	}
 	for _, ref := range f.Cancelled {
 		if ref.Shard == "" {
-			e.learnState(submission.ID(ref.Id), stateReport{state: submission.Cancelled})
+			e.applyStateReport(submission.ID(ref.Id), stateReport{state: submission.Cancelled})
 		}
 		e.stopCancelled(ref)
 	}
--- a/internal/kept/vm/states_test.go
+++ b/internal/kept/vm/states_test.go
@@ -38,7 +38,7 @@
 				t.Errorf("it is %s at %s, want running", s, at)
 			}
 		}
-		if took := time.Since(asked); took > 3*endWait {
+		if took := time.Since(asked); took > 3*finalStateWait {
 			t.Errorf("two answers took %v", took)
 		}
 	})
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -94,7 +94,7 @@
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
 		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
 			"tasks", p.record.TaskCount(), "of", ev.record.TaskCount(), "objective", ev.record.Terms.Objective(ev.record.CriticalPath()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
-		l.sentMilli += int64(demand(p.record)) * largestTask(p.record)
+		l.sentMilli += int64(startableTasks(p.record)) * largestTask(p.record)
 		e.sendPart(t, p, l)
 	}
 }
@@ -112,7 +112,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	portions := e.vm.config.Policy.Split(shards, demand(r), isDivisible(r), longestEstimate(r))
+	portions := e.vm.config.Policy.Split(shards, startableTasks(r), isDivisible(r), longestEstimate(r))
 	if len(portions) == 1 {
 		r.Shard = portions[0].Shard
 		return []*part{{record: r, shard: r.Shard, updatedAt: e.now}}, nil
@@ -160,12 +160,12 @@
 	f.Assign = append(f.Assign, &pb.KeptAssign{Id: string(p.record.ID), Record: p.record.Encode(), Resumed: resumed})
 }
 
-// handleTransientAssign takes a part that its home hands over.
-func (e *engine) handleTransientAssign(from string, r *submission.Record, resumed bool) {
+// receiveTransient takes a part that its home hands over.
+func (e *engine) receiveTransient(from string, r *submission.Record, resumed bool) {
 	h := e.shards[r.Shard]
 	switch {
 	case h == nil:
-		e.tellPeer(from, r.ID, stateReport{shard: r.Shard, token: r.Token})
+		e.sendState(from, r.ID, stateReport{shard: r.Shard, token: r.Token})
 	case resumed:
 		e.vm.metrics.resumed.Inc(1)
 		klog.InfoS("kept: resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
--- a/internal/kept/vm/transient_test.go
+++ b/internal/kept/vm/transient_test.go
@@ -44,7 +44,7 @@
 	tr := &transientSubmission{record: p.record, parts: []*part{p}, outcomeWaiters: []chan Outcome{make(chan Outcome, 1)}}
 	e := &engine{now: time.Hour, transients: map[submission.ID]*transientSubmission{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 4}}}
 	for _, state := range []submission.State{submission.Rejected, submission.Cancelled, submission.Unknown, submission.Running} {
-		e.learnState("job", stateReport{shard: "a/0", token: 3, state: state})
+		e.applyStateReport("job", stateReport{shard: "a/0", token: 3, state: state})
 	}
 	if len(tr.outcomeWaiters[0]) > 0 || p.state != submission.Queued || e.transients["job"] == nil {
 		t.Errorf("the home believed it: %s", p.state)
@@ -58,7 +58,7 @@
 	p := &part{record: &submission.Record{ID: "job", Token: 3, Serial: 8}, shard: "a/0", holderToken: 3, holder: "a1", state: submission.Queued}
 	tr := &transientSubmission{record: p.record, parts: []*part{p}, outcomeWaiters: []chan Outcome{make(chan Outcome, 1)}}
 	e := &engine{now: time.Hour, transients: map[submission.ID]*transientSubmission{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 3}}}
-	e.learnState("job", stateReport{shard: "a/0", token: 3, state: submission.Rejected, serial: 7})
+	e.applyStateReport("job", stateReport{shard: "a/0", token: 3, state: submission.Rejected, serial: 7})
 	if len(tr.outcomeWaiters) == 0 || len(tr.outcomeWaiters[0]) > 0 || p.state != submission.Queued {
 		t.Errorf("the home believed it: %s", p.state)
 	}
--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -125,8 +125,8 @@
 // as it knows, and whose shard's holder cannot be reached.
 func (e *engine) ownUnplaced() queueCounts {
 	out := make(queueCounts)
-	for _, h := range e.homes {
-		if h.record != nil && h.created && h.state == submission.Queued && !e.reachable(h.shard) {
+	for _, h := range e.tracked {
+		if h.record != nil && h.stored && h.state == submission.Queued && !e.reachable(h.shard) {
 			out[h.record.Queue]++
 		}
 	}
