--- a/internal/kept/evacuation/evacuation.go
+++ b/internal/kept/evacuation/evacuation.go
@@ -24,12 +24,12 @@
 
 // Set is what a VM knows of the evacuations of its site. Its zero value knows of none.
 type Set struct {
-	notices map[string]Notice
-	askedAt time.Duration // when the newest answered question left
+	notices      map[string]Notice
+	lastReadSent time.Duration // when the newest answered question left
 }
 
 // Take takes a notice and reports whether it changes what may start in its domain.
-func (s *Set) Take(n Notice) (changed bool) {
+func (s *Set) Apply(n Notice) (changed bool) {
 	known, there := s.notices[n.Domain]
 	if there && n.Revision <= known.Revision {
 		return false
@@ -41,29 +41,29 @@
 	return known.Evacuated != n.Evacuated
 }
 
-// TakeAll takes notices and returns the domains in which they change what may start.
-func (s *Set) TakeAll(notices []Notice) (changed []string) {
+// ApplyAll takes notices and returns the domains in which they change what may start.
+func (s *Set) ApplyAll(notices []Notice) (changed []string) {
 	for _, n := range notices {
-		if s.Take(n) {
+		if s.Apply(n) {
 			changed = append(changed, n.Domain)
 		}
 	}
 	return changed
 }
 
-// TakeList takes the list of all evacuations as it was at a revision: a domain that it does not
+// ApplyList takes the list of all evacuations as it was at a revision: a domain that it does not
 // name was not evacuated then. It returns the domains in which it changes what may start.
 //
 // Without it a VM that has missed a withdrawal, as the store's history is lost, would leave the
 // domain alone for ever.
-func (s *Set) TakeList(revision uint64, list []Notice) (changed []string) {
-	changed = s.TakeAll(list)
+func (s *Set) ApplyList(revision uint64, list []Notice) (changed []string) {
+	changed = s.ApplyAll(list)
 	named := make(map[string]bool, len(list))
 	for _, n := range list {
 		named[n.Domain] = true
 	}
 	for _, domain := range slices.Sorted(maps.Keys(s.notices)) {
-		if !named[domain] && s.Take(Notice{Domain: domain, Revision: revision}) {
+		if !named[domain] && s.Apply(Notice{Domain: domain, Revision: revision}) {
 			changed = append(changed, domain)
 		}
 	}
@@ -72,10 +72,10 @@
 
 // Confirm notes that a question to the store, which left at a time, was answered and what it
 // said was taken.
-func (s *Set) Confirm(asked time.Duration) { s.askedAt = max(s.askedAt, asked) }
+func (s *Set) RecordRead(asked time.Duration) { s.lastReadSent = max(s.lastReadSent, asked) }
 
 // Age is how long ago the store was last asked with success; before that, the time on the clock.
-func (s *Set) Age(now time.Duration) time.Duration { return now - s.askedAt }
+func (s *Set) Age(now time.Duration) time.Duration { return now - s.lastReadSent }
 
 // Evacuated reports whether nothing may start in a domain.
 func (s *Set) Evacuated(domain string) bool { return s.notices[domain].Evacuated }
--- a/internal/kept/evacuation/evacuation_test.go
+++ b/internal/kept/evacuation/evacuation_test.go
@@ -14,8 +14,8 @@
 // counts, not the newest revision.
 func TestOlderNoticeChangesNothing(t *testing.T) {
 	var s Set
-	s.Take(Notice{Domain: "a", Revision: 7, Evacuated: true})
-	if s.Take(Notice{Domain: "a", Revision: 5}) || !s.Evacuated("a") {
+	s.Apply(Notice{Domain: "a", Revision: 7, Evacuated: true})
+	if s.Apply(Notice{Domain: "a", Revision: 5}) || !s.Evacuated("a") {
 		t.Error("an older notice took the evacuation back")
 	}
 }
@@ -24,8 +24,8 @@
 // history is lost, and the list is read anew. Cause would be: only what the list names is taken.
 func TestListWithoutTheDomainWithdrawsItsEvacuation(t *testing.T) {
 	var s Set
-	s.Take(Notice{Domain: "a", Revision: 7, Evacuated: true})
-	changed := s.TakeList(9, nil)
+	s.Apply(Notice{Domain: "a", Revision: 7, Evacuated: true})
+	changed := s.ApplyList(9, nil)
 	if s.Evacuated("a") || !slices.Equal(changed, []string{"a"}) {
 		t.Errorf("the evacuation stands after a newer list without it; changed: %v", changed)
 	}
@@ -35,8 +35,8 @@
 // event. Cause would be: the list counts as the newest word though its revision is lower.
 func TestOlderListDoesNotWithdraw(t *testing.T) {
 	var s Set
-	s.Take(Notice{Domain: "a", Revision: 9, Evacuated: true})
-	if changed := s.TakeList(8, nil); len(changed) > 0 || !s.Evacuated("a") {
+	s.Apply(Notice{Domain: "a", Revision: 9, Evacuated: true})
+	if changed := s.ApplyList(8, nil); len(changed) > 0 || !s.Evacuated("a") {
 		t.Errorf("a list from before the evacuation withdrew it; changed: %v", changed)
 	}
 }
@@ -55,7 +55,7 @@
 		newest := make(map[string]int)
 		for _, r := range order {
 			n := notice(r)
-			s.Take(n)
+			s.Apply(n)
 			newest[n.Domain] = max(newest[n.Domain], r)
 		}
 		for domain, r := range newest {
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -67,11 +67,11 @@
 func (ev evacuationsEvent) apply(e *engine) {
 	var changed []string
 	if ev.whole {
-		changed = e.evacuations.TakeList(ev.revision, ev.notices)
+		changed = e.evacuations.ApplyList(ev.revision, ev.notices)
 	} else {
-		changed = e.evacuations.TakeAll(ev.notices)
+		changed = e.evacuations.ApplyAll(ev.notices)
 	}
-	e.evacuations.Confirm(ev.sent)
+	e.evacuations.RecordRead(ev.sent)
 	e.enforceEvacuations(changed, "the store")
 }
 
@@ -81,7 +81,7 @@
 	for i, w := range told {
 		notices[i] = evacuation.Notice{Domain: w.Domain, Revision: w.Revision, Evacuated: w.Evacuated}
 	}
-	e.enforceEvacuations(e.evacuations.TakeAll(notices), from)
+	e.enforceEvacuations(e.evacuations.ApplyAll(notices), from)
 }
 
 // enforceEvacuations puts changes in force at the shards of this VM, and passes them on.
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -54,14 +54,14 @@
 			back := unassignedTasks{record: &gone, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
 			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{back}}
 			e.transients["job"] = sub
-			e.evacuations.Take(evacuation.Notice{Domain: "a", Revision: 1 << 40, Evacuated: true})
+			e.evacuations.Apply(evacuation.Notice{Domain: "a", Revision: 1 << 40, Evacuated: true})
 			e.giveElsewhere(sub)
 			left := sub.ownTasks()
 			for _, u := range sub.unassigned {
 				left += len(u.tasks)
 			}
 			delete(e.transients, "job")
-			e.evacuations.Take(evacuation.Notice{Domain: "a", Revision: 1<<40 + 1})
+			e.evacuations.Apply(evacuation.Notice{Domain: "a", Revision: 1<<40 + 1})
 			reply <- left
 		}))
 		if left := <-reply; left != 2 {
