--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -26,7 +26,7 @@
 // lost counts the loss of a worker against the tasks there. A worker that had given notice was not
 // crashed by what ran there.
 func (s *Shard) lost(now time.Duration, h *host, tasks []*task, ended bool) {
-	tasks = slices.DeleteFunc(slices.Clone(tasks), func(t *task) bool { return t.state == ending || t.job.state.Final() })
+	tasks = slices.DeleteFunc(slices.Clone(tasks), func(t *task) bool { return t.state == taskStoppingForGood || t.job.state.Final() })
 	if len(tasks) == 0 || h.info.Leaving {
 		return
 	}
@@ -39,8 +39,8 @@
 	unrelated := s.unrelatedLosses(now, h, lost.jobs)
 	s.losses = append(s.losses, lost)
 	for _, t := range tasks {
-		weight := policy.LossContext{StartedAlone: t.alone, KnownToRun: t.ran, UnrelatedLosses: unrelated}.Weight()
-		s.blame(now, t, submission.Loss{Worker: h.incarnation, Run: t.run, Weight: weight, Certain: ended})
+		weight := policy.LossContext{StartedAlone: t.startedAlone, KnownToRun: t.hasBegun, UnrelatedLosses: unrelated}.Weight()
+		s.blame(now, t, submission.Loss{Worker: h.incarnation, Run: t.newestRun, Weight: weight, Certain: ended})
 	}
 	s.out.WorkerLosses = append(s.out.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
 }
@@ -49,13 +49,13 @@
 // task starts again.
 func (s *Shard) blame(now time.Duration, t *task, l submission.Loss) {
 	t.losses = submission.AddLoss(t.losses, l)
-	t.lostAt = now
+	t.lossChangedAt = now
 	s.anyLosses = true
 	if t.job.rec.Transient {
 		s.out.TaskLosses = append(s.out.TaskLosses, TaskLossesAction{Home: t.job.rec.Home, Task: t.ref, Losses: slices.Clone(t.losses)})
 		return
 	}
-	t.job.unsaved = max(now-s.settings.SaveDelay, 1)
+	t.job.unsavedSince = max(now-s.settings.SaveDelay, 1)
 }
 
 // unrelatedLosses reports whether another worker went at the same moment that had no submission of the
@@ -149,7 +149,7 @@
 // lossKnown reports whether it is known of a task's lost workers what became of them, if that decides
 // whether it starts again.
 func (s *Shard) lossKnown(now time.Duration, t *task) bool {
-	return len(t.losses) == 0 || now-t.lostAt > policy.LossConfirmationTime || !s.settings.Policy.ShouldGiveUp(t.losses, true)
+	return len(t.losses) == 0 || now-t.lossChangedAt > policy.LossConfirmationTime || !s.settings.Policy.ShouldGiveUp(t.losses, true)
 }
 
 // giveUpTasks ends the submissions of tasks that take down the workers that start them.
@@ -205,12 +205,12 @@
 	hosts := make(map[*host]bool)
 	for _, j := range s.jobs {
 		for _, t := range j.tasks {
-			s.anyLosses = s.anyLosses || t.state != complete && len(t.losses) > 0
+			s.anyLosses = s.anyLosses || t.state != taskCompleted && len(t.losses) > 0
 			switch {
-			case t.state == complete || !s.suspect(t):
+			case t.state == taskCompleted || !s.suspect(t):
 			case t.occupies():
 				hosts[t.host] = true
-			case !j.state.Final() && j.startable(t):
+			case !j.state.Final() && j.isStartable(t):
 				wait++
 			}
 		}
--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -31,36 +31,36 @@
 	}
 }
 
-// sendAway gives what waits in an evacuated domain to other shards: without it work waits for room
+// giveAwayIfEvacuated gives what waits in an evacuated domain to other shards: without it work waits for room
 // that it cannot get, while its caller's time passes and others have room.
-func (s *Shard) sendAway(now time.Duration, j *job) {
+func (s *Shard) giveAwayIfEvacuated(now time.Duration, j *job) {
 	switch {
 	case !s.evacuated, j.state.Final():
 	case j.rec.Transient:
-		s.handBack(now, j, len(j.tasks))
+		s.returnTasks(now, j, len(j.tasks))
 	default:
 		s.reassignStored(now, j)
 	}
 }
 
-// handBack gives up to so many tasks that certainly do not run back to their home, and returns how
+// returnTasks gives up to so many tasks that certainly do not run back to their home, and returns how
 // many. Steps that wait for each other stay together, as only their holder knows which have
 // completed: they go once none runs.
-func (s *Shard) handBack(now time.Duration, j *job, most int) int {
-	if len(j.steps) > 1 && (!j.atRest() || j.left > most) {
+func (s *Shard) returnTasks(now time.Duration, j *job, most int) int {
+	if len(j.steps) > 1 && (!j.isIdle() || j.tasksLeft > most) {
 		return 0
 	}
 	before := len(j.returned)
 	for _, t := range j.tasks {
 		// A suspect takes down no worker of another domain.
-		if t.state == waiting && len(j.returned)-before < most && (s.evacuated || !s.suspect(t)) {
-			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.run, FailedRuns: t.fails, Losses: t.losses})
-			j.leave(t, absent)
+		if t.state == taskWaiting && len(j.returned)-before < most && (s.evacuated || !s.suspect(t)) {
+			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.newestRun, FailedRuns: t.failures, Losses: t.losses})
+			j.removeTask(t, taskElsewhere)
 		}
 	}
 	switch {
 	case len(j.returned) == before:
-	case j.left == 0:
+	case j.tasksLeft == 0:
 		s.finish(now, j)
 	default:
 		s.tell(j)
@@ -68,21 +68,21 @@
 	return len(j.returned) - before
 }
 
-// atRest reports whether no task of it runs, or may run.
-func (j *job) atRest() bool {
-	return !slices.ContainsFunc(j.tasks, func(t *task) bool { return t.occupies() || t.state == astray })
+// isIdle reports whether no task of it runs, or may run.
+func (j *job) isIdle() bool {
+	return !slices.ContainsFunc(j.tasks, func(t *task) bool { return t.occupies() || t.state == taskUnlocated })
 }
 
 // reassignStored has a stored submission written under another shard once nothing of it runs here.
 func (s *Shard) reassignStored(now time.Duration, j *job) {
-	if j.reassigning || j.saving || now < j.reassignAt || !j.atRest() {
+	if j.reassigning || j.saving || now < j.reassignAt || !j.isIdle() {
 		return
 	}
 	j.reassigning = true
 	rec := *j.rec
 	rec.Progress = j.progress()
 	for _, t := range j.tasks {
-		rec.MaxRunElsewhere = max(rec.MaxRunElsewhere, t.run)
+		rec.MaxRunElsewhere = max(rec.MaxRunElsewhere, t.newestRun)
 	}
 	s.out.Reassigns = append(s.out.Reassigns, ReassignAction{Record: &rec, Revision: j.revision})
 }
@@ -93,7 +93,7 @@
 	if !open || !j.reassigning {
 		return
 	}
-	j.stored = true // its ends are in the record that names the other shard
+	j.endStored = true // its ends are in the record that names the other shard
 	s.past[id] = endedJob{reassignedRevision: revision, at: now}
 	s.acknowledge()
 	delete(s.jobs, id)
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -53,7 +53,7 @@
 // settled reports whether an end may be acknowledged. That of a transient submission
 // may be at once: its home is told, and the caller waits there.
 func (e *endEntry) settled() bool {
-	return e.job == nil || e.job.stored || e.saved || e.job.rec.Transient
+	return e.job == nil || e.job.endStored || e.saved || e.job.rec.Transient
 }
 
 // strayRun is a run that a worker lists and whose submission is not known here.
@@ -321,13 +321,13 @@
 
 // release makes a task that certainly does not run startable again.
 func (s *Shard) release(now time.Duration, t *task) {
-	if t.state == ending || t.job.state.Final() {
-		t.state = over
+	if t.state == taskStoppingForGood || t.job.state.Final() {
+		t.state = taskEnded
 	} else {
-		t.state = waiting
+		t.state = taskWaiting
 	}
 	t.host = nil
-	t.since = now
+	t.stateSince = now
 	s.dirty = true
 	s.reap(t.job)
 }
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -100,7 +100,7 @@
 	tasks := s.on(old)
 	s.lost(now, old, tasks, true)
 	for _, t := range tasks {
-		if run := (runRef{t.ref, t.run}); old.unseen.has(run) {
+		if run := (runRef{t.ref, t.newestRun}); old.unseen.has(run) {
 			s.doubt(now, t, next)
 			delete(old.unseen, run)
 			continue
@@ -118,15 +118,15 @@
 // doubt has a worker asked whether it runs a task whose start may have come there.
 func (s *Shard) doubt(now time.Duration, t *task, h *host) {
 	t.host = h
-	t.starts = append(t.starts, startedRun{t.run, h})
-	t.clock = 0
-	t.stopClock = 0
-	if t.state != voiding && t.state != ending {
-		t.state = unsure
-		t.since = now
+	t.startedRuns = append(t.startedRuns, startedRun{t.newestRun, h})
+	t.acceptClock = 0
+	t.stopAckClock = 0
+	if t.state != taskStoppingToRestart && t.state != taskStoppingForGood {
+		t.state = taskUnconfirmed
+		t.stateSince = now
 		return
 	}
-	t.since = now
+	t.stateSince = now
 	s.stop(t, "the worker has started again")
 }
 
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -56,15 +56,15 @@
 		return
 	}
 	h.ends = append(h.ends, endEntry{n: e.Seq, job: j})
-	if j.unsaved == 0 {
-		j.unsaved = now
+	if j.unsavedSince == 0 {
+		j.unsavedSince = now
 	}
 	t := j.task(e.Task.Task)
 	switch {
 	case t == nil:
-	case j.startedElse(t, h, e.Run):
+	case j.startedByOther(t, h, e.Run):
 		if !t.occupies() {
-			t.run = max(t.run, e.Run)
+			t.newestRun = max(t.newestRun, e.Run)
 		}
 	default:
 		s.endedTask(now, h, t, e)
@@ -72,9 +72,9 @@
 }
 
 func (s *Shard) endedTask(now time.Duration, h *host, t *task, e worker.Ended) {
-	current := t.host == h && t.run == e.Run && t.occupies()
-	if e.Run > t.run {
-		t.run = e.Run
+	current := t.host == h && t.newestRun == e.Run && t.occupies()
+	if e.Run > t.newestRun {
+		t.newestRun = e.Run
 	}
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
@@ -94,9 +94,9 @@
 
 // note tells the home of a transient submission how far a task is.
 func (s *Shard) note(t *task) {
-	if t.job.rec.Transient && !t.job.state.Final() && (t.state == complete || t.fails > 0) {
-		fails := t.fails
-		if t.state == complete {
+	if t.job.rec.Transient && !t.job.state.Final() && (t.state == taskCompleted || t.failures > 0) {
+		fails := t.failures
+		if t.state == taskCompleted {
 			fails = 0
 		}
 		s.out.Outcomes = append(s.out.Outcomes, OutcomeAction{Home: t.job.rec.Home, Task: t.ref, FailedRuns: fails})
@@ -107,10 +107,10 @@
 	if current {
 		s.learn(now, h, t)
 		if t.startedAt > 0 {
-			t.took = now - t.startedAt
+			t.duration = now - t.startedAt
 		}
 	}
-	if t.state == complete {
+	if t.state == taskCompleted {
 		return
 	}
 	if t.occupies() && !current {
@@ -119,7 +119,7 @@
 	j := t.job
 	j.complete(t)
 	s.note(t)
-	if j.left == 0 && !j.state.Final() {
+	if j.tasksLeft == 0 && !j.state.Final() {
 		s.finish(now, j)
 	}
 	s.reap(j)
@@ -128,22 +128,22 @@
 // failedRun counts a failed run. A task whose runs have failed as often as the
 // queue allows ends its submission.
 func (s *Shard) failedRun(now time.Duration, h *host, t *task, run uint64) {
-	if _, counted := t.failed[run]; counted {
+	if _, counted := t.countedFailures[run]; counted {
 		return
 	}
-	if t.failed == nil {
-		t.failed = make(map[uint64]struct{})
+	if t.countedFailures == nil {
+		t.countedFailures = make(map[uint64]struct{})
 	}
-	t.failed[run] = struct{}{}
-	t.fails++
-	if first := t.job.blamed; first != nil && first != h {
+	t.countedFailures[run] = struct{}{}
+	t.failures++
+	if first := t.job.firstFailedOn; first != nil && first != h {
 		first.record.ForgiveFailure(t.job.rec.ID) // it fails on several workers: the fault is its own
 	} else {
-		t.job.blamed = h
+		t.job.firstFailedOn = h
 		s.settings.Policy.RecordFailure(now, &h.record, t.job.rec.ID)
 	}
-	t.avoid = h
-	if t.fails >= t.job.rec.Terms.Attempts && t.state != complete && !t.job.state.Final() {
+	t.avoidHost = h
+	if t.failures >= t.job.rec.Terms.Attempts && t.state != taskCompleted && !t.job.state.Final() {
 		s.end(now, t.job, submission.Failed, "a task has failed as often as its queue allows")
 	}
 }
@@ -177,7 +177,7 @@
 		return
 	}
 	t := j.task(r.Task.Task)
-	if t == nil || r.Run < t.run || t.state == complete {
+	if t == nil || r.Run < t.newestRun || t.state == taskCompleted {
 		s.stray(now, h, r)
 		return
 	}
@@ -185,29 +185,29 @@
 		s.stray(now, h, r)
 		return
 	}
-	t.run = r.Run
+	t.newestRun = r.Run
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
 	switch t.state {
-	case starting, unsure, astray:
+	case taskStarting, taskUnconfirmed, taskUnlocated:
 		s.nowRunning(now, h, t)
-	case over, waiting:
+	case taskEnded, taskWaiting:
 		s.stray(now, h, r) // a late order that was carried out all the same
 	}
 }
 
 func (s *Shard) nowRunning(now time.Duration, h *host, t *task) {
-	if t.state == astray {
+	if t.state == taskUnlocated {
 		t.startedAt = 0 // how long it has run is not known
 	}
-	t.state = running
-	t.ran = true
+	t.state = taskRunning
+	t.hasBegun = true
 	t.host = h
-	t.since = now
+	t.stateSince = now
 	j := t.job
-	if j.firstRun == 0 {
-		j.firstRun = now
+	if j.firstRunAt == 0 {
+		j.firstRunAt = now
 	}
 	if j.state == submission.Queued {
 		j.state = submission.Running
@@ -234,11 +234,11 @@
 func (h *host) resume(now time.Duration, s *Shard, j *job) {
 	for ref, st := range h.strays {
 		t := j.task(ref.Task)
-		if ref.ID != j.rec.ID || t == nil || t.occupies() || t.state == complete {
+		if ref.ID != j.rec.ID || t == nil || t.occupies() || t.state == taskCompleted {
 			continue
 		}
 		delete(h.strays, ref)
-		t.run = st.run
+		t.newestRun = st.run
 		if st.asked {
 			t.host = h
 			s.void(now, t, "it was being stopped when its home handed it over")
@@ -251,9 +251,9 @@
 
 // void makes a run impossible, or ends it, so that its task can start elsewhere.
 func (s *Shard) void(now time.Duration, t *task, why string) {
-	t.state = voiding
-	t.since = now
-	t.stopClock = 0
+	t.state = taskStoppingToRestart
+	t.stateSince = now
+	t.stopAckClock = 0
 	s.stop(t, why)
 }
 
@@ -261,18 +261,18 @@
 // a time and given at a time of the worker's clock.
 func (s *Shard) absent(now time.Duration, h *host, t *task, sent, clock time.Duration) {
 	switch t.state {
-	case running:
+	case taskRunning:
 		// An answer counts only if its call left after the run was known: a hold that
 		// was waiting when the run began may answer without it.
-		if sent > t.since && clock >= t.clock {
+		if sent > t.stateSince && clock >= t.acceptClock {
 			s.release(now, t)
 		}
-	case unsure:
-		if sent >= t.since {
+	case taskUnconfirmed:
+		if sent >= t.stateSince {
 			s.void(now, t, "its start had no answer")
 		}
-	case voiding, ending:
-		if t.stopClock > 0 && sent >= t.stopAt && clock >= t.stopClock {
+	case taskStoppingToRestart, taskStoppingForGood:
+		if t.stopAckClock > 0 && sent >= t.stopAckAt && clock >= t.stopAckClock {
 			s.release(now, t)
 		}
 	}
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, j := range s.jobs {
-		if j.firstRun == 0 && !j.state.Final() {
+		if j.firstRunAt == 0 && !j.state.Final() {
 			l.UnstartedByQueue[j.rec.Queue]++
 		}
 	}
@@ -63,7 +63,7 @@
 		}
 		factor := s.factor(j.rec.Queue)
 		for _, t := range j.tasks {
-			if j.startable(t) {
+			if j.isStartable(t) {
 				q.CPUMilli += t.step.CPUMilli
 				q.DrainTime += time.Duration(factor * float64(t.step.Estimate) * float64(t.step.CPUMilli) / float64(max(room, 1)))
 			}
--- a/internal/kept/shard/offload.go
+++ b/internal/kept/shard/offload.go
@@ -17,31 +17,31 @@
 	if len(ranked) == 0 {
 		return 0
 	}
-	given, most := 0, room(ranked[0].nextSize())
+	given, most := 0, room(ranked[0].nextTaskCPU())
 	for _, j := range ranked {
 		if given >= most {
 			break
 		}
-		if j.rec.Transient && now-j.waitsSince() >= waited {
-			given += s.handBack(now, j, most-given)
+		if j.rec.Transient && now-j.waitingSince() >= waited {
+			given += s.returnTasks(now, j, most-given)
 		}
 	}
 	return given
 }
 
-// waitsSince is since when a submission has waited for room: since it came to this shard, or since a
+// waitingSince is since when a submission has waited for room: since it came to this shard, or since a
 // run of it was lost here.
-func (j *job) waitsSince() time.Duration {
-	since := j.here
+func (j *job) waitingSince() time.Duration {
+	since := j.receivedAt
 	for _, t := range j.tasks {
-		if t.state == waiting {
-			since = max(since, t.since)
+		if t.state == taskWaiting {
+			since = max(since, t.stateSince)
 		}
 	}
 	return since
 }
 
-// nextSize is the processor of its first task that may start, in thousandths of a core.
-func (j *job) nextSize() int64 {
-	return j.tasks[slices.IndexFunc(j.tasks, j.startable)].step.CPUMilli
+// nextTaskCPU is the processor of its first task that may start, in thousandths of a core.
+func (j *job) nextTaskCPU() int64 {
+	return j.tasks[slices.IndexFunc(j.tasks, j.isStartable)].step.CPUMilli
 }
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -37,7 +37,7 @@
 		s.repeatOrders(now, j)
 		s.saveProgress(now, j)
 		s.rejectHopeless(now, j)
-		s.sendAway(now, j)
+		s.giveAwayIfEvacuated(now, j)
 	}
 	for _, h := range s.workers {
 		s.repeatVoids(now, h)
@@ -76,7 +76,7 @@
 			continue
 		}
 		for _, t := range j.tasks {
-			if t.state == astray {
+			if t.state == taskUnlocated {
 				s.release(now, t)
 			}
 		}
@@ -105,14 +105,14 @@
 func (s *Shard) repeatOrders(now time.Duration, j *job) {
 	for _, t := range j.tasks {
 		switch t.state {
-		case voiding, ending:
-			if now-t.since >= stopAgain && t.stopClock == 0 {
-				t.since = now
+		case taskStoppingToRestart, taskStoppingForGood:
+			if now-t.stateSince >= stopAgain && t.stopAckClock == 0 {
+				t.stateSince = now
 				s.stop(t, "the stop had no answer")
 			}
-		case unsure:
-			if now-t.since >= lookAgain {
-				t.since = now
+		case taskUnconfirmed:
+			if now-t.stateSince >= lookAgain {
+				t.stateSince = now
 				s.out.Probes = append(s.out.Probes, t.host.info.ID)
 			}
 		}
@@ -122,10 +122,10 @@
 // saveProgress stores the ends of a submission that goes on. Without it a worker
 // would list all its later ends again in each answer.
 func (s *Shard) saveProgress(now time.Duration, j *job) {
-	if j.rec.Transient || j.saving || j.reassigning || j.unsaved == 0 || j.state.Final() || now-j.unsaved < s.settings.SaveDelay {
+	if j.rec.Transient || j.saving || j.reassigning || j.unsavedSince == 0 || j.state.Final() || now-j.unsavedSince < s.settings.SaveDelay {
 		return
 	}
-	j.unsaved = 0
+	j.unsavedSince = 0
 	j.saving = true
 	for _, h := range s.workers {
 		for i := range h.ends {
@@ -162,7 +162,7 @@
 	}
 	for _, j := range s.byUrgency(now) {
 		for _, t := range j.tasks {
-			if !j.startable(t) || !s.lossKnown(now, t) {
+			if !j.isStartable(t) || !s.lossKnown(now, t) {
 				continue
 			}
 			rooms := open
@@ -205,11 +205,11 @@
 	return &policy.Work{
 		ID:            j.rec.ID,
 		Priority:      j.rec.Terms.Priority,
-		ReceivedAt:    j.came,
+		ReceivedAt:    j.submittedAt,
 		Objective:     j.rec.Terms.Objective(takes),
 		RunTime:       takes,
 		CallerTimeout: j.rec.CallerTimeout,
-		Started:       j.offered,
+		Started:       j.startSent,
 	}
 }
 
@@ -217,7 +217,7 @@
 func (j *job) workLeft() float64 {
 	sum := 0.0
 	for _, t := range j.tasks {
-		if j.startable(t) {
+		if j.isStartable(t) {
 			sum += t.step.Estimate.Seconds() * float64(t.step.CPUMilli) / submission.MilliPerCore
 		}
 	}
@@ -227,7 +227,7 @@
 // rejectHopeless ends a transient submission of which nothing has run and that is not worth
 // waiting for any more. The caller learns at once that it has not run.
 func (s *Shard) rejectHopeless(now time.Duration, j *job) {
-	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.begun() {
+	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.hasBegun() {
 		return
 	}
 	if reason := s.settings.Policy.KeepWaiting(now, s.work(j)); reason.Refused() {
@@ -235,11 +235,11 @@
 	}
 }
 
-func (j *job) anyStartable() bool { return slices.ContainsFunc(j.tasks, j.startable) }
+func (j *job) anyStartable() bool { return slices.ContainsFunc(j.tasks, j.isStartable) }
 
 // remaining is the time a submission takes if all its tasks start now.
 func (s *Shard) remaining(j *job) time.Duration {
-	return time.Duration(float64(j.chain) * s.factor(j.rec.Queue))
+	return time.Duration(float64(j.criticalPath) * s.factor(j.rec.Queue))
 }
 
 // room is what is free at a worker.
@@ -325,7 +325,7 @@
 		cost := s.settings.Policy.Cost(policy.Placement{
 			Health:        &r.host.record,
 			DataElsewhere: t.step.DataRack != "" && t.step.DataRack != r.host.info.Rack,
-			FailedBefore:  t.avoid == r.host,
+			FailedBefore:  t.avoidHost == r.host,
 		})
 		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.HasBetterFit(r.cpu, best.cpu) {
 			best, bestCost = r, cost
@@ -374,30 +374,30 @@
 }
 
 func (s *Shard) start(now time.Duration, t *task, r *room) {
-	first := !t.job.offered
-	t.job.offered = true
-	t.state = starting
-	t.ran = false
-	t.run = max(t.run, t.job.runBase) + 1
+	first := !t.job.startSent
+	t.job.startSent = true
+	t.state = taskStarting
+	t.hasBegun = false
+	t.newestRun = max(t.newestRun, t.job.runBase) + 1
 	t.host = r.host
-	t.starts = append(t.starts, startedRun{t.run, r.host})
-	r.host.noteStart(now, t.ref, t.run)
-	t.since = now
+	t.startedRuns = append(t.startedRuns, startedRun{t.newestRun, r.host})
+	r.host.noteStart(now, t.ref, t.newestRun)
+	t.stateSince = now
 	t.startedAt = now
-	t.clock = 0
-	t.stopClock = 0
+	t.acceptClock = 0
+	t.stopAckClock = 0
 	t.progress = policy.Progress{}
 	r.take(t)
-	if t.alone = s.suspect(t); t.alone {
+	if t.startedAlone = s.suspect(t); t.startedAlone {
 		r.suspect = t.job
 	}
 	s.out.Starts = append(s.out.Starts, StartAction{
 		Worker:     r.host.info,
 		Task:       t.ref,
-		Run:        t.run,
+		Run:        t.newestRun,
 		Spec:       t.job.rec.Spec,
 		Checkpoint: t.checkpoint,
-		Waited:     now - t.job.came,
+		Waited:     now - t.job.submittedAt,
 		Queue:      t.job.rec.Queue,
 		IsFirst:    first,
 		Origin:     r.host.origin,
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -10,7 +10,7 @@
 
 // maxHandovers is how often a task is started elsewhere as its worker holds it up. More than
 // two in a row say that the fault is the task's own.
-const movesMost = 2
+const maxMoves = 2
 
 // watchProgress takes how far a worker says that a run is, and starts the task elsewhere if
 // the worker holds it up.
@@ -23,26 +23,26 @@
 		return
 	}
 	t := j.task(r.Task.Task)
-	if t == nil || t.state != running || t.host != h || t.run != r.Run || sent < t.since {
+	if t == nil || t.state != taskRunning || t.host != h || t.newestRun != r.Run || sent < t.stateSince {
 		return
 	}
 	// A hold waits for an end before it answers: what it says is of now, not of when it left.
 	t.progress.Update(now, r.Percent)
-	if t.startedAt == 0 || t.moves >= movesMost {
+	if t.startedAt == 0 || t.moveCount >= maxMoves {
 		return // an earlier holder started it, or it was moved before
 	}
 	switch p := &s.settings.Policy; {
-	case p.MoveStill && s.standsStill(t):
-		if !s.anyGoesOn(h, t) {
+	case p.MoveStill && s.isStalled(t):
+		if !s.hasOtherProgress(h, t) {
 			h.record.RecordHang(now)
 		}
-		s.move(now, t, "it stands still at its worker")
+		s.moveTask(now, t, "it stands still at its worker")
 	case p.MoveSlow && s.isHeldUp(now, t):
-		s.move(now, t, "its worker is slower than those of its siblings")
+		s.moveTask(now, t, "its worker is slower than those of its siblings")
 	}
 }
 
-func (s *Shard) standsStill(t *task) bool {
+func (s *Shard) isStalled(t *task) bool {
 	expected := time.Duration(float64(t.step.Estimate) * s.factor(t.job.rec.Queue))
 	return t.progress.IsStalled(t.startedAt, expected)
 }
@@ -55,30 +55,30 @@
 	if !known {
 		return false
 	}
-	run := policy.Run{Total: total, Remaining: total - age, Siblings: s.siblings(t)}
-	return run.ShouldMove() && s.roomElsewhere(now, t)
+	run := policy.Run{Total: total, Remaining: total - age, Siblings: s.siblingDurations(t)}
+	return run.ShouldMove() && s.fitsElsewhere(now, t)
 }
 
-// anyGoesOn reports whether another run at the worker has made progress since this one
+// hasOtherProgress reports whether another run at the worker has made progress since this one
 // stands still. Then the fault is the task's own.
-func (s *Shard) anyGoesOn(h *host, t *task) bool {
+func (s *Shard) hasOtherProgress(h *host, t *task) bool {
 	return slices.ContainsFunc(s.on(h), func(other *task) bool {
 		return other != t && other.progress.AdvancedAfter(t.progress)
 	})
 }
 
 // siblings is what other tasks of the same step take on other workers, as far as is known.
-func (s *Shard) siblings(t *task) []time.Duration {
+func (s *Shard) siblingDurations(t *task) []time.Duration {
 	var out []time.Duration
 	for _, other := range t.job.tasks {
 		if other == t || other.step != t.step {
 			continue
 		}
-		if other.state == complete && other.took > 0 {
-			out = append(out, other.took)
+		if other.state == taskCompleted && other.duration > 0 {
+			out = append(out, other.duration)
 			continue
 		}
-		if other.state != running || other.host == t.host || other.startedAt == 0 {
+		if other.state != taskRunning || other.host == t.host || other.startedAt == 0 {
 			continue
 		}
 		if total, known := other.progress.EstimatedTotal(other.progress.Age(other.startedAt)); known {
@@ -88,8 +88,8 @@
 	return out
 }
 
-// roomElsewhere reports whether a worker other than its own could take a task now.
-func (s *Shard) roomElsewhere(now time.Duration, t *task) bool {
+// fitsElsewhere reports whether a worker other than its own could take a task now.
+func (s *Shard) fitsElsewhere(now time.Duration, t *task) bool {
 	for _, r := range s.rooms(now) {
 		if r.host != t.host && s.fits(now, t, r) {
 			return true
@@ -99,8 +99,8 @@
 }
 
 // move stops a run; the task starts elsewhere once it is certain that it does not run.
-func (s *Shard) move(now time.Duration, t *task, why string) {
-	t.moves++
-	t.avoid = t.host
+func (s *Shard) moveTask(now time.Duration, t *task, why string) {
+	t.moveCount++
+	t.avoidHost = t.host
 	s.void(now, t, why)
 }
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -16,15 +16,15 @@
 	if t == nil {
 		return
 	}
-	if t.state != starting {
-		if r.Verdict == worker.Accepted && t.state == running {
-			t.clock = r.Clock
+	if t.state != taskStarting {
+		if r.Verdict == worker.Accepted && t.state == taskRunning {
+			t.acceptClock = r.Clock
 		}
 		return
 	}
 	switch r.Verdict {
 	case worker.Accepted:
-		t.clock = r.Clock
+		t.acceptClock = r.Clock
 		s.nowRunning(now, h, t)
 	case worker.NoRoom:
 		h.fullTill = now + fullFor
@@ -38,13 +38,13 @@
 		s.release(now, t)
 		s.end(now, t.job, submission.Failed, "a worker cannot read the task")
 	case worker.Fenced:
-		t.state = unsure // another holder decides; this one will learn it from the store
-		t.since = now
+		t.state = taskUnconfirmed // another holder decides; this one will learn it from the store
+		t.stateSince = now
 	case worker.Replaced:
 		s.WorkerGone(now, id)
 	case worker.NoAnswer:
-		t.state = unsure
-		t.since = now
+		t.state = taskUnconfirmed
+		t.stateSince = now
 		s.out.Probes = append(s.out.Probes, id)
 	}
 }
@@ -63,7 +63,7 @@
 		h.voided(ref, run)
 	}
 	_, t := s.order(id, ref, run)
-	if t == nil || t.state != voiding && t.state != ending {
+	if t == nil || t.state != taskStoppingToRestart && t.state != taskStoppingForGood {
 		if st := h.strays[ref]; r.Verdict != worker.Accepted && st.run == run {
 			st.asked = false // the next listing repeats it
 			h.strays[ref] = st
@@ -71,12 +71,12 @@
 		return
 	}
 	if r.Verdict == worker.Accepted {
-		t.stopClock = r.Clock
-		t.stopAt = now
+		t.stopAckClock = r.Clock
+		t.stopAckAt = now
 		s.out.Probes = append(s.out.Probes, id)
 		return
 	}
-	t.since = now // Tick repeats it
+	t.stateSince = now // Tick repeats it
 }
 
 // order finds a task by an order that was given for it.
@@ -87,7 +87,7 @@
 		return h, nil
 	}
 	t := j.task(ref.Task)
-	if t == nil || t.host != h || t.run != run {
+	if t == nil || t.host != h || t.newestRun != run {
 		return h, nil
 	}
 	return h, t
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -119,11 +119,11 @@
 	j := newJob(now, r, s.runBase(r.Record))
 	s.add(j)
 	for _, t := range j.tasks {
-		if t.state == waiting && s.barred {
-			t.state = astray
+		if t.state == taskWaiting && s.barred {
+			t.state = taskUnlocated
 		}
 	}
-	if j.left == 0 {
+	if j.tasksLeft == 0 {
 		s.finish(now, j)
 		return
 	}
@@ -216,7 +216,7 @@
 // settled acknowledges a submission's ends, and forgets it once nothing of it takes
 // room any more.
 func (s *Shard) settled(now time.Duration, j *job) {
-	j.stored = true
+	j.endStored = true
 	s.past[j.rec.ID] = endedJob{state: j.state, part: extentOf(j.rec), serial: j.rec.Serial, returned: j.returned, at: now}
 	s.acknowledge()
 	s.reap(j)
@@ -224,7 +224,7 @@
 }
 
 func (s *Shard) reap(j *job) {
-	if j.stored && !j.busy() {
+	if j.endStored && !j.hasRunsOnWorkers() {
 		delete(s.jobs, j.rec.ID)
 	}
 }
@@ -246,7 +246,7 @@
 	}
 	s.acknowledge()
 	if j.state.Final() {
-		s.end(now, j, j.state, j.why) // its end waited for the new revision
+		s.end(now, j, j.state, j.endReason) // its end waited for the new revision
 	}
 }
 
@@ -287,7 +287,7 @@
 func (s *Shard) end(now time.Duration, j *job, state submission.State, why string) {
 	if j.state != state {
 		j.state = state
-		j.why = why
+		j.endReason = why
 		s.halt(j, why)
 		s.tell(j)
 	}
@@ -305,14 +305,14 @@
 func (s *Shard) halt(j *job, why string) {
 	for _, t := range j.tasks {
 		switch t.state {
-		case starting, running, unsure:
+		case taskStarting, taskRunning, taskUnconfirmed:
 			s.stop(t, why)
-			t.state = ending
-			t.stopClock = 0
-		case voiding:
-			t.state = ending
-		case waiting, astray:
-			t.state = over
+			t.state = taskStoppingForGood
+			t.stopAckClock = 0
+		case taskStoppingToRestart:
+			t.state = taskStoppingForGood
+		case taskWaiting, taskUnlocated:
+			t.state = taskEnded
 		}
 	}
 }
@@ -321,7 +321,7 @@
 	s.out.Stops = append(s.out.Stops, StopAction{
 		Worker: t.host.info,
 		Task:   t.ref,
-		Run:    t.run,
+		Run:    t.newestRun,
 		Reason: why,
 	})
 }
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -100,8 +100,8 @@
 	j.resumed = true
 	s.add(j)
 	for _, t := range j.tasks {
-		if t.state == waiting && s.barred {
-			t.state = astray
+		if t.state == taskWaiting && s.barred {
+			t.state = taskUnlocated
 		}
 	}
 	for _, o := range s.orphans[r.ID] {
@@ -113,7 +113,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		s.workers[id].resume(now, s, j)
 	}
-	if j.left == 0 && !j.state.Final() {
+	if j.tasksLeft == 0 && !j.state.Final() {
 		s.finish(now, j)
 	}
 	s.dirty = true
@@ -126,7 +126,7 @@
 	switch {
 	case !open || !j.rec.Transient || j.state.Final():
 		return // its home has been told, or asks
-	case j.begun():
+	case j.hasBegun():
 		s.tell(j)
 	default:
 		s.end(now, j, submission.Rejected, "its home takes it back")
--- a/internal/kept/vm/offload.go
+++ b/internal/kept/vm/offload.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// roomElsewhere is how many tasks of a size a shard may give away.
+// fitsElsewhere is how many tasks of a size a shard may give away.
 func (e *engine) roomElsewhere(name string, size int64) int {
 	free, full, room := 0, 1, int64(0)
 	for other, l := range e.loads {
