--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -19,96 +19,98 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// Times of the engine.
+// Intervals and limits of the engine.
 const (
-	// A holder that the store has not confirmed for so long stops extending leases:
-	// it may have been replaced without knowing. Outages of the store are shorter.
+	// holdingTrustedFor is how long a holder goes on extending leases without the store
+	// confirming that it still holds the shard: another VM may have replaced it unnoticed.
+	// Outages of the store are shorter.
 	holdingTrustedFor = 7 * time.Second
-	// A new holder waits so long, from its claim, for runs that no worker lists,
-	// unless the earlier holder's process has certainly ended. A watch may be a
-	// second behind.
+	// holdingExpiredAfter is how long a new holder waits, from its claim, for runs that no
+	// worker lists, unless the previous holder's process has certainly ended. A watch may
+	// lag by a second.
 	holdingExpiredAfter = holdingTrustedFor + 2*time.Second
-	rescanInterval      = time.Second // for records whose holder was not told of them
-	loadInterval        = 300 * time.Millisecond
-	minLoadInterval     = 15 * time.Millisecond // between messages about a changed load
-	loadIntervalPerPeer = 2 * time.Millisecond  // that for each linked peer, if it is more
-	// VMs of other domains send little here, and on a large site are many.
+	rescanInterval      = time.Second            // between searches of the store for records that the holder was not told of
+	loadInterval        = 300 * time.Millisecond // between reports of a shard's load that has not changed
+	minLoadInterval     = 15 * time.Millisecond  // between reports of a load that changes
+	loadIntervalPerPeer = 2 * time.Millisecond   // minLoadInterval for each linked peer, where that is longer
+	// farLoadInterval is between load reports to VMs of other domains. They send few
+	// submissions here, and on a large site there are many of them.
 	farLoadInterval    = 400 * time.Millisecond
-	maxLoadAge         = time.Second            // an older word of a shard's load counts for nothing
-	stateQueryInterval = 700 * time.Millisecond // a holder that has not told of a submission for so long is asked
-	endedRetention     = 150 * time.Second      // ended submissions are remembered; callers ask for 120 s
+	maxLoadAge         = time.Second            // older load reports are ignored
+	stateQueryInterval = 700 * time.Millisecond // without news of a submission, before its holder is asked
+	endedRetention     = 150 * time.Second      // of ended submissions in memory; callers ask for 120 s
 	pruneInterval      = 5 * time.Second
 )
 
-// held is a shard that this VM holds.
+// heldShard is a shard that this VM holds.
 type heldShard struct {
 	core           *shard.Shard
 	holding        site.Holding
 	sessions       map[string]*workerSession
-	askers         map[submission.ID][]string // VMs that asked for an unfinished submission
+	askers         map[submission.ID][]string // VMs that asked about an unfinished submission
 	cancel         context.CancelFunc
-	ctx            context.Context
-	extendLeases   atomic.Bool
+	ctx            context.Context // ends when the shard is lost
+	extendLeases   atomic.Bool     // whether the workers' leases may be extended
 	acquiredAt     time.Duration
-	confirmedAt    time.Duration // when the store was asked last that confirmed the holding
-	scanning       bool
-	scannedAt      time.Duration
+	confirmedAt    time.Duration // when the last store call left that confirmed the holding
+	scanning       bool          // a search for records is in flight
+	scannedAt      time.Duration // 0: the records have not been read yet
 	offloadAt      time.Duration
-	storedWorkers  string // the workers as stored for the next holder
-	storingWorkers bool
+	storedWorkers  string // the workers, as stored for the next holder
+	storingWorkers bool   // a write of them is in flight
 	loadSentAt     time.Duration
-	loadSentFarAt  time.Duration // when VMs of other domains were told of its load
+	loadSentFarAt  time.Duration // when the load was last sent to VMs of other domains
 	sentLoad       shard.Load
 }
 
-// knownLoad is what is known of a shard's load.
+// knownLoad is the load of a shard as its holder last reported it.
 type knownLoad struct {
 	shard.Load
 	holder     string
 	token      uint64
 	receivedAt time.Duration
-	sentMilli  int64 // processor of tasks sent since, thousandths of a core
+	sentMilli  int64 // CPU of the tasks sent there since, in thousandths of a core
 }
 
-// engine owns the state of an entry VM.
+// engine owns the state of an entry VM. It runs on one goroutine.
 type engine struct {
 	vm                *VM
 	ctx               context.Context
-	now               time.Duration // of this round
+	now               time.Duration // at the start of this round
 	site              *site.Site
 	shards            map[string]*heldShard
 	tracked           map[submission.ID]*trackedSubmission // stored submissions
 	transients        map[submission.ID]*transientSubmission
-	deferred          []submitEvent // came before the shards are known
+	deferred          []submitEvent // received before the holders of the shards are known
 	startedAt         time.Duration
-	retryTurns        policy.RetrySchedule // of callers that were refused here
+	retrySchedule     policy.RetrySchedule // for callers that this VM refuses
 	links             map[string]*link.Link
-	linkUp            map[string]bool          // peers whose link stands
-	linkWantedBy      sync.Map                 // peer to whether it needs the link from here
-	linkNeededAt      map[string]time.Duration // when a link was last needed
-	linksOutdated     bool                     // VMs or holders have changed
-	linksUpdatedAt    time.Duration            // when it was last looked which links are needed
-	waiting           waitingReports           // of other VMs
-	waitingReportedAt time.Duration            // when this VM told of what waits in its domain
+	linkUp            map[string]bool          // by peer: the link is established
+	linkWantedBy      sync.Map                 // by peer: whether it needs the link from this VM (bool)
+	linkNeededAt      map[string]time.Duration // by peer: when the link was last needed
+	linksOutdated     bool                     // VMs or holders have changed since the links were updated
+	linksUpdatedAt    time.Duration
+	waiting           waitingReports // from other VMs
+	waitingReportedAt time.Duration  // when this VM last reported the submissions that wait in its domain
 	peerIncarnations  map[string]uint64
-	probedAt          map[string]time.Duration // when a worker of a shard was reached, before its claim
-	loads             map[string]*knownLoad
-	workerLists       map[string]*workerList // of workers, by failure domain of which a shard is held
-	lastListVersion   uint64                 // of lists told so far
-	// holdersChanged says that a holder may be there that was not told of the list of workers.
+	probedAt          map[string]time.Duration // by shard: when one of its workers first answered a probe before a claim
+	loads             map[string]*knownLoad    // by shard
+	workerLists       map[string]*workerList   // by failure domain, of those in which this VM holds a shard
+	lastListVersion   uint64                   // counts the lists that this VM has read
+	// holdersChanged is set when there may be a holder that was not sent the list of workers.
 	holdersChanged   bool
-	readingWorkers   bool                       // the list of workers is read here
-	lastWorkersRead  workersEvent               // what was read last, of all domains
-	services         map[string]catalog.Service // that any configuration has named, as the newest says
+	readingWorkers   bool                       // this VM reads the list of workers from the store
+	lastWorkersRead  workersEvent               // the last list read here, of all domains
+	services         map[string]catalog.Service // all that a configuration has named, as the newest one that does defines them
 	evacuations      evacuation.Set
 	claimsInFlight   map[string]bool
 	divisionInFlight bool
-	transientSerial  uint64 // of transient submissions taken here
+	transientSerial  uint64 // counts the transient submissions accepted here
 	unplacedSentAt   time.Duration
-	unplacedSent     bool                     // what peers were told last is not 0
-	frames           map[string]*pb.KeptFrame // to be sent at the end of this round
+	unplacedSent     bool                     // the last count of unplaced submissions sent to peers was not 0
+	frames           map[string]*pb.KeptFrame // by peer: to be sent at the end of this round
 	prunedAt         time.Duration
-	drained          chan struct{}
+	drained          chan struct{} // closed once all shards are handed over; nil: this VM is not draining
 }
 
 func newEngine(ctx context.Context, v *VM) *engine {
@@ -136,8 +138,8 @@
 	}
 }
 
-// round takes all waiting events, decides, and sends one frame to each peer that
-// there is something to say to.
+// runRound applies all queued events, runs what is due, and sends at most one frame to each
+// peer.
 func (e *engine) runRound(time.Time) {
 	e.now = e.vm.now()
 	for _, ev := range e.vm.events.Drain() {
@@ -169,7 +171,7 @@
 	e.vm.metrics.openSubmissions.Update(float64(len(e.transients) + len(e.tracked)))
 }
 
-// pace is the longest time to the next round.
+// roundInterval returns the longest time until the next round.
 func (e *engine) roundInterval() time.Duration {
 	if len(e.shards)+len(e.transients)+len(e.tracked)+len(e.deferred) == 0 && e.drained == nil {
 		return idleRoundInterval
@@ -177,7 +179,7 @@
 	return busyRoundInterval
 }
 
-// drive runs a shard that this VM holds.
+// runShard advances a shard that this VM holds and carries out its actions.
 func (e *engine) runShard(name string, h *heldShard) {
 	h.extendLeases.Store(e.now-h.confirmedAt < holdingTrustedFor || !h.core.HasStored())
 	if e.now-h.scannedAt >= rescanInterval && !h.scanning {
@@ -186,12 +188,12 @@
 	h.core.Tick(e.now)
 	e.offload(name, h)
 	if h.core.WorkerCount() != len(h.sessions) {
-		e.syncSessions(h) // it has dropped a worker; new ones come with the list only
+		e.syncSessions(h) // the shard has dropped a worker; new ones come only with the list
 	}
 	e.execute(name, h, h.core.TakeActions())
 }
 
-// execute does what a shard has decided.
+// execute carries out the actions that a shard has decided on.
 func (e *engine) execute(name string, h *heldShard, a shard.Actions) {
 	for _, s := range a.Acks {
 		if ws := h.sessions[s.Worker]; ws != nil {
@@ -233,7 +235,7 @@
 		e.reportTaskLosses(l)
 	}
 	for _, n := range a.Outcomes {
-		e.reportTaskOutcome(n) // before the state: what is told as returned has not completed
+		e.reportTaskOutcome(n) // before the state, in which a task listed as returned counts as not completed
 	}
 	for _, s := range a.States {
 		w := h.report(s)
@@ -242,17 +244,17 @@
 	}
 }
 
-// order gives a worker an order on a goroutine of its own, as it may hang.
+// sendOrder calls a worker on a separate goroutine, as the worker may hang.
 func (e *engine) sendOrder(h *heldShard, id string, give func(*workerSession)) {
 	ws := h.sessions[id]
 	if ws == nil {
-		klog.InfoS("kept: an order for a worker that is not held", "worker", id)
+		klog.InfoS("kept: order dropped, the worker does not belong to the shard", "worker", id)
 		return
 	}
 	e.vm.spawn(func() { give(ws) })
 }
 
-// canServe reports whether a submission could be taken now.
+// canServe reports whether this VM can accept submissions now.
 func (e *engine) canServe() bool {
 	if e.vm.Catalog() == nil {
 		return false
@@ -260,7 +262,8 @@
 	return e.anyReachable()
 }
 
-// reachable reports whether the holder of a shard can be told of submissions.
+// reachable reports whether the shard is ready, by a recent load report, and its holder can be
+// reached.
 func (e *engine) reachable(name string) bool {
 	l := e.loads[name]
 	if l == nil || !l.Ready || e.now-l.receivedAt > maxLoadAge {
@@ -269,7 +272,7 @@
 	return e.shards[name] != nil || e.linkUp[l.holder]
 }
 
-// signalDrained tells the one who waits that all shards are given up.
+// signalDrained wakes the caller of Drain once this VM holds no shards.
 func (e *engine) signalDrained() {
 	if e.drained != nil && len(e.shards) == 0 {
 		close(e.drained)
@@ -277,7 +280,7 @@
 	}
 }
 
-// frame is what will be sent to a peer at the end of the round.
+// frame returns the frame that will be sent to a peer at the end of the round.
 func (e *engine) frame(peer string) *pb.KeptFrame {
 	f := e.frames[peer]
 	if f == nil {
@@ -287,16 +290,17 @@
 	return f
 }
 
+// flush sends the frames of this round.
 func (e *engine) flush() {
 	for peer, f := range e.frames {
 		if l := e.linkTo(peer); l != nil && !l.Send(f) {
-			klog.InfoS("kept: a frame was dropped, too many wait", "peer", peer)
+			klog.InfoS("kept: frame dropped, the send queue is full", "peer", peer)
 		}
 	}
 	clear(e.frames)
 }
 
-// prune forgets submissions that ended long ago.
+// prune removes ended submissions whose retention is over.
 func (e *engine) prune() {
 	if e.now-e.prunedAt < pruneInterval {
 		return
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -74,7 +74,7 @@
 	if len(shards) == 0 {
 		return defaultRetryAfter
 	}
-	return e.retryTurns.RetryAfter(e.now, policy.MinWait(shards), e.workTime(r))
+	return e.retrySchedule.RetryAfter(e.now, policy.MinWait(shards), e.workTime(r))
 }
 
 // workTime is the time that a submission's work takes on this VM's share of all room.
