--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -25,7 +25,7 @@
 
 // lost counts the loss of a worker against the tasks there. A worker that had given notice was not
 // crashed by what ran there.
-func (s *Shard) lost(now time.Duration, h *host, tasks []*task, ended bool) {
+func (s *Shard) recordLoss(now time.Duration, h *host, tasks []*task, ended bool) {
 	tasks = slices.DeleteFunc(slices.Clone(tasks), func(t *task) bool { return t.state == taskStoppingForGood || t.job.state.Final() })
 	if len(tasks) == 0 || h.info.Leaving {
 		return
@@ -40,14 +40,14 @@
 	s.losses = append(s.losses, lost)
 	for _, t := range tasks {
 		weight := policy.LossContext{StartedAlone: t.startedAlone, KnownToRun: t.hasBegun, UnrelatedLosses: unrelated}.Weight()
-		s.blame(now, t, submission.Loss{Worker: h.incarnation, Run: t.newestRun, Weight: weight, Certain: ended})
+		s.addLoss(now, t, submission.Loss{Worker: h.incarnation, Run: t.newestRun, Weight: weight, Certain: ended})
 	}
 	s.out.WorkerLosses = append(s.out.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
 }
 
 // blame adds a loss to what a task has taken down, and has it stored, or told to its home, before the
 // task starts again.
-func (s *Shard) blame(now time.Duration, t *task, l submission.Loss) {
+func (s *Shard) addLoss(now time.Duration, t *task, l submission.Loss) {
 	t.losses = submission.AddLoss(t.losses, l)
 	t.lossChangedAt = now
 	s.anyLosses = true
@@ -67,11 +67,11 @@
 			continue
 		}
 		unrelated = true
-		s.reweigh(now, l.incarnation)
+		s.discountLoss(now, l.incarnation)
 	}
 	for _, other := range s.workers {
-		silent := other.listed && now-other.answered > quietMost
-		unrelated = unrelated || other != h && silent && !other.lapsed && !other.info.Leaving && !s.runsAny(other, jobs)
+		silent := other.hasAnswered && now-other.newestListingSentAt > maxSilence
+		unrelated = unrelated || other != h && silent && !other.leaseExpired && !other.info.Leaving && !s.hasTasksOf(other, jobs)
 	}
 	return unrelated
 }
@@ -80,8 +80,8 @@
 	return slices.ContainsFunc(a, func(j *job) bool { return slices.Contains(b, j) })
 }
 
-// runsAny reports whether any of some submissions has a task at a worker.
-func (s *Shard) runsAny(h *host, jobs []*job) bool {
+// hasTasksOf reports whether any of some submissions has a task at a worker.
+func (s *Shard) hasTasksOf(h *host, jobs []*job) bool {
 	for _, j := range jobs {
 		for _, t := range j.tasks {
 			if t.host == h && t.occupies() {
@@ -93,27 +93,27 @@
 }
 
 // reweigh takes the loss of a worker for one that says nothing of the tasks that were there.
-func (s *Shard) reweigh(now time.Duration, incarnation string) {
-	s.correct(now, incarnation, func(l *submission.Loss) { l.Weight = policy.LossContext{UnrelatedLosses: true}.Weight() })
+func (s *Shard) discountLoss(now time.Duration, incarnation string) {
+	s.updateLosses(now, incarnation, func(l *submission.Loss) { l.Weight = policy.LossContext{UnrelatedLosses: true}.Weight() })
 }
 
-// lossCertain says that the incarnation of a worker that was lost has ended.
-func (s *Shard) lossCertain(now time.Duration, incarnation string) {
-	s.correct(now, incarnation, func(l *submission.Loss) { l.Certain = true })
+// confirmLoss says that the incarnation of a worker that was lost has ended.
+func (s *Shard) confirmLoss(now time.Duration, incarnation string) {
+	s.updateLosses(now, incarnation, func(l *submission.Loss) { l.Certain = true })
 }
 
-// lossesAt says that the workers that were lost at the address of another have ended.
-func (s *Shard) lossesAt(now time.Duration, newer worker.Info) {
+// confirmLossesAt says that the workers that were lost at the address of another have ended.
+func (s *Shard) confirmLossesAt(now time.Duration, newer worker.Info) {
 	for _, l := range s.losses {
 		later := l.info.ID != newer.ID || newer.Incarnation().Succeeds(l.info.Incarnation())
 		if l.info.Address == newer.Address && later {
-			s.lossCertain(now, l.incarnation)
+			s.confirmLoss(now, l.incarnation)
 		}
 	}
 }
 
 // correct changes what is known of the loss of a worker, for all tasks that were there.
-func (s *Shard) correct(now time.Duration, incarnation string, change func(*submission.Loss)) {
+func (s *Shard) updateLosses(now time.Duration, incarnation string, change func(*submission.Loss)) {
 	if !s.anyLosses {
 		return
 	}
@@ -123,7 +123,7 @@
 			for _, l := range t.losses {
 				before := l
 				if change(&l); l.Worker == incarnation && l != before {
-					s.blame(now, t, l)
+					s.addLoss(now, t, l)
 					tasks = append(tasks, t)
 				}
 			}
@@ -132,13 +132,13 @@
 	s.giveUpTasks(now, tasks)
 }
 
-// foundAgain takes back the loss of a worker that was only silent.
-func (s *Shard) foundAgain(now time.Duration, h *host) {
-	if !h.lapsed {
+// withdrawLoss takes back the loss of a worker that was only silent.
+func (s *Shard) withdrawLoss(now time.Duration, h *host) {
+	if !h.leaseExpired {
 		return
 	}
-	h.lapsed = false
-	s.reweigh(now, h.incarnation)
+	h.leaseExpired = false
+	s.discountLoss(now, h.incarnation)
 	for _, j := range s.jobs {
 		for _, t := range j.tasks {
 			t.losses = slices.DeleteFunc(t.losses, func(l submission.Loss) bool { return l.Worker == h.incarnation })
@@ -146,9 +146,9 @@
 	}
 }
 
-// lossKnown reports whether it is known of a task's lost workers what became of them, if that decides
+// lossOutcomeKnown reports whether it is known of a task's lost workers what became of them, if that decides
 // whether it starts again.
-func (s *Shard) lossKnown(now time.Duration, t *task) bool {
+func (s *Shard) lossOutcomeKnown(now time.Duration, t *task) bool {
 	return len(t.losses) == 0 || now-t.lossChangedAt > policy.LossConfirmationTime || !s.settings.Policy.ShouldGiveUp(t.losses, true)
 }
 
@@ -164,20 +164,20 @@
 }
 
 // suspect reports whether a task must run alone.
-func (s *Shard) suspect(t *task) bool {
+func (s *Shard) isSuspect(t *task) bool {
 	return len(t.losses) > 0 && s.settings.Policy.IsSuspect(t.losses)
 }
 
-// divideRooms returns the rooms for all tasks, and those for suspects: empty ones, which are kept while
+// divideCandidates returns the rooms for all tasks, and those for suspects: empty ones, which are kept while
 // suspects wait as under load no worker gets empty by itself, and those that suspects have. Beside a
 // suspect only others of its submission start: whichever of them it is, the submission has failed.
-func (s *Shard) divideRooms(rooms []*room) (open, alone []*room) {
+func (s *Shard) divideCandidates(rooms []*room) (open, alone []*room) {
 	if !s.anyLosses {
 		return rooms, nil
 	}
 	wait, inUse := s.countSuspects()
 	kept := min(wait, s.settings.Policy.MaxSuspectWorkers(len(s.workers))-inUse)
-	byUse := slices.SortedStableFunc(slices.Values(rooms), func(a, b *room) int { return cmp.Compare(a.used(), b.used()) })
+	byUse := slices.SortedStableFunc(slices.Values(rooms), func(a, b *room) int { return cmp.Compare(a.usedCPUMilli(), b.usedCPUMilli()) })
 	for _, r := range byUse {
 		switch {
 		case r.suspect != nil:
@@ -194,8 +194,8 @@
 	return open, alone
 }
 
-// roomsFor returns the rooms for suspects that those of a submission may have.
-func roomsFor(j *job, alone []*room) []*room {
+// exclusiveCandidatesFor returns the rooms for suspects that those of a submission may have.
+func exclusiveCandidatesFor(j *job, alone []*room) []*room {
 	return slices.DeleteFunc(slices.Clone(alone), func(r *room) bool { return r.suspect != nil && r.suspect != j })
 }
 
@@ -207,7 +207,7 @@
 		for _, t := range j.tasks {
 			s.anyLosses = s.anyLosses || t.state != taskCompleted && len(t.losses) > 0
 			switch {
-			case t.state == taskCompleted || !s.suspect(t):
+			case t.state == taskCompleted || !s.isSuspect(t):
 			case t.occupies():
 				hosts[t.host] = true
 			case !j.state.Final() && j.isStartable(t):
@@ -219,4 +219,4 @@
 }
 
 // used is the processor that is taken, in thousandths of a core.
-func (r *room) used() int64 { return r.host.info.CPUMilli - r.cpu }
+func (r *room) usedCPUMilli() int64 { return r.host.info.CPUMilli - r.cpu }
--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, h := range s.workers {
-		h.record.BeginSlowStart()
+		h.health.BeginSlowStart()
 	}
 }
 
@@ -53,7 +53,7 @@
 	before := len(j.returned)
 	for _, t := range j.tasks {
 		// A suspect takes down no worker of another domain.
-		if t.state == taskWaiting && len(j.returned)-before < most && (s.evacuated || !s.suspect(t)) {
+		if t.state == taskWaiting && len(j.returned)-before < most && (s.evacuated || !s.isSuspect(t)) {
 			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.newestRun, FailedRuns: t.failures, Losses: t.losses})
 			j.removeTask(t, taskElsewhere)
 		}
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -12,38 +12,38 @@
 
 // host is a worker as its holder sees it.
 type host struct {
-	info        worker.Info
-	incarnation string // as it was first known here; names its losses
-	origin      Origin
-	listed      bool          // has answered under this token
-	listedAt    time.Duration // when it did first
-	missing     time.Duration // since when it is not in the list of workers; 0: it is there
-	answered    time.Duration // when its newest listing was asked for
-	clock       time.Duration // the worker's clock at its newest listing
-	seen        uint64        // ends acknowledged
-	taken       uint64        // ends taken into account
-	ends        []endEntry    // taken into account and not acknowledged, by number
-	fullTill    time.Duration // it refused a run for want of room
-	sickTill    time.Duration // it refused a run as it is not in order
-	lapsed      bool          // it did not answer until its lease was over, and has not answered since
-	record      policy.WorkerHealth
-	strays      map[submission.TaskRef]strayRun
-	unseen      unseenStarts
-	voids       map[submission.TaskRef]voidRun
+	info                worker.Info
+	incarnation         string // as it was first known here; names its losses
+	origin              Origin
+	hasAnswered         bool          // has answered under this token
+	firstAnswerAt       time.Duration // when it did first
+	missingSince        time.Duration // since when it is not in the list of workers; 0: it is there
+	newestListingSentAt time.Duration // when its newest listing was asked for
+	clock               time.Duration // the worker's clock at its newest listing
+	ackedEnd            uint64        // ends acknowledged
+	newestEnd           uint64        // ends taken into account
+	unackedEnds         []unackedEnd  // taken into account and not acknowledged, by number
+	fullUntil           time.Duration // it refused a run for want of room
+	unavailableUntil    time.Duration // it refused a run as it is not in order
+	leaseExpired        bool          // it did not answer until its lease was over, and has not answered since
+	health              policy.WorkerHealth
+	strays              map[submission.TaskRef]strayRun
+	unlistedStarts      unlistedStarts
+	revokedRuns         map[submission.TaskRef]revokedRun
 }
 
 func newHost(info worker.Info, origin Origin) *host {
 	return &host{
-		info:        info,
-		incarnation: info.Incarnation().String(),
-		origin:      origin,
-		strays:      make(map[submission.TaskRef]strayRun),
-		unseen:      make(unseenStarts),
-		voids:       make(map[submission.TaskRef]voidRun),
+		info:           info,
+		incarnation:    info.Incarnation().String(),
+		origin:         origin,
+		strays:         make(map[submission.TaskRef]strayRun),
+		unlistedStarts: make(unlistedStarts),
+		revokedRuns:    make(map[submission.TaskRef]revokedRun),
 	}
 }
 
-type endEntry struct {
+type unackedEnd struct {
 	n      uint64
 	job    *job // nil: of a submission that is not open
 	saving bool // in the progress that is being stored
@@ -52,58 +52,58 @@
 
 // settled reports whether an end may be acknowledged. That of a transient submission
 // may be at once: its home is told, and the caller waits there.
-func (e *endEntry) settled() bool {
+func (e *unackedEnd) canBeAcked() bool {
 	return e.job == nil || e.job.endStored || e.saved || e.job.rec.Transient
 }
 
 // strayRun is a run that a worker lists and whose submission is not known here.
 type strayRun struct {
-	run   uint64
-	asked bool // a stop was sent
+	run      uint64
+	stopSent bool // a stop was sent
 }
 
 // Bounds of a worker's use.
 const (
-	fullFor    = 100 * time.Millisecond // or until the next end there
-	sickFor    = time.Second
-	quietMost  = 700 * time.Millisecond // without an answer, a worker gets nothing new
-	missingFor = 3 * time.Second        // entries that lapsed with the store are back within 2 s of its return
+	fullBackoff        = 100 * time.Millisecond // or until the next end there
+	unavailableBackoff = time.Second
+	maxSilence         = 700 * time.Millisecond // without an answer, a worker gets nothing new
+	missingTimeout     = 3 * time.Second        // entries that lapsed with the store are back within 2 s of its return
 )
 
 // Workers takes the list of workers of the shard. A worker that is not in it any
 // more goes on until it stops answering: the list lapses while the store is down.
 func (s *Shard) UpdateWorkers(now time.Duration, list []worker.Info) {
 	present := make(map[string]bool, len(list))
-	for _, info := range newestLives(s.living(list)) {
+	for _, info := range newestAtEachAddress(s.withoutReplaced(list)) {
 		h, known := s.workers[info.ID]
 		cold := known && h.info.Cold
 		switch {
 		case known && (info.Born == 0 && h.info.Born > 0 || h.info.Incarnation().Succeeds(info.Incarnation())):
 			continue // it says nothing of the incarnation that is known
-		case !known && s.outlived(info):
+		case !known && s.isOutlived(info):
 			continue
 		case known && info.Incarnation().Succeeds(h.info.Incarnation()):
-			h, cold = s.succeedUnderID(now, h, info, FromList), false
+			h, cold = s.replaceIncarnation(now, h, info, FromList), false
 		case !known:
 			h = newHost(info, FromList)
-			s.admit(now, h)
-			s.replaced(now, info)
+			s.addWorker(now, h)
+			s.removeOthersAt(now, info)
 		}
 		present[info.ID] = true
-		s.lossesAt(now, info)
-		h.missing = 0
+		s.confirmLossesAt(now, info)
+		h.missingSince = 0
 		if info.Revision < h.info.Revision {
 			continue // a late word: another reader's list may be older
 		}
 		if info.Cold && !cold {
-			h.record.BeginSlowStart()
+			h.health.BeginSlowStart()
 		}
 		h.info = info
 		h.origin = FromList
 	}
 	for id, h := range s.workers {
-		if !present[id] && h.missing == 0 {
-			h.missing = now
+		if !present[id] && h.missingSince == 0 {
+			h.missingSince = now
 		}
 	}
 	s.dirty = true
@@ -118,7 +118,7 @@
 
 // outlived reports whether a worker that is known at the address of another is a later one. Entries stay
 // until they expire, for longer while the store is away, and the later one may have none yet.
-func (s *Shard) outlived(info worker.Info) bool {
+func (s *Shard) isOutlived(info worker.Info) bool {
 	for _, h := range s.workers {
 		if h.info.Address != info.Address {
 			continue
@@ -133,16 +133,16 @@
 
 // living drops the entries of workers that are certainly dead: they stay in the list until they
 // expire, and one of them would pass for the newest life at its address.
-func (s *Shard) living(list []worker.Info) []worker.Info {
+func (s *Shard) withoutReplaced(list []worker.Info) []worker.Info {
 	if len(s.dead) == 0 {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(info worker.Info) bool { return s.isDead(info.Incarnation()) })
+	return slices.DeleteFunc(slices.Clone(list), func(info worker.Info) bool { return s.isReplaced(info.Incarnation()) })
 }
 
-// isDead reports whether an incarnation has been replaced. Where a birth is not known, that of its ID that
+// isReplaced reports whether an incarnation has been replaced. Where a birth is not known, that of its ID that
 // was replaced last is meant.
-func (s *Shard) isDead(i worker.Incarnation) bool {
+func (s *Shard) isReplaced(i worker.Incarnation) bool {
 	d, known := s.dead[i.ID]
 	return known && (i.Born == 0 || d.born == 0 || i.Born <= d.born)
 }
@@ -161,23 +161,23 @@
 	info.Rack = ""
 	info.Leaving = false
 	if next.Succeeds(gone.Incarnation()) {
-		s.succeedKnown(now, info)
+		s.replaceKnownIncarnation(now, info)
 		return
 	}
 	s.WorkerGone(now, gone.ID)
 	_, known := s.workers[next.ID]
-	if next.ID == "" || known || s.isDead(next) || s.addressTaken(gone) || !s.settings.enforcesCapacity(info.Service) {
+	if next.ID == "" || known || s.isReplaced(next) || s.addressTaken(gone) || !s.settings.enforcesCapacity(info.Service) {
 		return
 	}
-	s.lossesAt(now, info)
+	s.confirmLossesAt(now, info)
 	h := newHost(info, FromPreviousIncarnation)
-	h.record.BeginSlowStart()
-	s.admit(now, h)
+	h.health.BeginSlowStart()
+	s.addWorker(now, h)
 	s.dirty = true
 }
 
-// succeedKnown takes the next incarnation of a worker that has kept its ID.
-func (s *Shard) succeedKnown(now time.Duration, info worker.Info) {
+// replaceKnownIncarnation takes the next incarnation of a worker that has kept its ID.
+func (s *Shard) replaceKnownIncarnation(now time.Duration, info worker.Info) {
 	h, known := s.workers[info.ID]
 	if !known || !info.Incarnation().Succeeds(h.info.Incarnation()) {
 		return
@@ -185,14 +185,14 @@
 	if !s.settings.enforcesCapacity(info.Service) {
 		info.CPUMilli, info.MemMB, info.GPU = 0, 0, 0 // its room is known with its entry
 	}
-	s.succeedUnderID(now, h, info, FromPreviousIncarnation).record.BeginSlowStart()
-	s.lossesAt(now, info)
+	s.replaceIncarnation(now, h, info, FromPreviousIncarnation).health.BeginSlowStart()
+	s.confirmLossesAt(now, info)
 }
 
-// newestLives drops the entries of workers that have started again at the same
+// newestAtEachAddress drops the entries of workers that have started again at the same
 // address under a new ID: their entries stay until they expire. Taking an old life
 // for a new one would declare the runs of the newer life dead while they go on.
-func newestLives(list []worker.Info) []worker.Info {
+func newestAtEachAddress(list []worker.Info) []worker.Info {
 	newest := make(map[string]uint64, len(list))
 	for _, info := range list {
 		newest[info.Address] = max(newest[info.Address], info.Revision)
@@ -209,14 +209,14 @@
 		h, there := s.workers[info.ID]
 		switch {
 		case there && info.Incarnation().Succeeds(h.info.Incarnation()):
-			h = s.succeedUnderID(now, h, info, FromPreviousHolder)
+			h = s.replaceIncarnation(now, h, info, FromPreviousHolder)
 		case there, s.addressTaken(info):
 			continue
 		default:
 			h = newHost(info, FromPreviousHolder)
-			s.admit(now, h)
+			s.addWorker(now, h)
 		}
-		h.missing = now
+		h.missingSince = now
 	}
 	s.dirty = true
 }
@@ -231,7 +231,7 @@
 }
 
 // replaced drops the workers that lived at the address of a new one.
-func (s *Shard) replaced(now time.Duration, info worker.Info) {
+func (s *Shard) removeOthersAt(now time.Duration, info worker.Info) {
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		if h := s.workers[id]; id != info.ID && h.info.Address == info.Address {
 			s.WorkerGone(now, id)
@@ -265,7 +265,7 @@
 // WorkerGone says that a worker's incarnation has ended, with all that ran there.
 func (s *Shard) WorkerGone(now time.Duration, id string) {
 	if h, known := s.workers[id]; known {
-		s.lossCertain(now, h.incarnation)
+		s.confirmLoss(now, h.incarnation)
 	}
 	s.remove(now, id, true)
 }
@@ -276,7 +276,7 @@
 	if !known {
 		return
 	}
-	s.drop(now, h, ended)
+	s.releaseAll(now, h, ended)
 	s.forgetHost(now, h)
 }
 
@@ -287,17 +287,17 @@
 	if !known {
 		return
 	}
-	s.drop(now, h, false)
-	h.lapsed = true
-	if h.missing > 0 {
+	s.releaseAll(now, h, false)
+	h.leaseExpired = true
+	if h.missingSince > 0 {
 		s.forgetHost(now, h)
 	}
 }
 
 // drop takes back all that ran on a worker.
-func (s *Shard) drop(now time.Duration, h *host, ended bool) {
-	tasks := s.on(h)
-	s.lost(now, h, tasks, ended)
+func (s *Shard) releaseAll(now time.Duration, h *host, ended bool) {
+	tasks := s.tasksOn(h)
+	s.recordLoss(now, h, tasks, ended)
 	for _, t := range tasks {
 		s.release(now, t)
 	}
@@ -307,7 +307,7 @@
 }
 
 // on returns the tasks at a worker, in the order of their submissions.
-func (s *Shard) on(h *host) []*task {
+func (s *Shard) tasksOn(h *host) []*task {
 	var out []*task
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		for _, t := range s.jobs[id].tasks {
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -19,16 +19,16 @@
 		s.early[id] = earlyListing{sent: sent, listing: l}
 		return nil
 	}
-	if !h.listed {
-		h.listed = true
-		h.listedAt = now
+	if !h.hasAnswered {
+		h.hasAnswered = true
+		h.firstAnswerAt = now
 	}
-	h.answered = max(h.answered, sent)
+	h.newestListingSentAt = max(h.newestListingSentAt, sent)
 	h.info.Born = cmp.Or(h.info.Born, l.Born)
-	s.foundAgain(now, h)
+	s.withdrawLoss(now, h)
 	for _, e := range l.Ended {
-		if e.Seq > h.taken {
-			h.taken = e.Seq
+		if e.Seq > h.newestEnd {
+			h.newestEnd = e.Seq
 			fresh = append(fresh, e)
 			s.ended(now, h, e)
 		}
@@ -44,18 +44,18 @@
 
 // ended takes the end of a run.
 func (s *Shard) ended(now time.Duration, h *host, e worker.Ended) {
-	h.fullTill = 0
+	h.fullUntil = 0
 	delete(h.strays, e.Task)
-	h.seenStart(e.Task, e.Run)
+	h.clearStart(e.Task, e.Run)
 	j, open := s.jobs[e.Task.ID]
 	if !open {
-		h.ends = append(h.ends, endEntry{n: e.Seq})
-		if now-h.listedAt < resumeWithin {
+		h.unackedEnds = append(h.unackedEnds, unackedEnd{n: e.Seq})
+		if now-h.firstAnswerAt < resumeWithin {
 			s.orphans[e.Task.ID] = append(s.orphans[e.Task.ID], orphanEnd{host: h, end: e, at: now})
 		}
 		return
 	}
-	h.ends = append(h.ends, endEntry{n: e.Seq, job: j})
+	h.unackedEnds = append(h.unackedEnds, unackedEnd{n: e.Seq, job: j})
 	if j.unsavedSince == 0 {
 		j.unsavedSince = now
 	}
@@ -137,10 +137,10 @@
 	t.countedFailures[run] = struct{}{}
 	t.failures++
 	if first := t.job.firstFailedOn; first != nil && first != h {
-		first.record.ForgiveFailure(t.job.rec.ID) // it fails on several workers: the fault is its own
+		first.health.ForgiveFailure(t.job.rec.ID) // it fails on several workers: the fault is its own
 	} else {
 		t.job.firstFailedOn = h
-		s.settings.Policy.RecordFailure(now, &h.record, t.job.rec.ID)
+		s.settings.Policy.RecordFailure(now, &h.health, t.job.rec.ID)
 	}
 	t.avoidHost = h
 	if t.failures >= t.job.rec.Terms.Attempts && t.state != taskCompleted && !t.job.state.Final() {
@@ -161,7 +161,7 @@
 			delete(h.strays, ref)
 		}
 	}
-	for _, t := range s.on(h) {
+	for _, t := range s.tasksOn(h) {
 		if !listed[t.ref] {
 			s.absent(now, h, t, sent, l.Clock)
 		}
@@ -170,7 +170,7 @@
 
 // found takes a run that a worker lists.
 func (s *Shard) found(now time.Duration, h *host, r worker.Running) {
-	h.seenStart(r.Task, r.Run)
+	h.clearStart(r.Task, r.Run)
 	j, open := s.jobs[r.Task.ID]
 	if !open {
 		s.stray(now, h, r)
@@ -222,8 +222,8 @@
 	if !known || st.run != r.Run {
 		st = strayRun{run: r.Run}
 	}
-	if !st.asked && now-h.listedAt >= resumeWithin {
-		st.asked = true
+	if !st.stopSent && now-h.firstAnswerAt >= resumeWithin {
+		st.stopSent = true
 		s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "no such run is wanted"})
 	}
 	h.strays[r.Task] = st
@@ -239,7 +239,7 @@
 		}
 		delete(h.strays, ref)
 		t.newestRun = st.run
-		if st.asked {
+		if st.stopSent {
 			t.host = h
 			s.void(now, t, "it was being stopped when its home handed it over")
 			continue
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -12,13 +12,13 @@
 func (s *Shard) Load(now time.Duration) Load {
 	l := Load{Ready: s.scanned && s.anyListed() && !s.outdated, UnstartedByQueue: make(map[string]int)}
 	for _, h := range s.workers {
-		if s.usable(now, h) || h.listed && now < h.fullTill && !s.closed() {
-			l.CapacityMilli += int64(float64(h.info.CPUMilli) * h.record.UsableShare())
+		if s.usable(now, h) || h.hasAnswered && now < h.fullUntil && !s.closed() {
+			l.CapacityMilli += int64(float64(h.info.CPUMilli) * h.health.UsableShare())
 		}
 	}
-	open, _ := s.divideRooms(s.rooms(now))
+	open, _ := s.divideCandidates(s.rooms(now))
 	for _, r := range open {
-		if r.host.record.CanAccept(now, s.runsOn(r)) {
+		if r.host.health.CanAccept(now, s.runsOn(r)) {
 			l.FreeMilli = append(l.FreeMilli, r.cpu)
 		}
 	}
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -40,7 +40,7 @@
 		s.giveAwayIfEvacuated(now, j)
 	}
 	for _, h := range s.workers {
-		s.repeatVoids(now, h)
+		s.repeatRevocations(now, h)
 	}
 	s.forget(now)
 	s.forgetPast(now)
@@ -54,7 +54,7 @@
 	s.pruneAt = now + pastFor/10
 	s.losses = slices.DeleteFunc(s.losses, func(l lostWorker) bool { return now-l.at > pastFor })
 	maps.DeleteFunc(s.orphans, func(_ submission.ID, o []orphanEnd) bool { return now-o[0].at > pastFor })
-	s.forgetStarts(now)
+	s.forgetLateStarts(now)
 	maps.DeleteFunc(s.dead, func(_ string, d deadWorker) bool { return now-d.at > pastFor })
 	maps.DeleteFunc(s.past, func(_ submission.ID, p endedJob) bool { return now-p.at > pastFor })
 }
@@ -85,7 +85,7 @@
 
 func (s *Shard) allListed() bool {
 	for _, h := range s.workers {
-		if !h.listed {
+		if !h.hasAnswered {
 			return false
 		}
 	}
@@ -94,7 +94,7 @@
 
 func (s *Shard) anyListed() bool {
 	for _, h := range s.workers {
-		if h.listed {
+		if h.hasAnswered {
 			return true
 		}
 	}
@@ -128,9 +128,9 @@
 	j.unsavedSince = 0
 	j.saving = true
 	for _, h := range s.workers {
-		for i := range h.ends {
-			if h.ends[i].job == j {
-				h.ends[i].saving = true
+		for i := range h.unackedEnds {
+			if h.unackedEnds[i].job == j {
+				h.unackedEnds[i].saving = true
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 func (s *Shard) forget(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
-		if h.missing > 0 && now-h.missing > missingFor && now-h.answered > missingFor {
+		if h.missingSince > 0 && now-h.missingSince > missingTimeout && now-h.newestListingSentAt > missingTimeout {
 			s.remove(now, id, false)
 		}
 	}
@@ -156,18 +156,18 @@
 		return
 	}
 	s.dirty = false
-	open, alone := s.divideRooms(s.rooms(now))
+	open, alone := s.divideCandidates(s.rooms(now))
 	if len(open)+len(alone) == 0 {
 		return
 	}
 	for _, j := range s.byUrgency(now) {
 		for _, t := range j.tasks {
-			if !j.isStartable(t) || !s.lossKnown(now, t) {
+			if !j.isStartable(t) || !s.lossOutcomeKnown(now, t) {
 				continue
 			}
 			rooms := open
-			if s.suspect(t) {
-				rooms = roomsFor(j, alone)
+			if s.isSuspect(t) {
+				rooms = exclusiveCandidatesFor(j, alone)
 			}
 			if r := s.choose(now, t, rooms); r != nil {
 				s.start(now, t, r)
@@ -279,7 +279,7 @@
 			}
 			if r := byHost[t.host]; r != nil {
 				r.take(t)
-				if s.suspect(t) {
+				if s.isSuspect(t) {
 					r.suspect = j
 				}
 			}
@@ -301,11 +301,11 @@
 // usable reports whether a worker may get something new.
 func (s *Shard) usable(now time.Duration, h *host) bool {
 	switch {
-	case s.closed(), !h.listed, h.info.Leaving, now < h.fullTill, now < h.sickTill:
+	case s.closed(), !h.hasAnswered, h.info.Leaving, now < h.fullUntil, now < h.unavailableUntil:
 		return false
-	case now-h.answered > quietMost:
+	case now-h.newestListingSentAt > maxSilence:
 		return false
-	case h.missing > 0 && now-h.missing > missingFor:
+	case h.missingSince > 0 && now-h.missingSince > missingTimeout:
 		return false
 	default:
 		return true
@@ -323,7 +323,7 @@
 			continue
 		}
 		cost := s.settings.Policy.Cost(policy.Placement{
-			Health:        &r.host.record,
+			Health:        &r.host.health,
 			DataElsewhere: t.step.DataRack != "" && t.step.DataRack != r.host.info.Rack,
 			FailedBefore:  t.avoidHost == r.host,
 		})
@@ -345,7 +345,7 @@
 	case step.MaxPerWorker > 0 && r.byTasks[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
 		return false
 	default:
-		return r.host.record.CanAccept(now, s.runsOn(r))
+		return r.host.health.CanAccept(now, s.runsOn(r))
 	}
 }
 
@@ -370,7 +370,7 @@
 		p = &policy.Pace{}
 		s.pace[queue] = p
 	}
-	h.record.RecordCompletion(s.settings.Policy.Learn(p, float64(now-t.startedAt)/float64(t.step.Estimate)))
+	h.health.RecordCompletion(s.settings.Policy.Learn(p, float64(now-t.startedAt)/float64(t.step.Estimate)))
 }
 
 func (s *Shard) start(now time.Duration, t *task, r *room) {
@@ -381,14 +381,14 @@
 	t.newestRun = max(t.newestRun, t.job.runBase) + 1
 	t.host = r.host
 	t.startedRuns = append(t.startedRuns, startedRun{t.newestRun, r.host})
-	r.host.noteStart(now, t.ref, t.newestRun)
+	r.host.recordStart(now, t.ref, t.newestRun)
 	t.stateSince = now
 	t.startedAt = now
 	t.acceptClock = 0
 	t.stopAckClock = 0
 	t.progress = policy.Progress{}
 	r.take(t)
-	if t.startedAlone = s.suspect(t); t.startedAlone {
+	if t.startedAlone = s.isSuspect(t); t.startedAlone {
 		r.suspect = t.job
 	}
 	s.out.Starts = append(s.out.Starts, StartAction{
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -34,7 +34,7 @@
 	switch p := &s.settings.Policy; {
 	case p.MoveStill && s.isStalled(t):
 		if !s.hasOtherProgress(h, t) {
-			h.record.RecordHang(now)
+			h.health.RecordHang(now)
 		}
 		s.moveTask(now, t, "it stands still at its worker")
 	case p.MoveSlow && s.isHeldUp(now, t):
@@ -62,7 +62,7 @@
 // hasOtherProgress reports whether another run at the worker has made progress since this one
 // stands still. Then the fault is the task's own.
 func (s *Shard) hasOtherProgress(h *host, t *task) bool {
-	return slices.ContainsFunc(s.on(h), func(other *task) bool {
+	return slices.ContainsFunc(s.tasksOn(h), func(other *task) bool {
 		return other != t && other.progress.AdvancedAfter(t.progress)
 	})
 }
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -10,8 +10,8 @@
 // HandleStartReply takes the answer to a start.
 func (s *Shard) HandleStartReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
 	h, t := s.order(id, ref, run)
-	if h != nil && notRun(r.Verdict) {
-		h.seenStart(ref, run)
+	if h != nil && isNeverCarriedOut(r.Verdict) {
+		h.clearStart(ref, run)
 	}
 	if t == nil {
 		return
@@ -27,10 +27,10 @@
 		t.acceptClock = r.Clock
 		s.nowRunning(now, h, t)
 	case worker.NoRoom:
-		h.fullTill = now + fullFor
+		h.fullUntil = now + fullBackoff
 		s.release(now, t)
 	case worker.Unavailable:
-		h.sickTill = now + sickFor
+		h.unavailableUntil = now + unavailableBackoff
 		s.release(now, t)
 	case worker.Superseded, worker.DeadlinePassed:
 		s.release(now, t)
@@ -60,12 +60,12 @@
 		return
 	}
 	if r.Verdict == worker.Accepted {
-		h.voided(ref, run)
+		h.clearRevocation(ref, run)
 	}
 	_, t := s.order(id, ref, run)
 	if t == nil || t.state != taskStoppingToRestart && t.state != taskStoppingForGood {
 		if st := h.strays[ref]; r.Verdict != worker.Accepted && st.run == run {
-			st.asked = false // the next listing repeats it
+			st.stopSent = false // the next listing repeats it
 			h.strays[ref] = st
 		}
 		return
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -25,7 +25,7 @@
 	workers   map[string]*host
 	past      map[submission.ID]endedJob    // that ended here lately
 	dead      map[string]deadWorker         // workers that another incarnation has replaced, by ID
-	leftovers map[string]unseenStarts       // of workers that are known no more, by ID
+	leftovers map[string]unlistedStarts     // of workers that are known no more, by ID
 	early     map[string]earlyListing       // listings that came before the records
 	orphans   map[submission.ID][]orphanEnd // ends of runs of submissions not known yet
 	shortAt   time.Duration                 // when runs of transient submissions that nobody lists are over
@@ -79,7 +79,7 @@
 		early:     make(map[string]earlyListing),
 		past:      make(map[submission.ID]endedJob),
 		dead:      make(map[string]deadWorker),
-		leftovers: make(map[string]unseenStarts),
+		leftovers: make(map[string]unlistedStarts),
 		pace:      make(map[string]*policy.Pace),
 	}
 }
@@ -238,9 +238,9 @@
 	j.revision = revision
 	j.saving = false
 	for _, h := range s.workers {
-		for i := range h.ends {
-			if h.ends[i].job == j && h.ends[i].saving {
-				h.ends[i].saved = true
+		for i := range h.unackedEnds {
+			if h.unackedEnds[i].job == j && h.unackedEnds[i].saving {
+				h.unackedEnds[i].saved = true
 			}
 		}
 	}
@@ -271,13 +271,13 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
-		seen := h.seen
-		for len(h.ends) > 0 && h.ends[0].settled() {
-			seen = h.ends[0].n
-			h.ends = h.ends[1:]
+		seen := h.ackedEnd
+		for len(h.unackedEnds) > 0 && h.unackedEnds[0].canBeAcked() {
+			seen = h.unackedEnds[0].n
+			h.unackedEnds = h.unackedEnds[1:]
 		}
-		if seen != h.seen {
-			h.seen = seen
+		if seen != h.ackedEnd {
+			h.ackedEnd = seen
 			s.out.Acks = append(s.out.Acks, AckAction{Worker: id, UpTo: seen})
 		}
 	}
