--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -37,12 +37,12 @@
 		}
 	}
 	unrelated := s.unrelatedLosses(now, h, lost.jobs)
-	s.losses = append(s.losses, lost)
+	s.recentLosses = append(s.recentLosses, lost)
 	for _, t := range tasks {
 		weight := policy.LossContext{StartedAlone: t.startedAlone, KnownToRun: t.hasBegun, UnrelatedLosses: unrelated}.Weight()
 		s.addLoss(now, t, submission.Loss{Worker: h.incarnation, Run: t.newestRun, Weight: weight, Certain: ended})
 	}
-	s.out.WorkerLosses = append(s.out.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
+	s.actions.WorkerLosses = append(s.actions.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
 }
 
 // blame adds a loss to what a task has taken down, and has it stored, or told to its home, before the
@@ -50,9 +50,9 @@
 func (s *Shard) addLoss(now time.Duration, t *task, l submission.Loss) {
 	t.losses = submission.AddLoss(t.losses, l)
 	t.lossChangedAt = now
-	s.anyLosses = true
+	s.hasLosses = true
 	if t.job.rec.Transient {
-		s.out.TaskLosses = append(s.out.TaskLosses, TaskLossesAction{Home: t.job.rec.Home, Task: t.ref, Losses: slices.Clone(t.losses)})
+		s.actions.TaskLosses = append(s.actions.TaskLosses, TaskLossesAction{Home: t.job.rec.Home, Task: t.ref, Losses: slices.Clone(t.losses)})
 		return
 	}
 	t.job.unsavedSince = max(now-s.settings.SaveDelay, 1)
@@ -62,7 +62,7 @@
 // same ones. Then neither loss says anything of a task, and what was counted so far is taken back.
 func (s *Shard) unrelatedLosses(now time.Duration, h *host, jobs []*job) bool {
 	unrelated := false
-	for _, l := range s.losses {
+	for _, l := range s.recentLosses {
 		if now-l.at > lossWindow || l.incarnation == h.incarnation || shareAny(l.jobs, jobs) {
 			continue
 		}
@@ -104,7 +104,7 @@
 
 // confirmLossesAt says that the workers that were lost at the address of another have ended.
 func (s *Shard) confirmLossesAt(now time.Duration, newer worker.Info) {
-	for _, l := range s.losses {
+	for _, l := range s.recentLosses {
 		later := l.info.ID != newer.ID || newer.Incarnation().Succeeds(l.info.Incarnation())
 		if l.info.Address == newer.Address && later {
 			s.confirmLoss(now, l.incarnation)
@@ -114,7 +114,7 @@
 
 // correct changes what is known of the loss of a worker, for all tasks that were there.
 func (s *Shard) updateLosses(now time.Duration, incarnation string, change func(*submission.Loss)) {
-	if !s.anyLosses {
+	if !s.hasLosses {
 		return
 	}
 	var tasks []*task
@@ -158,8 +158,8 @@
 		if t.job.state.Final() || !s.settings.Policy.ShouldGiveUp(t.losses, t.job.rec.Transient) {
 			continue
 		}
-		s.out.GivenUp = append(s.out.GivenUp, GivenUpAction{Task: t.ref, Losses: slices.Clone(t.losses)})
-		s.end(now, t.job, submission.Failed, "the workers that start a task of it are lost")
+		s.actions.GivenUp = append(s.actions.GivenUp, GivenUpAction{Task: t.ref, Losses: slices.Clone(t.losses)})
+		s.endSubmission(now, t.job, submission.Failed, "the workers that start a task of it are lost")
 	}
 }
 
@@ -171,13 +171,13 @@
 // divideCandidates returns the rooms for all tasks, and those for suspects: empty ones, which are kept while
 // suspects wait as under load no worker gets empty by itself, and those that suspects have. Beside a
 // suspect only others of its submission start: whichever of them it is, the submission has failed.
-func (s *Shard) divideCandidates(rooms []*room) (open, alone []*room) {
-	if !s.anyLosses {
+func (s *Shard) divideCandidates(rooms []*candidate) (open, alone []*candidate) {
+	if !s.hasLosses {
 		return rooms, nil
 	}
 	wait, inUse := s.countSuspects()
 	kept := min(wait, s.settings.Policy.MaxSuspectWorkers(len(s.workers))-inUse)
-	byUse := slices.SortedStableFunc(slices.Values(rooms), func(a, b *room) int { return cmp.Compare(a.usedCPUMilli(), b.usedCPUMilli()) })
+	byUse := slices.SortedStableFunc(slices.Values(rooms), func(a, b *candidate) int { return cmp.Compare(a.usedCPUMilli(), b.usedCPUMilli()) })
 	for _, r := range byUse {
 		switch {
 		case r.suspect != nil:
@@ -186,7 +186,7 @@
 			open = append(open, r)
 		default:
 			kept--
-			if len(r.byTasks) == 0 {
+			if len(r.tasksByStep) == 0 {
 				alone = append(alone, r)
 			}
 		}
@@ -195,17 +195,17 @@
 }
 
 // exclusiveCandidatesFor returns the rooms for suspects that those of a submission may have.
-func exclusiveCandidatesFor(j *job, alone []*room) []*room {
-	return slices.DeleteFunc(slices.Clone(alone), func(r *room) bool { return r.suspect != nil && r.suspect != j })
+func exclusiveCandidatesFor(j *job, alone []*candidate) []*candidate {
+	return slices.DeleteFunc(slices.Clone(alone), func(r *candidate) bool { return r.suspect != nil && r.suspect != j })
 }
 
 // countSuspects counts the suspects that may start, and the workers that suspects have.
 func (s *Shard) countSuspects() (wait, inUse int) {
-	s.anyLosses = false
+	s.hasLosses = false
 	hosts := make(map[*host]bool)
 	for _, j := range s.jobs {
 		for _, t := range j.tasks {
-			s.anyLosses = s.anyLosses || t.state != taskCompleted && len(t.losses) > 0
+			s.hasLosses = s.hasLosses || t.state != taskCompleted && len(t.losses) > 0
 			switch {
 			case t.state == taskCompleted || !s.isSuspect(t):
 			case t.occupies():
@@ -219,4 +219,4 @@
 }
 
 // used is the processor that is taken, in thousandths of a core.
-func (r *room) usedCPUMilli() int64 { return r.host.info.CPUMilli - r.cpu }
+func (r *candidate) usedCPUMilli() int64 { return r.host.info.CPUMilli - r.cpu }
--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -21,8 +21,8 @@
 		return
 	}
 	s.evacuated = evacuated
-	s.dirty = true
-	s.sweepAt = now
+	s.placementDue = true
+	s.nextSweepAt = now
 	if evacuated {
 		return
 	}
@@ -63,7 +63,7 @@
 	case j.tasksLeft == 0:
 		s.finish(now, j)
 	default:
-		s.tell(j)
+		s.reportState(j)
 	}
 	return len(j.returned) - before
 }
@@ -84,7 +84,7 @@
 	for _, t := range j.tasks {
 		rec.MaxRunElsewhere = max(rec.MaxRunElsewhere, t.newestRun)
 	}
-	s.out.Reassigns = append(s.out.Reassigns, ReassignAction{Record: &rec, Revision: j.revision})
+	s.actions.Reassigns = append(s.actions.Reassigns, ReassignAction{Record: &rec, Revision: j.revision})
 }
 
 // Moved says that a submission is stored under another shard at a revision.
@@ -94,7 +94,7 @@
 		return
 	}
 	j.endStored = true // its ends are in the record that names the other shard
-	s.past[id] = endedJob{reassignedRevision: revision, at: now}
+	s.recentlyEnded[id] = endedJob{reassignedRevision: revision, at: now}
 	s.acknowledge()
 	delete(s.jobs, id)
 }
@@ -104,6 +104,6 @@
 	if j, open := s.jobs[id]; open {
 		j.reassigning = false
 		j.reassignAt = now + reassignRetryInterval
-		s.dirty = true
+		s.placementDue = true
 	}
 }
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -106,14 +106,14 @@
 			h.missingSince = now
 		}
 	}
-	s.dirty = true
+	s.placementDue = true
 }
 
 // SetListOutdated says whether the list of workers can be had newer than it is known here. Until it is
 // known, nothing starts: a worker may have given notice that it leaves, or have less room.
 func (s *Shard) SetListOutdated(outdated bool) {
-	s.dirty = s.dirty || s.outdated && !outdated
-	s.outdated = outdated
+	s.placementDue = s.placementDue || s.listOutdated && !outdated
+	s.listOutdated = outdated
 }
 
 // outlived reports whether a worker that is known at the address of another is a later one. Entries stay
@@ -134,7 +134,7 @@
 // living drops the entries of workers that are certainly dead: they stay in the list until they
 // expire, and one of them would pass for the newest life at its address.
 func (s *Shard) withoutReplaced(list []worker.Info) []worker.Info {
-	if len(s.dead) == 0 {
+	if len(s.replacedWorkers) == 0 {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(info worker.Info) bool { return s.isReplaced(info.Incarnation()) })
@@ -143,7 +143,7 @@
 // isReplaced reports whether an incarnation has been replaced. Where a birth is not known, that of its ID that
 // was replaced last is meant.
 func (s *Shard) isReplaced(i worker.Incarnation) bool {
-	d, known := s.dead[i.ID]
+	d, known := s.replacedWorkers[i.ID]
 	return known && (i.Born == 0 || d.born == 0 || i.Born <= d.born)
 }
 
@@ -154,7 +154,7 @@
 // off from the list nobody there reads it: its workers would be idle until the heal, all of them if
 // they came back together. The new life runs nothing, and may be cold.
 func (s *Shard) WorkerRestarted(now time.Duration, gone worker.Info, next worker.Incarnation) {
-	s.dead[gone.ID] = deadWorker{born: gone.Born, at: now}
+	s.replacedWorkers[gone.ID] = replacedWorker{born: gone.Born, at: now}
 	info := gone
 	info.ID, info.Born = next.ID, next.Born
 	info.Labels = nil
@@ -173,7 +173,7 @@
 	h := newHost(info, FromPreviousIncarnation)
 	h.health.BeginSlowStart()
 	s.addWorker(now, h)
-	s.dirty = true
+	s.placementDue = true
 }
 
 // replaceKnownIncarnation takes the next incarnation of a worker that has kept its ID.
@@ -218,7 +218,7 @@
 		}
 		h.missingSince = now
 	}
-	s.dirty = true
+	s.placementDue = true
 }
 
 func (s *Shard) addressTaken(info worker.Info) bool {
@@ -302,7 +302,7 @@
 		s.release(now, t)
 	}
 	clear(h.strays)
-	s.dirty = true
+	s.placementDue = true
 	s.giveUpTasks(now, tasks)
 }
 
@@ -328,6 +328,6 @@
 	}
 	t.host = nil
 	t.stateSince = now
-	s.dirty = true
-	s.reap(t.job)
+	s.placementDue = true
+	s.removeIfDone(t.job)
 }
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -72,8 +72,8 @@
 func (s *Shard) addWorker(now time.Duration, h *host) {
 	id := h.info.ID
 	s.workers[id] = h
-	left := s.leftovers[id]
-	delete(s.leftovers, id)
+	left := s.leftoverStarts[id]
+	delete(s.leftoverStarts, id)
 	for _, r := range slices.SortedFunc(maps.Keys(left), runRef.Compare) {
 		s.revokeRun(now, h, r.TaskRef, r.run)
 	}
@@ -84,13 +84,13 @@
 func (s *Shard) forgetHost(now time.Duration, h *host) {
 	id := h.info.ID
 	delete(s.workers, id)
-	delete(s.early, id)
-	s.out.Acks = slices.DeleteFunc(s.out.Acks, func(a AckAction) bool { return a.Worker == id })
+	delete(s.earlyListings, id)
+	s.actions.Acks = slices.DeleteFunc(s.actions.Acks, func(a AckAction) bool { return a.Worker == id })
 	for ref, v := range h.revokedRuns {
 		h.unlistedStarts[runRef{ref, v.run}] = v.since
 	}
 	if len(h.unlistedStarts) > 0 {
-		s.leftovers[id] = h.unlistedStarts
+		s.leftoverStarts[id] = h.unlistedStarts
 	}
 }
 
@@ -110,8 +110,8 @@
 	s.forgetHost(now, old)
 	s.addWorker(now, next)
 	s.giveUpTasks(now, tasks)
-	s.out.Probes = append(s.out.Probes, info.ID)
-	s.dirty = true
+	s.actions.Probes = append(s.actions.Probes, info.ID)
+	s.placementDue = true
 	return next
 }
 
@@ -127,7 +127,7 @@
 		return
 	}
 	t.stateSince = now
-	s.stop(t, "the worker has started again")
+	s.orderStop(t, "the worker has started again")
 }
 
 // revokeRun has a worker refuse a run that may still be on its way, and the task's earlier ones.
@@ -140,13 +140,13 @@
 	v := h.revokedRuns[ref]
 	v.sent = now
 	h.revokedRuns[ref] = v
-	s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: ref, Run: v.run, Reason: "its order may reach the next incarnation"})
+	s.actions.Stops = append(s.actions.Stops, StopAction{Worker: h.info, Task: ref, Run: v.run, Reason: "its order may reach the next incarnation"})
 }
 
 // repeatRevocations repeats the stops of such runs that had no answer.
 func (s *Shard) repeatRevocations(now time.Duration, h *host) {
 	for _, ref := range slices.SortedFunc(maps.Keys(h.revokedRuns), submission.TaskRef.Compare) {
-		if v := h.revokedRuns[ref]; now-v.sent >= stopAgain {
+		if v := h.revokedRuns[ref]; now-v.sent >= stopRetryInterval {
 			s.sendRevocation(now, h, ref)
 		}
 	}
@@ -158,9 +158,9 @@
 	for _, h := range s.workers {
 		maps.DeleteFunc(h.unlistedStarts, late)
 	}
-	for id, left := range s.leftovers {
+	for id, left := range s.leftoverStarts {
 		if maps.DeleteFunc(left, late); len(left) == 0 {
-			delete(s.leftovers, id)
+			delete(s.leftoverStarts, id)
 		}
 	}
 }
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -15,8 +15,8 @@
 	if !known {
 		return nil
 	}
-	if !s.scanned {
-		s.early[id] = earlyListing{sent: sent, listing: l}
+	if !s.recordsLoaded {
+		s.earlyListings[id] = earlyListing{sent: sent, listing: l}
 		return nil
 	}
 	if !h.hasAnswered {
@@ -30,28 +30,28 @@
 		if e.Seq > h.newestEnd {
 			h.newestEnd = e.Seq
 			fresh = append(fresh, e)
-			s.ended(now, h, e)
+			s.handleEnd(now, h, e)
 		}
 	}
 	if l.Clock >= h.clock { // answers overtake each other
 		h.clock = l.Clock
-		s.compare(now, h, sent, l)
+		s.reconcile(now, h, sent, l)
 	}
 	s.acknowledge()
-	s.dirty = true
+	s.placementDue = true
 	return fresh
 }
 
 // ended takes the end of a run.
-func (s *Shard) ended(now time.Duration, h *host, e worker.Ended) {
+func (s *Shard) handleEnd(now time.Duration, h *host, e worker.Ended) {
 	h.fullUntil = 0
 	delete(h.strays, e.Task)
 	h.clearStart(e.Task, e.Run)
 	j, open := s.jobs[e.Task.ID]
 	if !open {
 		h.unackedEnds = append(h.unackedEnds, unackedEnd{n: e.Seq})
-		if now-h.firstAnswerAt < resumeWithin {
-			s.orphans[e.Task.ID] = append(s.orphans[e.Task.ID], orphanEnd{host: h, end: e, at: now})
+		if now-h.firstAnswerAt < handoverTimeout {
+			s.earlyEnds[e.Task.ID] = append(s.earlyEnds[e.Task.ID], earlyEnd{host: h, end: e, at: now})
 		}
 		return
 	}
@@ -67,11 +67,11 @@
 			t.newestRun = max(t.newestRun, e.Run)
 		}
 	default:
-		s.endedTask(now, h, t, e)
+		s.handleTaskEnd(now, h, t, e)
 	}
 }
 
-func (s *Shard) endedTask(now time.Duration, h *host, t *task, e worker.Ended) {
+func (s *Shard) handleTaskEnd(now time.Duration, h *host, t *task, e worker.Ended) {
 	current := t.host == h && t.newestRun == e.Run && t.occupies()
 	if e.Run > t.newestRun {
 		t.newestRun = e.Run
@@ -81,31 +81,31 @@
 	}
 	switch {
 	case e.Reason == worker.Completed:
-		s.completed(now, h, t, current)
+		s.handleCompleted(now, h, t, current)
 		return
 	case e.Reason == worker.Failed:
-		s.failedRun(now, h, t, e.Run)
+		s.countFailure(now, h, t, e.Run)
 	}
 	if current {
 		s.release(now, t)
 	}
-	s.note(t)
+	s.reportOutcome(t)
 }
 
 // note tells the home of a transient submission how far a task is.
-func (s *Shard) note(t *task) {
+func (s *Shard) reportOutcome(t *task) {
 	if t.job.rec.Transient && !t.job.state.Final() && (t.state == taskCompleted || t.failures > 0) {
 		fails := t.failures
 		if t.state == taskCompleted {
 			fails = 0
 		}
-		s.out.Outcomes = append(s.out.Outcomes, OutcomeAction{Home: t.job.rec.Home, Task: t.ref, FailedRuns: fails})
+		s.actions.Outcomes = append(s.actions.Outcomes, OutcomeAction{Home: t.job.rec.Home, Task: t.ref, FailedRuns: fails})
 	}
 }
 
-func (s *Shard) completed(now time.Duration, h *host, t *task, current bool) {
+func (s *Shard) handleCompleted(now time.Duration, h *host, t *task, current bool) {
 	if current {
-		s.learn(now, h, t)
+		s.recordDuration(now, h, t)
 		if t.startedAt > 0 {
 			t.duration = now - t.startedAt
 		}
@@ -114,20 +114,20 @@
 		return
 	}
 	if t.occupies() && !current {
-		s.stop(t, "another run has completed")
+		s.orderStop(t, "another run has completed")
 	}
 	j := t.job
 	j.complete(t)
-	s.note(t)
+	s.reportOutcome(t)
 	if j.tasksLeft == 0 && !j.state.Final() {
 		s.finish(now, j)
 	}
-	s.reap(j)
+	s.removeIfDone(j)
 }
 
-// failedRun counts a failed run. A task whose runs have failed as often as the
+// countFailure counts a failed run. A task whose runs have failed as often as the
 // queue allows ends its submission.
-func (s *Shard) failedRun(now time.Duration, h *host, t *task, run uint64) {
+func (s *Shard) countFailure(now time.Duration, h *host, t *task, run uint64) {
 	if _, counted := t.countedFailures[run]; counted {
 		return
 	}
@@ -144,16 +144,16 @@
 	}
 	t.avoidHost = h
 	if t.failures >= t.job.rec.Terms.Attempts && t.state != taskCompleted && !t.job.state.Final() {
-		s.end(now, t.job, submission.Failed, "a task has failed as often as its queue allows")
+		s.endSubmission(now, t.job, submission.Failed, "a task has failed as often as its queue allows")
 	}
 }
 
 // compare holds what a worker lists as running against what should run there.
-func (s *Shard) compare(now time.Duration, h *host, sent time.Duration, l worker.Listing) {
+func (s *Shard) reconcile(now time.Duration, h *host, sent time.Duration, l worker.Listing) {
 	listed := make(map[submission.TaskRef]bool, len(l.Running))
 	for _, r := range l.Running {
 		listed[r.Task] = true
-		s.found(now, h, r)
+		s.handleListedRun(now, h, r)
 		s.watchProgress(now, h, sent, r)
 	}
 	for ref := range h.strays {
@@ -163,26 +163,26 @@
 	}
 	for _, t := range s.tasksOn(h) {
 		if !listed[t.ref] {
-			s.absent(now, h, t, sent, l.Clock)
+			s.handleUnlisted(now, h, t, sent, l.Clock)
 		}
 	}
 }
 
 // found takes a run that a worker lists.
-func (s *Shard) found(now time.Duration, h *host, r worker.Running) {
+func (s *Shard) handleListedRun(now time.Duration, h *host, r worker.Running) {
 	h.clearStart(r.Task, r.Run)
 	j, open := s.jobs[r.Task.ID]
 	if !open {
-		s.stray(now, h, r)
+		s.handleStrayRun(now, h, r)
 		return
 	}
 	t := j.task(r.Task.Task)
 	if t == nil || r.Run < t.newestRun || t.state == taskCompleted {
-		s.stray(now, h, r)
+		s.handleStrayRun(now, h, r)
 		return
 	}
 	if t.occupies() && t.host != h {
-		s.stray(now, h, r)
+		s.handleStrayRun(now, h, r)
 		return
 	}
 	t.newestRun = r.Run
@@ -191,13 +191,13 @@
 	}
 	switch t.state {
 	case taskStarting, taskUnconfirmed, taskUnlocated:
-		s.nowRunning(now, h, t)
+		s.setRunning(now, h, t)
 	case taskEnded, taskWaiting:
-		s.stray(now, h, r) // a late order that was carried out all the same
+		s.handleStrayRun(now, h, r) // a late order that was carried out all the same
 	}
 }
 
-func (s *Shard) nowRunning(now time.Duration, h *host, t *task) {
+func (s *Shard) setRunning(now time.Duration, h *host, t *task) {
 	if t.state == taskUnlocated {
 		t.startedAt = 0 // how long it has run is not known
 	}
@@ -211,27 +211,27 @@
 	}
 	if j.state == submission.Queued {
 		j.state = submission.Running
-		s.tell(j)
+		s.reportState(j)
 	}
 }
 
 // stray stops a run that nobody wants. Soon after the worker was first reached the run
 // may be of a transient submission whose home has not handed it over yet.
-func (s *Shard) stray(now time.Duration, h *host, r worker.Running) {
+func (s *Shard) handleStrayRun(now time.Duration, h *host, r worker.Running) {
 	st, known := h.strays[r.Task]
 	if !known || st.run != r.Run {
 		st = strayRun{run: r.Run}
 	}
-	if !st.stopSent && now-h.firstAnswerAt >= resumeWithin {
+	if !st.stopSent && now-h.firstAnswerAt >= handoverTimeout {
 		st.stopSent = true
-		s.out.Stops = append(s.out.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "no such run is wanted"})
+		s.actions.Stops = append(s.actions.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "no such run is wanted"})
 	}
 	h.strays[r.Task] = st
 }
 
 // resume makes the stray runs of a submission its own. One that is being stopped
 // still runs for some time: the task must not start before it is gone.
-func (h *host) resume(now time.Duration, s *Shard, j *job) {
+func (h *host) adoptStrayRuns(now time.Duration, s *Shard, j *job) {
 	for ref, st := range h.strays {
 		t := j.task(ref.Task)
 		if ref.ID != j.rec.ID || t == nil || t.occupies() || t.state == taskCompleted {
@@ -241,25 +241,25 @@
 		t.newestRun = st.run
 		if st.stopSent {
 			t.host = h
-			s.void(now, t, "it was being stopped when its home handed it over")
+			s.stopToRestart(now, t, "it was being stopped when its home handed it over")
 			continue
 		}
-		s.nowRunning(now, h, t)
+		s.setRunning(now, h, t)
 		t.startedAt = 0 // how long it has run is not known
 	}
 }
 
 // void makes a run impossible, or ends it, so that its task can start elsewhere.
-func (s *Shard) void(now time.Duration, t *task, why string) {
+func (s *Shard) stopToRestart(now time.Duration, t *task, why string) {
 	t.state = taskStoppingToRestart
 	t.stateSince = now
 	t.stopAckClock = 0
-	s.stop(t, why)
+	s.orderStop(t, why)
 }
 
 // absent takes a run that a worker does not list, in an answer to a hold sent at
 // a time and given at a time of the worker's clock.
-func (s *Shard) absent(now time.Duration, h *host, t *task, sent, clock time.Duration) {
+func (s *Shard) handleUnlisted(now time.Duration, h *host, t *task, sent, clock time.Duration) {
 	switch t.state {
 	case taskRunning:
 		// An answer counts only if its call left after the run was known: a hold that
@@ -269,7 +269,7 @@
 		}
 	case taskUnconfirmed:
 		if sent >= t.stateSince {
-			s.void(now, t, "its start had no answer")
+			s.stopToRestart(now, t, "its start had no answer")
 		}
 	case taskStoppingToRestart, taskStoppingForGood:
 		if t.stopAckClock > 0 && sent >= t.stopAckAt && clock >= t.stopAckClock {
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -10,15 +10,15 @@
 
 // Load is what the shard could take.
 func (s *Shard) Load(now time.Duration) Load {
-	l := Load{Ready: s.scanned && s.anyListed() && !s.outdated, UnstartedByQueue: make(map[string]int)}
+	l := Load{Ready: s.recordsLoaded && s.anyListed() && !s.listOutdated, UnstartedByQueue: make(map[string]int)}
 	for _, h := range s.workers {
-		if s.usable(now, h) || h.hasAnswered && now < h.fullUntil && !s.closed() {
+		if s.isUsable(now, h) || h.hasAnswered && now < h.fullUntil && !s.isClosed() {
 			l.CapacityMilli += int64(float64(h.info.CPUMilli) * h.health.UsableShare())
 		}
 	}
-	open, _ := s.divideCandidates(s.rooms(now))
+	open, _ := s.divideCandidates(s.candidates(now))
 	for _, r := range open {
-		if r.host.health.CanAccept(now, s.runsOn(r)) {
+		if r.host.health.CanAccept(now, s.runCount(r)) {
 			l.FreeMilli = append(l.FreeMilli, r.cpu)
 		}
 	}
@@ -52,16 +52,16 @@
 	}
 	sums := make(map[key]*QueuedWork)
 	for _, j := range s.jobs {
-		if j.state.Final() || !j.anyStartable() {
+		if j.state.Final() || !j.hasStartable() {
 			continue
 		}
-		k := key{s.work(j).Band(now), j.rec.Terms.Priority}
+		k := key{s.policyWork(j).Band(now), j.rec.Terms.Priority}
 		q := sums[k]
 		if q == nil {
 			q = &QueuedWork{Band: k.band, Priority: k.priority}
 			sums[k] = q
 		}
-		factor := s.factor(j.rec.Queue)
+		factor := s.durationFactor(j.rec.Queue)
 		for _, t := range j.tasks {
 			if j.isStartable(t) {
 				q.CPUMilli += t.step.CPUMilli
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -11,24 +11,24 @@
 
 // Times after which an order is looked at again.
 const (
-	stopAgain = 150 * time.Millisecond
-	lookAgain = 300 * time.Millisecond
+	stopRetryInterval  = 150 * time.Millisecond
+	probeRetryInterval = 300 * time.Millisecond
 )
 
 // Tick does what is due by time, and starts what can start. It is to be called
 // after each round of events, and every 50 ms without any.
 func (s *Shard) Tick(now time.Duration) {
 	s.liftBarrier(now)
-	if now >= s.sweepAt {
-		s.sweepAt = now + sweepEvery
+	if now >= s.nextSweepAt {
+		s.nextSweepAt = now + sweepInterval
 		s.sweep(now)
 	}
 	s.place(now)
 }
 
-// sweepEvery is how often all submissions are looked through for what is due by time. The shortest
+// sweepInterval is how often all submissions are looked through for what is due by time. The shortest
 // of those times is 40 ms.
-const sweepEvery = 5 * time.Millisecond
+const sweepInterval = 5 * time.Millisecond
 
 // sweep does what is due by time.
 func (s *Shard) sweep(now time.Duration) {
@@ -36,40 +36,40 @@
 		j := s.jobs[id]
 		s.repeatOrders(now, j)
 		s.saveProgress(now, j)
-		s.rejectHopeless(now, j)
+		s.rejectIfTooLate(now, j)
 		s.giveAwayIfEvacuated(now, j)
 	}
 	for _, h := range s.workers {
 		s.repeatRevocations(now, h)
 	}
-	s.forget(now)
-	s.forgetPast(now)
+	s.forgetMissingWorkers(now)
+	s.pruneExpired(now)
 }
 
-// forgetPast drops ended submissions that no late message can name any more.
-func (s *Shard) forgetPast(now time.Duration) {
-	if now < s.pruneAt {
+// pruneExpired drops ended submissions that no late message can name any more.
+func (s *Shard) pruneExpired(now time.Duration) {
+	if now < s.nextPruneAt {
 		return
 	}
-	s.pruneAt = now + pastFor/10
-	s.losses = slices.DeleteFunc(s.losses, func(l lostWorker) bool { return now-l.at > pastFor })
-	maps.DeleteFunc(s.orphans, func(_ submission.ID, o []orphanEnd) bool { return now-o[0].at > pastFor })
+	s.nextPruneAt = now + endedRetention/10
+	s.recentLosses = slices.DeleteFunc(s.recentLosses, func(l lostWorker) bool { return now-l.at > endedRetention })
+	maps.DeleteFunc(s.earlyEnds, func(_ submission.ID, o []earlyEnd) bool { return now-o[0].at > endedRetention })
 	s.forgetLateStarts(now)
-	maps.DeleteFunc(s.dead, func(_ string, d deadWorker) bool { return now-d.at > pastFor })
-	maps.DeleteFunc(s.past, func(_ submission.ID, p endedJob) bool { return now-p.at > pastFor })
+	maps.DeleteFunc(s.replacedWorkers, func(_ string, d replacedWorker) bool { return now-d.at > endedRetention })
+	maps.DeleteFunc(s.recentlyEnded, func(_ submission.ID, p endedJob) bool { return now-p.at > endedRetention })
 }
 
 // liftBarrier frees the tasks that an earlier holder may have started, once none
 // of its runs can be left that no worker lists.
 func (s *Shard) liftBarrier(now time.Duration) {
-	if !s.barred || !s.scanned {
+	if !s.barrierUp || !s.recordsLoaded {
 		return
 	}
-	all := now >= s.barrierAt || s.allListed()
-	if !all && now < s.shortAt {
+	all := now >= s.barrierUntil || s.allListed()
+	if !all && now < s.transientBarrierUntil {
 		return
 	}
-	s.barred = !all
+	s.barrierUp = !all
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		if !all && !j.rec.Transient {
@@ -106,14 +106,14 @@
 	for _, t := range j.tasks {
 		switch t.state {
 		case taskStoppingToRestart, taskStoppingForGood:
-			if now-t.stateSince >= stopAgain && t.stopAckClock == 0 {
+			if now-t.stateSince >= stopRetryInterval && t.stopAckClock == 0 {
 				t.stateSince = now
-				s.stop(t, "the stop had no answer")
+				s.orderStop(t, "the stop had no answer")
 			}
 		case taskUnconfirmed:
-			if now-t.stateSince >= lookAgain {
+			if now-t.stateSince >= probeRetryInterval {
 				t.stateSince = now
-				s.out.Probes = append(s.out.Probes, t.host.info.ID)
+				s.actions.Probes = append(s.actions.Probes, t.host.info.ID)
 			}
 		}
 	}
@@ -136,11 +136,11 @@
 	}
 	rec := *j.rec
 	rec.Progress = j.progress()
-	s.out.Saves = append(s.out.Saves, SaveAction{Record: &rec, Revision: j.revision})
+	s.actions.Saves = append(s.actions.Saves, SaveAction{Record: &rec, Revision: j.revision})
 }
 
 // forget drops workers that have left the list and do not answer any more.
-func (s *Shard) forget(now time.Duration) {
+func (s *Shard) forgetMissingWorkers(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
 		if h.missingSince > 0 && now-h.missingSince > missingTimeout && now-h.newestListingSentAt > missingTimeout {
@@ -152,11 +152,11 @@
 // place starts tasks: the most pressing submission first, each task on the worker
 // where it ends soonest.
 func (s *Shard) place(now time.Duration) {
-	if !s.dirty || !s.scanned {
+	if !s.placementDue || !s.recordsLoaded {
 		return
 	}
-	s.dirty = false
-	open, alone := s.divideCandidates(s.rooms(now))
+	s.placementDue = false
+	open, alone := s.divideCandidates(s.candidates(now))
 	if len(open)+len(alone) == 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 			if s.isSuspect(t) {
 				rooms = exclusiveCandidatesFor(j, alone)
 			}
-			if r := s.choose(now, t, rooms); r != nil {
+			if r := s.chooseWorker(now, t, rooms); r != nil {
 				s.start(now, t, r)
 			}
 		}
@@ -184,11 +184,11 @@
 	}
 	var list []ranked
 	for _, j := range s.jobs {
-		if j.state.Final() || !j.anyStartable() {
+		if j.state.Final() || !j.hasStartable() {
 			continue
 		}
-		w := s.work(j)
-		w.RemainingWork = j.workLeft()
+		w := s.policyWork(j)
+		w.RemainingWork = j.startableWork()
 		list = append(list, ranked{job: j, urgency: s.settings.Policy.Urgency(now, w)})
 	}
 	slices.SortFunc(list, func(a, b ranked) int { return a.urgency.Compare(b.urgency) })
@@ -200,7 +200,7 @@
 }
 
 // work is a submission as the policy sees it, but for what is left of it.
-func (s *Shard) work(j *job) *policy.Work {
+func (s *Shard) policyWork(j *job) *policy.Work {
 	takes := s.remaining(j)
 	return &policy.Work{
 		ID:            j.rec.ID,
@@ -213,8 +213,8 @@
 	}
 }
 
-// workLeft is the work of the tasks that may start and have not, cores times seconds.
-func (j *job) workLeft() float64 {
+// startableWork is the work of the tasks that may start and have not, cores times seconds.
+func (j *job) startableWork() float64 {
 	sum := 0.0
 	for _, t := range j.tasks {
 		if j.isStartable(t) {
@@ -224,31 +224,31 @@
 	return sum
 }
 
-// rejectHopeless ends a transient submission of which nothing has run and that is not worth
+// rejectIfTooLate ends a transient submission of which nothing has run and that is not worth
 // waiting for any more. The caller learns at once that it has not run.
-func (s *Shard) rejectHopeless(now time.Duration, j *job) {
+func (s *Shard) rejectIfTooLate(now time.Duration, j *job) {
 	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.hasBegun() {
 		return
 	}
-	if reason := s.settings.Policy.KeepWaiting(now, s.work(j)); reason.Refused() {
-		s.end(now, j, submission.Rejected, string(reason))
+	if reason := s.settings.Policy.KeepWaiting(now, s.policyWork(j)); reason.Refused() {
+		s.endSubmission(now, j, submission.Rejected, string(reason))
 	}
 }
 
-func (j *job) anyStartable() bool { return slices.ContainsFunc(j.tasks, j.isStartable) }
+func (j *job) hasStartable() bool { return slices.ContainsFunc(j.tasks, j.isStartable) }
 
 // remaining is the time a submission takes if all its tasks start now.
 func (s *Shard) remaining(j *job) time.Duration {
-	return time.Duration(float64(j.criticalPath) * s.factor(j.rec.Queue))
+	return time.Duration(float64(j.criticalPath) * s.durationFactor(j.rec.Queue))
 }
 
 // room is what is free at a worker.
-type room struct {
-	host    *host
-	cpu     int64
-	mem     int64
-	gpu     int64
-	byTasks map[stepKey]int
+type candidate struct {
+	host        *host
+	cpu         int64
+	mem         int64
+	gpu         int64
+	tasksByStep map[stepKey]int
 
 	suspect *job // a submission with a task there that must run alone
 }
@@ -259,16 +259,16 @@
 }
 
 // rooms returns the usable workers with what is free there.
-func (s *Shard) rooms(now time.Duration) []*room {
-	byHost := make(map[*host]*room, len(s.workers))
-	var out []*room
+func (s *Shard) candidates(now time.Duration) []*candidate {
+	byHost := make(map[*host]*candidate, len(s.workers))
+	var out []*candidate
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
 		// How much room a run takes whose submission is not known here is not known either.
-		if !s.usable(now, h) || len(h.strays) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
+		if !s.isUsable(now, h) || len(h.strays) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
 			continue
 		}
-		r := &room{host: h, cpu: h.info.CPUMilli, mem: h.info.MemMB, gpu: h.info.GPU, byTasks: make(map[stepKey]int)}
+		r := &candidate{host: h, cpu: h.info.CPUMilli, mem: h.info.MemMB, gpu: h.info.GPU, tasksByStep: make(map[stepKey]int)}
 		byHost[h] = r
 		out = append(out, r)
 	}
@@ -285,23 +285,23 @@
 			}
 		}
 	}
-	return slices.DeleteFunc(out, func(r *room) bool { return r.cpu <= 0 })
+	return slices.DeleteFunc(out, func(r *candidate) bool { return r.cpu <= 0 })
 }
 
-func (r *room) take(t *task) {
+func (r *candidate) take(t *task) {
 	r.cpu -= t.step.CPUMilli
 	r.mem -= t.step.MemMB
 	r.gpu -= t.step.GPU
-	r.byTasks[stepKey{t.ref.ID, t.ref.Step}]++
+	r.tasksByStep[stepKey{t.ref.ID, t.ref.Step}]++
 }
 
 // closed reports whether nothing may start at any worker here.
-func (s *Shard) closed() bool { return s.evacuated || s.outdated }
+func (s *Shard) isClosed() bool { return s.evacuated || s.listOutdated }
 
 // usable reports whether a worker may get something new.
-func (s *Shard) usable(now time.Duration, h *host) bool {
+func (s *Shard) isUsable(now time.Duration, h *host) bool {
 	switch {
-	case s.closed(), !h.hasAnswered, h.info.Leaving, now < h.fullUntil, now < h.unavailableUntil:
+	case s.isClosed(), !h.hasAnswered, h.info.Leaving, now < h.fullUntil, now < h.unavailableUntil:
 		return false
 	case now-h.newestListingSentAt > maxSilence:
 		return false
@@ -315,8 +315,8 @@
 // choose finds the worker on which a task ends soonest; nil if it fits nowhere.
 // Of equally fast ones it takes the one that it fills best, so that wide rooms
 // stay for wide tasks.
-func (s *Shard) choose(now time.Duration, t *task, rooms []*room) *room {
-	var best *room
+func (s *Shard) chooseWorker(now time.Duration, t *task, rooms []*candidate) *candidate {
+	var best *candidate
 	var bestCost float64
 	for _, r := range rooms {
 		if !s.fits(now, t, r) {
@@ -334,7 +334,7 @@
 	return best
 }
 
-func (s *Shard) fits(now time.Duration, t *task, r *room) bool {
+func (s *Shard) fits(now time.Duration, t *task, r *candidate) bool {
 	info := &r.host.info
 	step := t.step
 	switch {
@@ -342,38 +342,38 @@
 		return false
 	case step.CPUMilli > r.cpu, step.MemMB > r.mem, step.GPU > r.gpu:
 		return false
-	case step.MaxPerWorker > 0 && r.byTasks[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
+	case step.MaxPerWorker > 0 && r.tasksByStep[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
 		return false
 	default:
-		return r.host.health.CanAccept(now, s.runsOn(r))
+		return r.host.health.CanAccept(now, s.runCount(r))
 	}
 }
 
-func (s *Shard) runsOn(r *room) int {
+func (s *Shard) runCount(r *candidate) int {
 	n := 0
-	for _, c := range r.byTasks {
+	for _, c := range r.tasksByStep {
 		n += c
 	}
 	return n
 }
 
-func (s *Shard) factor(queue string) float64 { return s.pace[queue].Factor() }
+func (s *Shard) durationFactor(queue string) float64 { return s.paceByQueue[queue].Factor() }
 
 // learn takes the time of a run that has completed.
-func (s *Shard) learn(now time.Duration, h *host, t *task) {
+func (s *Shard) recordDuration(now time.Duration, h *host, t *task) {
 	if t.startedAt == 0 || t.step.Estimate <= 0 {
 		return
 	}
 	queue := t.job.rec.Queue
-	p := s.pace[queue]
+	p := s.paceByQueue[queue]
 	if p == nil {
 		p = &policy.Pace{}
-		s.pace[queue] = p
+		s.paceByQueue[queue] = p
 	}
 	h.health.RecordCompletion(s.settings.Policy.Learn(p, float64(now-t.startedAt)/float64(t.step.Estimate)))
 }
 
-func (s *Shard) start(now time.Duration, t *task, r *room) {
+func (s *Shard) start(now time.Duration, t *task, r *candidate) {
 	first := !t.job.startSent
 	t.job.startSent = true
 	t.state = taskStarting
@@ -391,7 +391,7 @@
 	if t.startedAlone = s.isSuspect(t); t.startedAlone {
 		r.suspect = t.job
 	}
-	s.out.Starts = append(s.out.Starts, StartAction{
+	s.actions.Starts = append(s.actions.Starts, StartAction{
 		Worker:     r.host.info,
 		Task:       t.ref,
 		Run:        t.newestRun,
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -43,7 +43,7 @@
 }
 
 func (s *Shard) isStalled(t *task) bool {
-	expected := time.Duration(float64(t.step.Estimate) * s.factor(t.job.rec.Queue))
+	expected := time.Duration(float64(t.step.Estimate) * s.durationFactor(t.job.rec.Queue))
 	return t.progress.IsStalled(t.startedAt, expected)
 }
 
@@ -90,7 +90,7 @@
 
 // fitsElsewhere reports whether a worker other than its own could take a task now.
 func (s *Shard) fitsElsewhere(now time.Duration, t *task) bool {
-	for _, r := range s.rooms(now) {
+	for _, r := range s.candidates(now) {
 		if r.host != t.host && s.fits(now, t, r) {
 			return true
 		}
@@ -102,5 +102,5 @@
 func (s *Shard) moveTask(now time.Duration, t *task, why string) {
 	t.moveCount++
 	t.avoidHost = t.host
-	s.void(now, t, why)
+	s.stopToRestart(now, t, why)
 }
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -9,7 +9,7 @@
 
 // HandleStartReply takes the answer to a start.
 func (s *Shard) HandleStartReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
-	h, t := s.order(id, ref, run)
+	h, t := s.orderedTask(id, ref, run)
 	if h != nil && isNeverCarriedOut(r.Verdict) {
 		h.clearStart(ref, run)
 	}
@@ -25,7 +25,7 @@
 	switch r.Verdict {
 	case worker.Accepted:
 		t.acceptClock = r.Clock
-		s.nowRunning(now, h, t)
+		s.setRunning(now, h, t)
 	case worker.NoRoom:
 		h.fullUntil = now + fullBackoff
 		s.release(now, t)
@@ -36,7 +36,7 @@
 		s.release(now, t)
 	case worker.Malformed:
 		s.release(now, t)
-		s.end(now, t.job, submission.Failed, "a worker cannot read the task")
+		s.endSubmission(now, t.job, submission.Failed, "a worker cannot read the task")
 	case worker.Fenced:
 		t.state = taskUnconfirmed // another holder decides; this one will learn it from the store
 		t.stateSince = now
@@ -45,7 +45,7 @@
 	case worker.NoAnswer:
 		t.state = taskUnconfirmed
 		t.stateSince = now
-		s.out.Probes = append(s.out.Probes, id)
+		s.actions.Probes = append(s.actions.Probes, id)
 	}
 }
 
@@ -62,7 +62,7 @@
 	if r.Verdict == worker.Accepted {
 		h.clearRevocation(ref, run)
 	}
-	_, t := s.order(id, ref, run)
+	_, t := s.orderedTask(id, ref, run)
 	if t == nil || t.state != taskStoppingToRestart && t.state != taskStoppingForGood {
 		if st := h.strays[ref]; r.Verdict != worker.Accepted && st.run == run {
 			st.stopSent = false // the next listing repeats it
@@ -73,14 +73,14 @@
 	if r.Verdict == worker.Accepted {
 		t.stopAckClock = r.Clock
 		t.stopAckAt = now
-		s.out.Probes = append(s.out.Probes, id)
+		s.actions.Probes = append(s.actions.Probes, id)
 		return
 	}
 	t.stateSince = now // Tick repeats it
 }
 
 // order finds a task by an order that was given for it.
-func (s *Shard) order(id string, ref submission.TaskRef, run uint64) (*host, *task) {
+func (s *Shard) orderedTask(id string, ref submission.TaskRef, run uint64) (*host, *task) {
 	h, known := s.workers[id]
 	j, open := s.jobs[ref.ID]
 	if !known || !open {
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -15,27 +15,27 @@
 	settings Settings
 	token    uint64
 
-	scanned   bool          // the records in the store are known
-	barrierAt time.Duration // when the leases that an earlier holder gave are certainly over
-	barred    bool          // tasks whose place is unknown may not start
-	evacuated bool          // nothing may start in the failure domain
-	outdated  bool          // a newer list of workers can be had
-
-	jobs      map[submission.ID]*job
-	workers   map[string]*host
-	past      map[submission.ID]endedJob    // that ended here lately
-	dead      map[string]deadWorker         // workers that another incarnation has replaced, by ID
-	leftovers map[string]unlistedStarts     // of workers that are known no more, by ID
-	early     map[string]earlyListing       // listings that came before the records
-	orphans   map[submission.ID][]orphanEnd // ends of runs of submissions not known yet
-	shortAt   time.Duration                 // when runs of transient submissions that nobody lists are over
-	pace      map[string]*policy.Pace       // by queue
-	losses    []lostWorker                  // lately
-	anyLosses bool                          // a worker was lost under a task that is here
-	out       Actions
-	pruneAt   time.Duration
-	sweepAt   time.Duration // when all submissions are looked through next
-	dirty     bool          // something may start
+	recordsLoaded bool          // the records in the store are known
+	barrierUntil  time.Duration // when the leases that an earlier holder gave are certainly over
+	barrierUp     bool          // tasks whose place is unknown may not start
+	evacuated     bool          // nothing may start in the failure domain
+	listOutdated  bool          // a newer list of workers can be had
+
+	jobs                  map[submission.ID]*job
+	workers               map[string]*host
+	recentlyEnded         map[submission.ID]endedJob   // that ended here lately
+	replacedWorkers       map[string]replacedWorker    // workers that another incarnation has replaced, by ID
+	leftoverStarts        map[string]unlistedStarts    // of workers that are known no more, by ID
+	earlyListings         map[string]earlyListing      // listings that came before the records
+	earlyEnds             map[submission.ID][]earlyEnd // ends of runs of submissions not known yet
+	transientBarrierUntil time.Duration                // when runs of transient submissions that nobody lists are over
+	paceByQueue           map[string]*policy.Pace      // by queue
+	recentLosses          []lostWorker                 // lately
+	hasLosses             bool                         // a worker was lost under a task that is here
+	actions               Actions
+	nextPruneAt           time.Duration
+	nextSweepAt           time.Duration // when all submissions are looked through next
+	placementDue          bool          // something may start
 }
 
 // endedJob is what is remembered of a submission that has ended here. A message
@@ -49,15 +49,15 @@
 	at                 time.Duration
 }
 
-// deadWorker is the newest incarnation of a worker that another has replaced.
-type deadWorker struct {
+// replacedWorker is the newest incarnation of a worker that another has replaced.
+type replacedWorker struct {
 	born int64 // 0: not known
 	at   time.Duration
 }
 
-// pastFor is how long ended submissions are remembered. Calls of the store that
+// endedRetention is how long ended submissions are remembered. Calls of the store that
 // had no answer may be carried out some seconds later.
-const pastFor = time.Minute
+const endedRetention = time.Minute
 
 type earlyListing struct {
 	sent    time.Duration
@@ -65,22 +65,22 @@
 }
 
 // New returns a shard under a token that its holder has just acquired. Runs that
-// an earlier holder has started are over by barrierAt, unless a worker lists them.
+// an earlier holder has started are over by barrierUntil, unless a worker lists them.
 func New(now time.Duration, s Settings, token uint64, barrierAt time.Duration) *Shard {
 	return &Shard{
-		shortAt:   min(now+shortBarrier, barrierAt),
-		orphans:   make(map[submission.ID][]orphanEnd),
-		settings:  s,
-		token:     token,
-		barrierAt: barrierAt,
-		barred:    true,
-		jobs:      make(map[submission.ID]*job),
-		workers:   make(map[string]*host),
-		early:     make(map[string]earlyListing),
-		past:      make(map[submission.ID]endedJob),
-		dead:      make(map[string]deadWorker),
-		leftovers: make(map[string]unlistedStarts),
-		pace:      make(map[string]*policy.Pace),
+		transientBarrierUntil: min(now+transientBarrier, barrierAt),
+		earlyEnds:             make(map[submission.ID][]earlyEnd),
+		settings:              s,
+		token:                 token,
+		barrierUntil:          barrierAt,
+		barrierUp:             true,
+		jobs:                  make(map[submission.ID]*job),
+		workers:               make(map[string]*host),
+		earlyListings:         make(map[string]earlyListing),
+		recentlyEnded:         make(map[submission.ID]endedJob),
+		replacedWorkers:       make(map[string]replacedWorker),
+		leftoverStarts:        make(map[string]unlistedStarts),
+		paceByQueue:           make(map[string]*policy.Pace),
 	}
 }
 
@@ -89,29 +89,29 @@
 
 // Take returns the actions since the last call.
 func (s *Shard) TakeActions() Actions {
-	out := s.out
-	s.out = Actions{}
+	out := s.actions
+	s.actions = Actions{}
 	return out
 }
 
 // Records takes the unfinished submissions of the shard as the store has them.
 // Those that are known already stay as they are.
 func (s *Shard) AddRecords(now time.Duration, records []StoredRecord) {
-	first := !s.scanned
-	s.scanned = true
+	first := !s.recordsLoaded
+	s.recordsLoaded = true
 	for _, r := range records {
 		if !s.IsKnown(r) {
 			s.adopt(now, r)
 		}
 	}
 	if first {
-		for _, id := range slices.Sorted(maps.Keys(s.early)) {
-			e := s.early[id]
+		for _, id := range slices.Sorted(maps.Keys(s.earlyListings)) {
+			e := s.earlyListings[id]
 			s.HandleListing(now, id, e.sent, e.listing)
 		}
-		s.early = nil
+		s.earlyListings = nil
 	}
-	s.dirty = true
+	s.placementDue = true
 }
 
 // adopt takes over a submission that may have runs somewhere.
@@ -119,7 +119,7 @@
 	j := newJob(now, r, s.runBase(r.Record))
 	s.add(j)
 	for _, t := range j.tasks {
-		if t.state == taskWaiting && s.barred {
+		if t.state == taskWaiting && s.barrierUp {
 			t.state = taskUnlocated
 		}
 	}
@@ -127,7 +127,7 @@
 		s.finish(now, j)
 		return
 	}
-	s.tell(j)
+	s.reportState(j)
 }
 
 // Remembers reports whether a stored submission is one that is known here, or that has left this
@@ -136,7 +136,7 @@
 	if _, open := s.jobs[r.Record.ID]; open {
 		return true
 	}
-	p, known := s.past[r.Record.ID]
+	p, known := s.recentlyEnded[r.Record.ID]
 	return known && (p.reassignedRevision == 0 || r.Revision <= p.reassignedRevision)
 }
 
@@ -160,18 +160,18 @@
 	if !r.Record.Transient && s.IsKnown(r) {
 		return false
 	}
-	if state, known := s.State(r.Record.ID); known && r.Record.Transient && s.sent(now, r.Record, state) {
+	if state, known := s.State(r.Record.ID); known && r.Record.Transient && s.handleRepeated(now, r.Record, state) {
 		return false
 	}
 	s.add(newJob(now, r, 0))
-	s.dirty = true
+	s.placementDue = true
 	return true
 }
 
 // add takes a submission among the open ones.
 func (s *Shard) add(j *job) {
 	s.jobs[j.rec.ID] = j
-	s.anyLosses = s.anyLosses || len(j.rec.Progress.Losses) > 0
+	s.hasLosses = s.hasLosses || len(j.rec.Progress.Losses) > 0
 }
 
 // Knows returns the state of a submission here.
@@ -179,7 +179,7 @@
 	if j, open := s.jobs[id]; open {
 		return j.state, true
 	}
-	p, known := s.past[id]
+	p, known := s.recentlyEnded[id]
 	return p.state, known
 }
 
@@ -188,7 +188,7 @@
 	if j, open := s.jobs[id]; open {
 		return StateAction{ID: id, Home: j.rec.Home, State: j.state, Serial: j.rec.Serial, Returned: j.returned}, true
 	}
-	p, known := s.past[id]
+	p, known := s.recentlyEnded[id]
 	return StateAction{ID: id, State: p.state, Serial: p.serial, Returned: p.returned}, known
 }
 
@@ -201,29 +201,29 @@
 	if j.state.Final() {
 		return
 	}
-	s.halt(j, "cancelled")
+	s.stopAllRuns(j, "cancelled")
 	j.state = submission.Cancelled
-	s.settled(now, j)
+	s.settle(now, j)
 }
 
 // FinalStored says that the end of a submission is in the store.
 func (s *Shard) FinalStored(now time.Duration, id submission.ID) {
 	if j, known := s.jobs[id]; known {
-		s.settled(now, j)
+		s.settle(now, j)
 	}
 }
 
 // settled acknowledges a submission's ends, and forgets it once nothing of it takes
 // room any more.
-func (s *Shard) settled(now time.Duration, j *job) {
+func (s *Shard) settle(now time.Duration, j *job) {
 	j.endStored = true
-	s.past[j.rec.ID] = endedJob{state: j.state, part: extentOf(j.rec), serial: j.rec.Serial, returned: j.returned, at: now}
+	s.recentlyEnded[j.rec.ID] = endedJob{state: j.state, part: extentOf(j.rec), serial: j.rec.Serial, returned: j.returned, at: now}
 	s.acknowledge()
-	s.reap(j)
-	s.dirty = true
+	s.removeIfDone(j)
+	s.placementDue = true
 }
 
-func (s *Shard) reap(j *job) {
+func (s *Shard) removeIfDone(j *job) {
 	if j.endStored && !j.hasRunsOnWorkers() {
 		delete(s.jobs, j.rec.ID)
 	}
@@ -246,7 +246,7 @@
 	}
 	s.acknowledge()
 	if j.state.Final() {
-		s.end(now, j, j.state, j.endReason) // its end waited for the new revision
+		s.endSubmission(now, j, j.state, j.endReason) // its end waited for the new revision
 	}
 }
 
@@ -257,16 +257,16 @@
 	if !known {
 		return
 	}
-	s.halt(j, "its record has changed")
-	s.settled(now, j)
+	s.stopAllRuns(j, "its record has changed")
+	s.settle(now, j)
 	if !j.state.Final() {
-		delete(s.past, id) // what became of it stands in the store
+		delete(s.recentlyEnded, id) // what became of it stands in the store
 	}
 }
 
 // acknowledge passes the ends whose effect is in the store.
 func (s *Shard) acknowledge() {
-	if !s.scanned {
+	if !s.recordsLoaded {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
@@ -278,35 +278,35 @@
 		}
 		if seen != h.ackedEnd {
 			h.ackedEnd = seen
-			s.out.Acks = append(s.out.Acks, AckAction{Worker: id, UpTo: seen})
+			s.actions.Acks = append(s.actions.Acks, AckAction{Worker: id, UpTo: seen})
 		}
 	}
 }
 
 // end brings a submission to its final state.
-func (s *Shard) end(now time.Duration, j *job, state submission.State, why string) {
+func (s *Shard) endSubmission(now time.Duration, j *job, state submission.State, why string) {
 	if j.state != state {
 		j.state = state
 		j.endReason = why
-		s.halt(j, why)
-		s.tell(j)
+		s.stopAllRuns(j, why)
+		s.reportState(j)
 	}
 	if j.rec.Transient {
-		s.settled(now, j)
+		s.settle(now, j)
 		return
 	}
 	if j.saving {
 		return // its record is being written; the end follows with the new revision
 	}
-	s.out.Finals = append(s.out.Finals, FinalAction{ID: j.rec.ID, Revision: j.revision, State: state, Reason: why})
+	s.actions.Finals = append(s.actions.Finals, FinalAction{ID: j.rec.ID, Revision: j.revision, State: state, Reason: why})
 }
 
 // halt stops all runs of a submission.
-func (s *Shard) halt(j *job, why string) {
+func (s *Shard) stopAllRuns(j *job, why string) {
 	for _, t := range j.tasks {
 		switch t.state {
 		case taskStarting, taskRunning, taskUnconfirmed:
-			s.stop(t, why)
+			s.orderStop(t, why)
 			t.state = taskStoppingForGood
 			t.stopAckClock = 0
 		case taskStoppingToRestart:
@@ -317,8 +317,8 @@
 	}
 }
 
-func (s *Shard) stop(t *task, why string) {
-	s.out.Stops = append(s.out.Stops, StopAction{
+func (s *Shard) orderStop(t *task, why string) {
+	s.actions.Stops = append(s.actions.Stops, StopAction{
 		Worker: t.host.info,
 		Task:   t.ref,
 		Run:    t.newestRun,
@@ -326,17 +326,17 @@
 	})
 }
 
-func (s *Shard) tell(j *job) {
-	s.out.States = append(s.out.States, StateAction{ID: j.rec.ID, Home: j.rec.Home, State: j.state, Serial: j.rec.Serial, Returned: j.returned})
+func (s *Shard) reportState(j *job) {
+	s.actions.States = append(s.actions.States, StateAction{ID: j.rec.ID, Home: j.rec.Home, State: j.state, Serial: j.rec.Serial, Returned: j.returned})
 }
 
 // finish ends a submission that has no task left here.
 func (s *Shard) finish(now time.Duration, j *job) {
 	if len(j.returned) > 0 {
-		s.end(now, j, submission.Returned, "what was left of it was given back")
+		s.endSubmission(now, j, submission.Returned, "what was left of it was given back")
 		return
 	}
-	s.end(now, j, submission.Done, "all tasks have completed")
+	s.endSubmission(now, j, submission.Done, "all tasks have completed")
 }
 
 // Unfinished returns the submissions that have not ended, in order.
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -10,9 +10,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// orphanEnd is an end that was listed before its transient submission came from its
+// earlyEnd is an end that was listed before its transient submission came from its
 // home. Without it the task would run again after a change of the holder.
-type orphanEnd struct {
+type earlyEnd struct {
 	host *host
 	end  worker.Ended
 	at   time.Duration
@@ -22,39 +22,39 @@
 const (
 	// The homes of transient submissions hand them to the new holder within some
 	// milliseconds; a home that is cut off does not.
-	resumeWithin = 600 * time.Millisecond
+	handoverTimeout = 600 * time.Millisecond
 	// An earlier holder that lives ends the runs of homes that it has lost within
 	// 800 ms; one that does not live lets them lapse within a second.
-	shortBarrier = 1300 * time.Millisecond
+	transientBarrier = 1300 * time.Millisecond
 )
 
 // sent handles a transient submission that is known here, as its caller has sent it
 // again. It reports false if it is to run again.
-func (s *Shard) sent(now time.Duration, r *submission.Record, state submission.State) bool {
+func (s *Shard) handleRepeated(now time.Duration, r *submission.Record, state submission.State) bool {
 	j, open := s.jobs[r.ID]
 	switch {
 	case open && j.rec.Serial == r.Serial && r.Serial != 0:
-		s.takeOverHome(r, state) // its home hands it over again
+		s.setHome(r, state) // its home hands it over again
 		return true
 	case open && extentOf(j.rec) != extentOf(r):
 		// Another part of it was here: its runs end first.
 		if !j.state.Final() {
-			s.end(now, j, submission.Cancelled, "its caller has sent it again")
+			s.endSubmission(now, j, submission.Cancelled, "its caller has sent it again")
 		}
-		s.out.States = append(s.out.States, StateAction{ID: r.ID, Home: r.Home, State: submission.Cancelled, Serial: r.Serial})
+		s.actions.States = append(s.actions.States, StateAction{ID: r.ID, Home: r.Home, State: submission.Cancelled, Serial: r.Serial})
 		return true
 	case open:
-		s.takeOverHome(r, state)
+		s.setHome(r, state)
 		return true
-	case !open && s.past[r.ID].reassignedRevision > 0:
+	case !open && s.recentlyEnded[r.ID].reassignedRevision > 0:
 		return false // a stored submission of that name went elsewhere
-	case s.past[r.ID].serial == r.Serial:
+	case s.recentlyEnded[r.ID].serial == r.Serial:
 		// Its home hands it over again, not knowing of its end: it must not run after
 		// the caller was told that it has not.
-		s.takeOverHome(r, state)
+		s.setHome(r, state)
 		return true
-	case s.past[r.ID].part == extentOf(r) && (state == submission.Done || state == submission.Failed):
-		s.takeOverHome(r, state)
+	case s.recentlyEnded[r.ID].part == extentOf(r) && (state == submission.Done || state == submission.Failed):
+		s.setHome(r, state)
 		return true
 	default:
 		return false
@@ -75,48 +75,48 @@
 	return extent{first: r.Steps[0].FirstIndex, count: r.Steps[0].Count, elsewhere: fmt.Sprint(r.TasksElsewhere)}
 }
 
-// takeOverHome makes the VM at which a caller has asked again the submission's home.
-func (s *Shard) takeOverHome(r *submission.Record, state submission.State) {
+// setHome makes the VM at which a caller has asked again the submission's home.
+func (s *Shard) setHome(r *submission.Record, state submission.State) {
 	if j := s.jobs[r.ID]; j != nil {
 		j.rec.Home = r.Home
 		j.rec.Serial = r.Serial
 	} else {
-		p := s.past[r.ID]
+		p := s.recentlyEnded[r.ID]
 		p.serial = r.Serial
-		s.past[r.ID] = p
+		s.recentlyEnded[r.ID] = p
 	}
 	told, _ := s.Report(r.ID)
 	told.Home, told.State = r.Home, state
-	s.out.States = append(s.out.States, told)
+	s.actions.States = append(s.actions.States, told)
 }
 
 // Resume takes a transient submission that its home had given to an earlier holder.
 // Some of its tasks may still run.
 func (s *Shard) Resume(now time.Duration, r *submission.Record) {
-	if state, known := s.State(r.ID); known && s.sent(now, r, state) {
+	if state, known := s.State(r.ID); known && s.handleRepeated(now, r, state) {
 		return
 	}
 	j := newJob(now, StoredRecord{Record: r}, s.runBase(r))
 	j.resumed = true
 	s.add(j)
 	for _, t := range j.tasks {
-		if t.state == taskWaiting && s.barred {
+		if t.state == taskWaiting && s.barrierUp {
 			t.state = taskUnlocated
 		}
 	}
-	for _, o := range s.orphans[r.ID] {
+	for _, o := range s.earlyEnds[r.ID] {
 		if t := j.task(o.end.Task.Task); t != nil {
-			s.endedTask(now, o.host, t, o.end)
+			s.handleTaskEnd(now, o.host, t, o.end)
 		}
 	}
-	delete(s.orphans, r.ID)
+	delete(s.earlyEnds, r.ID)
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
-		s.workers[id].resume(now, s, j)
+		s.workers[id].adoptStrayRuns(now, s, j)
 	}
 	if j.tasksLeft == 0 && !j.state.Final() {
 		s.finish(now, j)
 	}
-	s.dirty = true
+	s.placementDue = true
 }
 
 // TakeBack rejects a transient submission if nothing of it has begun; otherwise its home is
@@ -127,9 +127,9 @@
 	case !open || !j.rec.Transient || j.state.Final():
 		return // its home has been told, or asks
 	case j.hasBegun():
-		s.tell(j)
+		s.reportState(j)
 	default:
-		s.end(now, j, submission.Rejected, "its home takes it back")
+		s.endSubmission(now, j, submission.Rejected, "its home takes it back")
 	}
 }
 
@@ -140,7 +140,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		if j.rec.Transient && j.rec.Home == home && !j.state.Final() {
-			s.end(now, j, submission.Cancelled, "its home is lost")
+			s.endSubmission(now, j, submission.Cancelled, "its home is lost")
 			ended++
 		}
 	}
