--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -16,15 +16,16 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// Times of the writes of a holder.
+// Delays and time-outs of a holder's calls of the store.
 const (
-	endsBatchDelay   = 40 * time.Millisecond // ends that come within it share a transaction
-	endsWriteTimeout = time.Hour             // a holder goes on trying for as long as it holds the shard
+	endsBatchDelay   = 40 * time.Millisecond // ends within this time share a transaction
+	endsWriteTimeout = time.Hour             // a holder retries for as long as it holds the shard
 	claimTimeout     = 2 * time.Second
 	scanRetryDelay   = 50 * time.Millisecond
-	leaseMargin      = 100 * time.Millisecond // beyond the longest lease: drift and rounding
+	leaseMargin      = 100 * time.Millisecond // added to the longest lease for clock drift and rounding
 )
 
+// apply takes in changes of the site's keys, or a snapshot of all of them.
 func (ev siteEvent) apply(e *engine) {
 	var err error
 	if ev.whole {
@@ -37,7 +38,7 @@
 		}
 	}
 	if err != nil {
-		klog.ErrorS(err, "kept: a key of the site cannot be read")
+		klog.ErrorS(err, "kept: site key cannot be decoded")
 	}
 	e.site.StoreAnswered(ev.sent, e.now)
 	e.applyHoldings(ev.sent)
@@ -45,21 +46,22 @@
 	e.linksOutdated = true
 }
 
-// updateSitePacing says whether news of the site may reach this VM late: it holds nothing, and each shard of its
-// domain has a holder that it can reach. New holders speak up by themselves.
+// updateSitePacing decides whether changes of the site may reach this VM late. They may while it holds no
+// shard and each shard of its domain has a holder that it can reach: new holders open links by themselves.
 func (e *engine) updateSitePacing() {
-	calm := 0
+	relaxed := 0
 	if n := e.site.MemberCount(); n > site.MaxFullMeshPeers && len(e.shards) == 0 && e.now-e.startedAt > startupPeriod && e.site.AllShardsHeld(e.vm.config.Domain) {
-		calm = n
+		relaxed = n
 	}
-	e.vm.relaxedSiteSize.Store(int64(calm))
+	e.vm.relaxedSiteSize.Store(int64(relaxed))
 }
 
-// startupPeriod is how long after its start a VM follows the site at once: the others start with it.
+// startupPeriod is how long after its start a VM follows all changes of the site without delay: the other
+// VMs may be starting with it.
 const startupPeriod = 5 * time.Second
 
-// applyHoldings takes up the shards that this VM holds by the store, and drops
-// those that it does not. sent is when the store was asked.
+// applyHoldings acquires the shards that this VM holds according to the store and drops
+// those that it does not. sent is when the call of the store left.
 func (e *engine) applyHoldings(sent time.Duration) {
 	e.holdersChanged = true
 	all := e.site.Holdings()
@@ -80,9 +82,9 @@
 	}
 }
 
-// acquireShard begins to hold a shard.
+// acquireShard starts to serve a shard that this VM now holds.
 func (e *engine) acquireShard(holding site.Holding) {
-	// Runs that the earlier holder started and that no worker lists are over then.
+	// After barrierAt, runs that the previous holder started and that no worker lists are over.
 	barrierAt := e.now + e.vm.config.MaxLease + leaseMargin
 	if !holding.PredecessorStopped {
 		barrierAt += holdingExpiredAfter
@@ -119,6 +121,7 @@
 	return s
 }
 
+// dropShard ends the work on a shard that this VM no longer holds.
 func (e *engine) dropShard(h *heldShard, now site.Holding) {
 	h.cancel()
 	delete(e.shards, h.holding.Shard)
@@ -129,13 +132,15 @@
 		"new_holder", now.Holder, "new_token", now.Token, "unfinished", len(h.core.Unfinished()))
 }
 
-// claimShards claims what is this VM's to claim.
+// claimShards makes the claims that are due: shards that this VM takes over or hands to another.
 func (e *engine) claimShards() {
 	for _, c := range e.site.Decide(e.now) {
 		e.claim(c)
 	}
 }
 
+// claim writes a claim to the store. A shard of another domain is claimed for this VM only if one of its
+// workers answers, twice in a row.
 func (e *engine) claim(c site.Claim) {
 	name := c.From.Shard
 	if e.claimsInFlight[name] {
@@ -145,16 +150,16 @@
 	klog.InfoS("kept: shard claimed", "shard", name, "for", c.To.Holder, "from", c.From.Holder,
 		"token", c.To.Token, "revision", c.From.Revision, "why", c.Why)
 	domain := site.DomainOf(name)
-	foreign := c.To.Holder == e.vm.config.Name && domain != e.vm.config.Domain
-	confirmed := e.probedAt[name] > 0 && e.now-e.probedAt[name] < maxProbeAge
+	otherDomain := c.To.Holder == e.vm.config.Name && domain != e.vm.config.Domain
+	reachedBefore := e.probedAt[name] > 0 && e.now-e.probedAt[name] < maxProbeAge
 	e.vm.spawn(func() {
 		ctx, cancel := context.WithTimeout(e.ctx, claimTimeout)
 		defer cancel()
-		if foreign && !e.vm.canReachShard(ctx, name) {
+		if otherDomain && !e.vm.canReachShard(ctx, name) {
 			e.vm.post(claimedEvent{claim: c, err: errWorkersUnreachable})
 			return
 		}
-		if foreign && !confirmed {
+		if otherDomain && !reachedBefore {
 			e.vm.post(claimedEvent{claim: c, err: errFirstProbe})
 			return
 		}
@@ -166,33 +171,32 @@
 	})
 }
 
-// errFirstProbe puts a claim off until the site has been looked at twice, a second apart:
-// at a heal, workers of a domain can be reached some 400 ms before the links to its VMs
-// are back, and its shard would go to and fro.
-var errFirstProbe = errors.New("a worker was reached for the first time; the holder may be back")
+// errFirstProbe defers a claim until a worker has answered two probes, about a second apart. When
+// a partition heals, the workers of a domain can be reached some 400 ms before the links to its
+// VMs are back, and its shards would go back and forth.
+var errFirstProbe = errors.New("first successful probe of a worker; claim deferred as the holder may be back")
 
-const maxProbeAge = 4 * time.Second // between the two looks
+const maxProbeAge = 4 * time.Second // longest time between the two probes
 
 var errWorkersUnreachable = errors.New("no worker of the shard can be reached")
 
-// maxProbes is how many workers of a shard are asked whether they can be reached. One that answers is
-// enough.
+// maxProbes is how many workers of a shard are probed at most. One that answers is enough.
 const maxProbes = 4
 
-// canReachShard reports whether a worker of a shard answers. A domain that is cut off looks from
-// outside as if its VMs had died; its own holder serves on there, and a holder outside could not
-// reach any worker and would end all runs after the cut.
+// canReachShard reports whether a worker of a shard answers a probe. A domain that is cut off looks
+// from outside as if its VMs had died, while its own holder goes on serving it. A holder outside
+// could not reach any worker, and would end all runs once the network is back.
 //
-// The workers are those that the last holder noted. To read the list of all workers for it takes the
-// store a second's worth of its link when a domain of a large site is cut off, as several VMs look
-// after each of its shards.
+// It probes the workers that the last holder stored. Reading the list of all workers instead would
+// take a second of the store's whole link when a domain of a large site is cut off, as several VMs
+// check each of its shards.
 func (v *VM) canReachShard(ctx context.Context, name string) bool {
 	workers, err := v.readStoredWorkers(ctx, name)
 	if err == nil && len(workers) == 0 {
 		workers, err = v.readDomainWorkers(ctx, site.DomainOf(name), true)
 	}
 	if err != nil {
-		klog.InfoS("kept: the workers of a shard cannot be read", "shard", name, "why", err)
+		klog.InfoS("kept: workers of a shard cannot be read from the store", "shard", name, "why", err)
 		return false
 	}
 	workers = workers[:min(len(workers), maxProbes)]
@@ -225,7 +229,7 @@
 	}
 	item := store.Item{Key: site.ShardKey(name), Value: site.Encode(ev.claim.To), Revision: ev.revision}
 	if err := e.site.Apply(e.now, store.Event{Item: item}); err != nil {
-		klog.ErrorS(err, "kept: a key of the site cannot be read")
+		klog.ErrorS(err, "kept: site key cannot be decoded")
 		return
 	}
 	delete(e.probedAt, name)
@@ -233,12 +237,12 @@
 	e.requeryNewHolders()
 }
 
-// scan reads the unfinished submissions of a shard from the store.
+// scanRecords reads the unfinished submissions of a shard from the store.
 func (e *engine) scanRecords(name string, h *heldShard) {
 	h.scanning = true
 	token := h.holding.Token
-	// What is read later only finds records whose holder was not told of them; what
-	// has ended meanwhile is remembered. Such a read costs a tenth.
+	// Scans after the first may read stale data, at a tenth of the cost: they only find records
+	// that the holder was not told of, and it remembers which submissions have ended meanwhile.
 	stale := h.scannedAt > 0
 	e.vm.spawn(func() {
 		for h.ctx.Err() == nil {
@@ -259,13 +263,14 @@
 	})
 }
 
+// decodeRecords returns the records of a shard. Those that cannot be decoded are logged and left out.
 func decodeRecords(name string, items []store.Item) []shard.StoredRecord {
 	var out []shard.StoredRecord
 	for _, it := range items {
 		id := submission.ID(strings.TrimPrefix(it.Key, submission.OpenPrefix))
 		r, err := submission.DecodeRecord(id, it.Value)
 		if err != nil {
-			klog.ErrorS(err, "kept: a stored submission cannot be read", "id", id, "revision", it.Revision)
+			klog.ErrorS(err, "kept: stored submission cannot be decoded", "id", id, "revision", it.Revision)
 			continue
 		}
 		if r.Shard == name {
@@ -275,6 +280,7 @@
 	return out
 }
 
+// apply hands the records that were read to the shard, with the workers that the previous holder stored.
 func (ev scannedEvent) apply(e *engine) {
 	h := e.shards[ev.shard]
 	if h == nil || h.holding.Token != ev.token {
@@ -301,15 +307,16 @@
 	}
 }
 
+// apply hands over all shards of this VM.
 func (ev drainEvent) apply(e *engine) {
 	e.site.StopClaiming()
 	claims := e.site.HandOver()
-	klog.InfoS("kept: stopping, shards are handed over", "shards", len(claims))
+	klog.InfoS("kept: stopping, handing over shards", "shards", len(claims))
 	for _, c := range claims {
 		e.claim(c)
 	}
 	if len(claims) == 0 {
-		close(ev.done) // there is nothing to hand over, or nobody to take it
+		close(ev.done) // no shard to hand over, or no VM to take it
 		return
 	}
 	e.drained = ev.done
