--- a/internal/kept/site/decide.go
+++ b/internal/kept/site/decide.go
@@ -10,25 +10,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Claim is a change of a shard's holder. It holds if the shard's key is still at
-// the revision.
+// Claim is a change of a shard's holder. It takes effect if the shard's key is still at the
+// revision of From.
 type Claim struct {
 	From Holding
-	To   Holding // without a revision
-	Why  string
+	To   Holding // its Revision is not set
+	Why  string  // for the log
 }
 
-// handbackInterval is how often a holder looks whether another VM should have its shard. The look
-// ranks all members, and shards go back after seconds: made at each round of a VM it was
-// half of the processor of the engine on a site of 34 VMs (BenchmarkSite).
+// handbackInterval is how often a holder checks whether another VM should hold its shards. The check
+// ranks all members, and handing a shard back takes seconds anyway. In each round of the engine
+// it took half of the engine's CPU time on a site of 34 VMs (BenchmarkSite).
 const handbackInterval = 250 * time.Millisecond
 
-// decideInterval is how often it is looked for claims that are due, unless something was learnt. Turns
-// are 150 ms apart. Made at each round of a VM the look was a quarter of the engine's processor on a
-// site of 34 VMs under load (BenchmarkSite).
+// decideInterval is how often Decide looks for due claims if nothing has changed; claims of different
+// VMs are 150 ms apart (Settings.ClaimStagger). In each round of the engine this took a quarter of the
+// engine's CPU time on a site of 34 VMs under load (BenchmarkSite).
 const decideInterval = 20 * time.Millisecond
 
-// Decide returns the claims that are due.
+// Decide returns the claims that are due. The caller carries them out.
 func (s *Site) Decide(now time.Duration) []Claim {
 	if s.stopping || !s.changed && now-s.decidedAt < decideInterval {
 		return nil
@@ -37,23 +37,23 @@
 	s.decidedAt = now
 	var out []Claim
 	taken := false
-	rank := now-s.handbackCheckedAt >= handbackInterval
-	if rank {
+	checkHandback := now-s.handbackCheckedAt >= handbackInterval
+	if checkHandback {
 		s.handbackCheckedAt = now
 	}
-	l := s.newClaimPass()
+	pass := s.newClaimPass()
 	for _, v := range s.sortedShards {
 		h := v.holding
 		if taken && !s.HeldBySelf(h) {
-			continue // first it is to be seen that this VM holds one more
+			continue // one takeover per pass: the next ranks must count this shard
 		}
 		var c Claim
 		var due bool
 		switch {
 		case !s.HeldBySelf(h):
-			c, due = s.takeOver(now, v, l)
-		case rank:
-			c, due = s.giveBack(now, v, l.held())
+			c, due = s.takeOver(now, v, pass)
+		case checkHandback:
+			c, due = s.giveBack(now, v, pass.shardCounts())
 		}
 		if due {
 			v.claimedAt = now
@@ -64,9 +64,10 @@
 	return out
 }
 
-// takeOver claims a shard whose holder is not there, when it is this VM's turn.
-func (s *Site) takeOver(now time.Duration, v *shardState, l *claimPass) (Claim, bool) {
-	why, vacant := s.vacancyReason(now, v.holding)
+// takeOver claims a shard without a live holder once this VM's delay has passed: the higher its
+// rank among the candidates, the later it claims.
+func (s *Site) takeOver(now time.Duration, v *shardState, pass *claimPass) (Claim, bool) {
+	why, vacant := s.vacant(now, v.holding)
 	if !vacant {
 		v.vacantSince = 0
 		return Claim{}, false
@@ -80,34 +81,35 @@
 	wait := time.Duration(0)
 	if domain := DomainOf(v.holding.Shard); s.self.Domain != domain {
 		wait = s.settings.OtherDomainDelay
-		// The VMs of its domain come first: without them the wait is at least so long. To rank all VMs
-		// for each shard of the site at each look took a small VM all its processor while a site of
-		// 147 VMs started, so that links failed and sound holders passed for dead.
-		least := wait + time.Duration(l.candidateCounts()[domain])*s.settings.ClaimStagger
-		if now-s.startedAt < s.settings.StartupDelay || now-v.vacantSince < least {
+		// The VMs of the shard's own domain rank first, so the wait has a lower bound that needs no
+		// ranking. Ranking all VMs for each shard in each pass took all the CPU of a small VM while a
+		// site of 147 VMs started; its links failed, and live holders were taken for dead.
+		minWait := wait + time.Duration(pass.candidateCounts()[domain])*s.settings.ClaimStagger
+		if now-s.startedAt < s.settings.StartupDelay || now-v.vacantSince < minWait {
 			return Claim{}, false
 		}
 	}
-	rank, able := l.rank(v.holding.Shard, v.holding.Holder)
+	rank, eligible := pass.rank(v.holding.Shard, v.holding.Holder)
 	wait += time.Duration(rank) * s.settings.ClaimStagger
-	if !able || now-v.vacantSince < wait {
+	if !eligible || now-v.vacantSince < wait {
 		return Claim{}, false
 	}
 	return s.newClaim(v.holding, s.self, why), true
 }
 
-func (s *Site) vacancyReason(now time.Duration, h Holding) (why string, vacancyReason bool) {
+// vacant reports whether a shard has no live holder, and why.
+func (s *Site) vacant(now time.Duration, h Holding) (why string, vacant bool) {
 	if h.Holder == "" {
-		return "nobody holds it", true
+		return "it has no holder", true
 	}
 	m, there := s.members[h.Holder]
 	switch {
 	case s.HolderRestarted(h):
-		return "its holder has started again", true
+		return "its holder has restarted", true
 	case !there && (s.linkUp[h.Holder] || s.inGrace(now, h)):
 		return "", false
 	case now-s.contactSince < s.settings.MinStoreUptime:
-		// This VM was cut off itself: its links are not back yet, whoever lives.
+		// This VM was cut off itself: its links may still be down although the peers are alive.
 		return "", false
 	case !there:
 		return "its holder's key has lapsed", true
@@ -118,18 +120,19 @@
 	}
 }
 
+// inGrace reports whether a holder's key has lapsed so recently that it may write it again.
 func (s *Site) inGrace(now time.Duration, h Holding) bool {
-	l, known := s.lapsedMembers[h.Holder]
+	l, known := s.lapsed[h.Holder]
 	return known && l.member.Incarnation == h.Incarnation && !s.linkLost[h.Holder] && now-l.at < s.settings.LapsedKeyGrace
 }
 
-// giveBack hands a shard of another domain to a VM of that domain, and one of several
-// shards to a VM with fewer, once such a VM has been there for a while.
+// giveBack hands a shard of another domain back to a VM of that domain, or rebalances a shard of the own
+// domain to a VM with a lower load, once that VM has been the better holder for HandbackDelay.
 //
-// What is given away in the same look counts as held by its successor. Otherwise a VM with two shards gives
-// both to one with none, which gives both back some seconds later, and so on: with 18 VMs of three
-// shards a domain, a shard changed hands 333 times in a minute of restarts, and each time all
-// submissions there were handed over again.
+// Shards given away in the same pass count as held by their successors already. Otherwise a VM with two
+// shards gives both to a VM with none, which gives both back some seconds later, and so on: with 18
+// VMs and three shards per domain, a shard changed hands 333 times in a minute of restarts, and each
+// time all its submissions were handed over again.
 func (s *Site) giveBack(now time.Duration, v *shardState, held map[string]int) (Claim, bool) {
 	successor, found := s.successor(v.holding.Shard, held)
 	why, better := "", false
@@ -151,21 +154,22 @@
 	return s.newClaim(v.holding, successor, why), true
 }
 
+// handbackReason reports whether a successor is a better holder of a shard than this VM, and why.
 func (s *Site) handbackReason(successor Member, shard string, held map[string]int) (why string, better bool) {
 	domain := DomainOf(shard)
 	switch {
 	case successor.Domain == domain && s.self.Domain != domain:
-		return "a VM of its own domain is there", true
+		return "a VM of its own domain is available", true
 	case successor.Domain != domain:
 		return "", false
-	case shardsPerCore(successor, held[successor.Name]+1) < shardsPerCore(s.self, held[s.self.Name]):
-		return "another VM of its domain holds less", true
+	case load(successor, held[successor.Name]+1) < load(s.self, held[s.self.Name]):
+		return "another VM of its domain has a lower load", true
 	default:
 		return "", false
 	}
 }
 
-// held counts the shards of each entry VM.
+// shardCounts returns the number of shards that each entry VM holds.
 func (s *Site) shardCounts() map[string]int {
 	out := make(map[string]int)
 	for _, v := range s.shards {
@@ -174,24 +178,25 @@
 	return out
 }
 
-// burden is how much a VM has to do with so many shards.
-func shardsPerCore(m Member, shards int) float64 {
+// load returns the load of a VM with so many shards: shards per core, or shards if its cores are
+// not known.
+func load(m Member, shards int) float64 {
 	if m.Cores <= 0 {
 		return float64(shards)
 	}
 	return float64(shards) / m.Cores
 }
 
-// successor is who should hold a shard if this VM does not, as the VMs hold so many shards.
+// successor returns the entry VM, other than this one, that should hold a shard, given the shards held by each VM.
 func (s *Site) successor(shard string, held map[string]int) (Member, bool) {
-	able := s.eligible(shard, s.self.Name)
-	if len(able) == 0 {
+	eligible := s.eligible(shard, s.self.Name)
+	if len(eligible) == 0 {
 		return Member{}, false
 	}
-	return slices.MinFunc(able, func(a, b Member) int { return compareCandidates(shard, held, a, b) }), true
+	return slices.MinFunc(eligible, func(a, b Member) int { return compareCandidates(shard, held, a, b) }), true
 }
 
-// HandOver returns the claims that give all shards of this VM to others.
+// HandOver returns the claims that give all shards of this VM to other VMs, for a planned stop.
 func (s *Site) HandOver() []Claim {
 	var out []Claim
 	shardCounts := s.shardCounts()
@@ -201,7 +206,7 @@
 		}
 		if successor, found := s.successor(h.Shard, shardCounts); found {
 			shardCounts[successor.Name]++
-			out = append(out, s.newClaim(h, successor, "its holder stops"))
+			out = append(out, s.newClaim(h, successor, "its holder is stopping"))
 		}
 	}
 	return out
@@ -221,77 +226,79 @@
 	}
 }
 
-// look is what a look for claims needs to know of all VMs. It is worked out once for all shards of the look,
-// and only where a shard has no holder: after a restart of all VMs none has one, and to rank all VMs for
-// each shard by itself takes a small VM all its processor.
+// claimPass caches what one call of Decide needs to know of all VMs. Each value is computed at most once a
+// pass, and only if a shard needs it: after a restart of all VMs no shard has a holder, and
+// ranking all VMs anew for each shard takes all the CPU of a small VM.
 type claimPass struct {
 	site            *Site
-	held            func() map[string]int // shards by entry VM
-	candidateCounts func() map[string]int // entry VMs that are not suspected, by failure domain
-	ownDomain       func() []candidate    // entry VMs of this VM's domain that are not suspected
-	allDomains      func() []candidate    // the same of all domains
+	shardCounts     func() map[string]int // number of shards by entry VM
+	candidateCounts func() map[string]int // number of entry VMs whose link is not lost, by failure domain
+	sameDomain      func() []candidate    // entry VMs of this VM's domain whose link is not lost
+	allDomains      func() []candidate    // the same for all domains
 }
 
-// ranked is an entry VM as it may take a shard.
+// candidate is an entry VM that may take a shard.
 type candidate struct {
 	Member
-	load float64 // with one more shard
+	load float64 // shards per core with one more shard
 }
 
 func (s *Site) newClaimPass() *claimPass {
-	l := &claimPass{site: s, held: sync.OnceValue(s.shardCounts), candidateCounts: sync.OnceValue(s.candidateCounts)}
-	l.ownDomain = sync.OnceValue(func() []candidate { return l.candidates(s.self.Domain) })
-	l.allDomains = sync.OnceValue(func() []candidate { return l.candidates("") })
-	return l
+	pass := &claimPass{site: s, shardCounts: sync.OnceValue(s.shardCounts), candidateCounts: sync.OnceValue(s.countCandidates)}
+	pass.sameDomain = sync.OnceValue(func() []candidate { return pass.candidates(s.self.Domain) })
+	pass.allDomains = sync.OnceValue(func() []candidate { return pass.candidates("") })
+	return pass
 }
 
-// candidates returns the entry VMs of a failure domain, or of all, that are not suspected.
-func (l *claimPass) candidates(domain string) []candidate {
-	held := l.held()
+// candidates returns the entry VMs of a failure domain, or of all if it is empty, whose link is not lost.
+func (p *claimPass) candidates(domain string) []candidate {
+	shardCounts := p.shardCounts()
 	var out []candidate
-	for _, m := range l.site.members {
-		if (domain == "" || m.Domain == domain) && !l.site.linkLost[m.Name] {
-			out = append(out, candidate{Member: m, load: shardsPerCore(m, held[m.Name]+1)})
+	for _, m := range p.site.members {
+		if (domain == "" || m.Domain == domain) && !p.site.linkLost[m.Name] {
+			out = append(out, candidate{Member: m, load: load(m, shardCounts[m.Name]+1)})
 		}
 	}
 	return out
 }
 
-// rank is how many entry VMs may take a shard before this one: those of its own failure domain come first,
-// then those that have least to do, then rendezvous hashing decides. The one excepted takes no part.
-func (l *claimPass) rank(shard, except string) (rank int, able bool) {
-	s := l.site
-	candidates := l.ownDomain
+// rank returns how many entry VMs may take a shard before this one, and whether this one may at all. VMs
+// of the shard's failure domain come first, then those with the lowest load; rendezvous hashing breaks
+// ties. The VM named except does not take part.
+func (p *claimPass) rank(shard, except string) (rank int, eligible bool) {
+	s := p.site
+	candidates := p.sameDomain
 	if DomainOf(shard) != s.self.Domain {
-		candidates = l.allDomains
+		candidates = p.allDomains
 	}
-	self := shardsPerCore(s.self, l.held()[s.self.Name]+1)
-	able = s.heldByEarlierProcess(shard, except)
+	self := load(s.self, p.shardCounts()[s.self.Name]+1)
+	eligible = s.heldByEarlierProcess(shard, except)
 	for _, c := range candidates() {
-		own := c.Domain == DomainOf(shard)
+		sameDomain := c.Domain == DomainOf(shard)
 		switch {
 		case c.Name == except:
 		case c.Name == s.self.Name:
-			able = true
-		case own && s.self.Domain != c.Domain:
+			eligible = true
+		case sameDomain && s.self.Domain != c.Domain:
 			rank++
-		case !own && s.self.Domain == DomainOf(shard):
+		case !sameDomain && s.self.Domain == DomainOf(shard):
 		case c.load > self:
 		case c.load < self || precedes(shard, c.Member, s.self):
 			rank++
 		}
 	}
-	return rank, able
+	return rank, eligible
 }
 
-// heldByEarlierProcess reports whether this VM may take a shard that its own earlier process held.
+// heldByEarlierProcess reports whether the excepted holder of a shard is an earlier process of this VM, so
+// that this process may take the shard.
 func (s *Site) heldByEarlierProcess(shard, except string) bool {
 	h := s.Holding(shard)
 	return except == s.self.Name && !s.HeldBySelf(h) && h.Holder == s.self.Name
 }
 
-// candidateCounts counts the entry VMs that are not suspected, by failure domain.
-func (s *Site) candidateCounts() map[string]int {
+// countCandidates returns the number of entry VMs whose link is not lost, by failure domain.
+func (s *Site) countCandidates() map[string]int {
 	out := make(map[string]int)
 	for _, m := range s.members {
 		if !s.linkLost[m.Name] {
@@ -301,8 +308,8 @@
 	return out
 }
 
-// able returns the entry VMs that may hold a shard. A VM that is suspected, or the one
-// excepted, is left out.
+// eligible returns the entry VMs that may hold a shard: all members but those whose link is lost
+// and the one named except.
 func (s *Site) eligible(shard, except string) []Member {
 	var out []Member
 	for _, m := range s.members {
@@ -311,11 +318,12 @@
 		}
 	}
 	if s.heldByEarlierProcess(shard, except) {
-		out = append(out, s.self) // it is the holder's earlier process that is gone
+		out = append(out, s.self) // the holder that ended is this VM's earlier process
 	}
 	return out
 }
 
+// compareCandidates orders two entry VMs by how well they suit as holder of a shard, the better one first.
 func compareCandidates(shard string, held map[string]int, a, b Member) int {
 	domain := DomainOf(shard)
 	if own := a.Domain == domain; own != (b.Domain == domain) {
@@ -324,7 +332,7 @@
 		}
 		return 1
 	}
-	if c := cmp.Compare(shardsPerCore(a, held[a.Name]+1), shardsPerCore(b, held[b.Name]+1)); c != 0 {
+	if c := cmp.Compare(load(a, held[a.Name]+1), load(b, held[b.Name]+1)); c != 0 {
 		return c
 	}
 	if precedes(shard, a, b) {
@@ -333,12 +341,12 @@
 	return 1
 }
 
-// before reports whether one of two entry VMs that are equally suited comes first for a shard.
+// precedes reports whether a comes before b as holder of a shard if both suit equally well.
 func precedes(shard string, a, b Member) bool {
 	return cmp.Or(cmp.Compare(rendezvousHash(shard, b.Name), rendezvousHash(shard, a.Name)), strings.Compare(a.Name, b.Name)) < 0
 }
 
-// score is the rendezvous hash of a name for a key.
+// rendezvousHash returns the weight of a name for a key; the name with the highest weight is chosen.
 func rendezvousHash(key, name string) uint64 {
 	buffer := make([]byte, 0, scoreBufferBytes)
 	buffer = append(buffer, key...)
@@ -347,5 +355,5 @@
 	return xxhash.Sum64(buffer)
 }
 
-// scoreBufferBytes holds the names of most shards and VMs without an allocation.
+// scoreBufferBytes is enough for the names of most shards and VMs, so that hashing does not allocate.
 const scoreBufferBytes = 128
--- a/internal/kept/site/foreign_test.go
+++ b/internal/kept/site/foreign_test.go
@@ -7,10 +7,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/store"
 )
 
-// Symptom: a VM that starts knows no other VM and claims all shards. Sequence: one key of
-// the site cannot be read; the VM reads the whole of the site. Cause: the reading ended at
-// the first such key.
-func TestOneKeyThatCannotBeReadLeavesTheOthers(t *testing.T) {
+// Guards against a starting VM that knows no other VM and claims all shards: reading the site must
+// not stop at the first key that cannot be decoded.
+func TestResetSkipsUndecodableKeys(t *testing.T) {
 	s := New(DefaultSettings(), member("a1"), []string{"a", "b"}, time.Hour)
 	err := s.Reset(time.Hour, []store.Item{
 		{Key: MemberKey("a0"), Value: []byte("no member"), Revision: 1},
@@ -21,15 +20,15 @@
 		{Key: ShardKey("b/1"), Value: Encode(Holding{Holder: "a2", Incarnation: 1, Token: 3}), Revision: 6},
 	})
 	if err == nil {
-		t.Error("nobody is told of the keys")
+		t.Error("undecodable keys are not reported")
 	}
 	if len(s.Members()) != 1 || s.Holding("b/1").Token != 3 {
 		t.Errorf("members %v, holding %+v", s.Members(), s.Holding("b/1"))
 	}
-	if _, known := s.Layout("a"); known {
-		t.Error("a domain has a negative number of shards")
+	if _, known := s.ShardLayout("a"); known {
+		t.Error("a layout with a negative number of shards is accepted")
 	}
-	if d, known := s.Layout("b"); !known || d.Shards != 2 {
+	if d, known := s.ShardLayout("b"); !known || d.Shards != 2 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/kept/site/keys.go
+++ b/internal/kept/site/keys.go
@@ -16,46 +16,47 @@
 	domainPrefix = Prefix + "domain/"
 )
 
-// DomainKey is the key that says into how many shards a failure domain is divided.
+// DomainKey returns the key of a failure domain's shard layout.
 func DomainKey(domain string) string { return domainPrefix + domain }
 
-// Division says into how many shards the workers of a failure domain are divided. It is
-// written once, as workers would have to change hands with it.
+// ShardLayout is the number of shards of a failure domain. It is written once: another number would
+// assign many workers to other shards, and so to other holders.
 type ShardLayout struct {
 	Domain string `json:"-"`
 	Shards int    `json:"n"`
 }
 
-// A VM of 0.4 core holds 24 workers: of two to three tasks each they make some 300 starts a second
-// of short tasks, which take a quarter of a core; a single holder of 88 workers took 0.43. Smaller
-// VMs get smaller shards, as any of them may have to hold one: 20 workers at one VM of 0.12 core
-// made tasks wait 42 ms for their start on average, a third of their objective.
+// A VM of 0.4 core can hold a full shard of 24 workers. With two to three short tasks at a time each, these
+// workers make some 300 starts a second, which take a quarter of a core; one holder of 88 workers
+// took 0.43 core. Domains with smaller VMs get smaller shards, as any VM may have to hold one: with 20
+// workers on a VM of 0.12 core, tasks waited 42 ms on average for their start, a third of their
+// latency objective.
 const (
 	maxWorkersPerShard = 24
-	minWorkersPerShard = 6 // a wide submission finds room in one shard
+	minWorkersPerShard = 6 // so that a submission of many parallel tasks fits into one shard
 	coresPerFullShard  = 0.4
 )
 
-// maxShardsPerDomain bounds the shards of a domain: 24,000 workers. More is no division that was
-// written here.
+// maxShardsPerDomain bounds the shards of a domain, enough for 24,000 workers. A stored layout with more is
+// invalid.
 const maxShardsPerDomain = 1000
 
-var errShardCount = errors.New("a domain has from 1 to 1000 shards")
+var errShardCount = errors.New("number of shards is not from 1 to 1000")
 
-// Divide returns the division of a domain with so many workers, the smallest of whose entry VMs
-// has so many cores; 0: it is not known.
-func PlanLayout(domain string, workers int, least float64) ShardLayout {
+// PlanLayout returns the shard layout for a domain with the given number of workers. minCores is the size
+// of the domain's smallest entry VM in cores; 0: not known.
+func PlanLayout(domain string, workers int, minCores float64) ShardLayout {
 	size := maxWorkersPerShard
-	if least > 0 {
-		size = min(max(int(least/coresPerFullShard*maxWorkersPerShard), minWorkersPerShard), maxWorkersPerShard)
+	if minCores > 0 {
+		size = min(max(int(minCores/coresPerFullShard*maxWorkersPerShard), minWorkersPerShard), maxWorkersPerShard)
 	}
 	return ShardLayout{Domain: domain, Shards: min(max((workers+size-1)/size, 1), maxShardsPerDomain)}
 }
 
-// ShardName names a shard of a failure domain.
+// ShardName returns the name of a shard of a failure domain.
 func ShardName(domain string, number int) string { return domain + "/" + strconv.Itoa(number) }
 
-// DomainOf is the failure domain of a shard.
+// DomainOf returns the failure domain of a shard.
 func DomainOf(shard string) string {
 	if i := strings.LastIndexByte(shard, '/'); i >= 0 {
 		return shard[:i]
@@ -63,8 +64,8 @@
 	return shard
 }
 
-// ShardOf is the shard that the worker at an address belongs to. It stays the same when
-// the worker starts again.
+// ShardOf returns the shard of the worker at an address. A worker that restarts at the same address stays
+// in its shard.
 func (d ShardLayout) ShardOf(address string) string {
 	best, most := 0, uint64(0)
 	for i := range d.Shards {
@@ -75,44 +76,44 @@
 	return ShardName(d.Domain, best)
 }
 
-// MemberKey is the leased key of an entry VM.
+// MemberKey returns the key of an entry VM, which is bound to the VM's lease.
 func MemberKey(name string) string { return memberPrefix + name }
 
-// ShardKey is the key that names a shard's holder.
+// ShardKey returns the key of a shard's holder.
 func ShardKey(shard string) string { return shardPrefix + shard }
 
-// Member is an entry VM that is there.
+// Member is an entry VM of the site, as it describes itself in its key.
 type Member struct {
 	Name        string `json:"-"`
-	Incarnation uint64 `json:"i"` // of its process
+	Incarnation uint64 `json:"i"` // of its process; each start has a new one
 	Domain      string `json:"d"`
-	Address     string `json:"a"` // for links of other entry VMs
-	// Weight is the processor of the VM, in cores. Larger VMs hold more shards.
+	Address     string `json:"a"` // where other entry VMs open links to it
+	// Cores is the CPU of the VM; 0: not known. Larger VMs hold more shards.
 	Cores float64 `json:"w,omitempty"`
 }
 
-// Holding says who holds a shard.
+// Holding records which process holds a shard.
 type Holding struct {
 	Shard       string `json:"-"`
-	Revision    uint64 `json:"-"` // of the key; 0: nobody ever held it
+	Revision    uint64 `json:"-"` // of the key; 0: the shard never had a holder
 	Holder      string `json:"h"`
 	Incarnation uint64 `json:"i"`
 	Token       uint64 `json:"t"`
-	// Clean says that the holder before this one starts and holds nothing any more:
-	// its process had ended, or it gave the shard away itself.
+	// PredecessorStopped says that the previous holder certainly starts no more runs in this shard: there was
+	// none, its process had ended, or it handed the shard over itself.
 	PredecessorStopped bool `json:"c,omitempty"`
 }
 
-// Encode returns the value of a key in the store.
+// Encode returns the stored form of a value. It panics on a value without a JSON form.
 func Encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("site: a value has no JSON form: " + err.Error())
+		panic("site: cannot encode a value as JSON: " + err.Error())
 	}
 	return b
 }
 
-// DecodeError says that a key of the site cannot be read.
+// DecodeError reports a key of the site whose value is invalid.
 type DecodeError struct {
 	Key string
 	Err error
--- a/internal/kept/site/look_test.go
+++ b/internal/kept/site/look_test.go
@@ -9,22 +9,22 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/store"
 )
 
-// rankOneByOne ranks this VM for a shard by comparing it with each other VM that may take it.
-func rankOneByOne(s *Site, shard, except string) (rank int, able bool) {
-	held := s.shardCounts()
+// rankOneByOne is a reference for claimPass.rank: it compares this VM with each other VM that may take the shard.
+func rankOneByOne(s *Site, shard, except string) (rank int, eligible bool) {
+	shardCounts := s.shardCounts()
 	for _, m := range s.eligible(shard, except) {
 		switch {
 		case m.Name == s.self.Name:
-			able = true
-		case compareCandidates(shard, held, m, s.self) < 0:
+			eligible = true
+		case compareCandidates(shard, shardCounts, m, s.self) < 0:
 			rank++
 		}
 	}
-	return rank, able
+	return rank, eligible
 }
 
-// Guards against two VMs that take a shard at once, or none, as they rank themselves in different ways.
-func TestRankOfALookIsThatOfEachVM(t *testing.T) {
+// Guards against two VMs, or none, that take a shard because they rank themselves in different ways.
+func TestRankMatchesPairwiseComparison(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 200 {
 		s := siteOf(t, 8+rng.IntN(20), func(int, int) string {
@@ -42,20 +42,20 @@
 		}
 		s.self.Cores = s.members[s.self.Name].Cores
 		s.self.Incarnation += uint64(rng.IntN(2))
-		l := s.newClaimPass()
+		pass := s.newClaimPass()
 		for _, v := range s.sortedShards {
-			rank, able := l.rank(v.holding.Shard, v.holding.Holder)
+			rank, eligible := pass.rank(v.holding.Shard, v.holding.Holder)
 			wantRank, wantAble := rankOneByOne(s, v.holding.Shard, v.holding.Holder)
-			if rank != wantRank || able != wantAble {
-				t.Fatalf("%s: rank %d, able %v, want %d, %v", v.holding.Shard, rank, able, wantRank, wantAble)
+			if rank != wantRank || eligible != wantAble {
+				t.Fatalf("%s: rank %d, able %v, want %d, %v", v.holding.Shard, rank, eligible, wantRank, wantAble)
 			}
 		}
 	}
 }
 
-// Guards against a look for claims that takes a small VM all its processor on a large site: what it allocates
-// for a shard without a holder must not grow with the VMs of the site.
-func TestLookForClaimsDoesNotGrowWithTheSite(t *testing.T) {
+// Guards against a Decide that takes all the CPU of a small VM on a large site: its allocations for a
+// shard without a holder must not grow with the number of VMs.
+func TestDecideAllocationsDoNotGrowWithTheSite(t *testing.T) {
 	perShard := func(vms int) float64 {
 		s := siteOf(t, vms, nobody)
 		allocs := testing.AllocsPerRun(5, func() {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Guards against a VM that goes by members of an earlier look.
-func TestLookSeesNewMembers(t *testing.T) {
+// Guards against ranks that are computed from the members of an earlier pass.
+func TestClaimPassSeesNewMembers(t *testing.T) {
 	s := siteOf(t, 12, nobody)
 	before, _ := s.newClaimPass().rank("d0/0", "")
 	strong := Member{Name: "vm-strong", Domain: "d0", Incarnation: 1, Cores: 8}
--- a/internal/kept/site/peers.go
+++ b/internal/kept/site/peers.go
@@ -7,38 +7,40 @@
 	"time"
 )
 
-// MaxFullMeshPeers is the number of other VMs up to which all keep links to all, and changes are followed
-// and told at once. Links of all to all grow with the square of the VMs: at 147 VMs their heartbeats alone
-// took all the processor that most of the VMs have (0.19 core).
+// MaxFullMeshPeers is the number of other VMs up to which each VM keeps a link to each other one, and
+// changes are watched and passed on without delay. The links of a full mesh grow with the square of
+// the VMs: at 147 VMs their heartbeats alone took all the CPU that most of the VMs have (0.19 core).
 const MaxFullMeshPeers = 12
 
-// minOtherDomainLinks is to how many holders of other failure domains a VM keeps links, however
-// little processor it has: they take its submissions while its own domain has no holder, and
-// carry its calls of the store.
+// minOtherDomainLinks is the number of holders of other failure domains that a VM keeps links to, however
+// little CPU it has: they take its submissions while its own domain has no holder, and relay its
+// calls of the store.
 const minOtherDomainLinks = 2
 
-// linkCostCores is the processor of a link in both directions, in cores: the slope of idle sites of
-// 8 to 34 VMs (BenchmarkSite, vms=8 and vms=34 without load).
+// linkCostCores is the CPU that a link takes in both directions, in cores: the slope between idle sites
+// of 8 and 34 VMs (BenchmarkSite, vms=8 and vms=34 without load).
 const linkCostCores = 0.0013
 
-// optionalLinkShare is the part of its processor that a VM may spend on links that it could do without.
+// optionalLinkShare is the share of a VM's CPU up to which it adds links that it could do without: those to
+// more than minOtherDomainLinks holders of other failure domains.
 const optionalLinkShare = 0.03
 
 // Peer is an entry VM to keep a link to.
 type Peer struct {
 	Member
-	// Near says that the loss of the VM is to be noticed soon: it, or this VM, would take
-	// the other's shards over.
+	// FastDetection says that the loss of the peer must be detected quickly, as one of the two
+	// VMs would take over the other's shards.
 	FastDetection bool
 }
 
-// Peers returns the entry VMs that this VM needs links to. On a large site those are
+// Peers returns the entry VMs that this VM needs links to. On a small site these are all others. On a
+// site with more than MaxFullMeshPeers others they are
 //
-//   - the holders of its own failure domain, where its submissions go;
+//   - the holders of its own failure domain, which its submissions go to;
 //   - for a holder: all VMs of its domain, so that each shard has successors that watch its holder;
-//   - as many holders of other domains as its processor bears, for what its own cannot take.
+//   - as many holders of other domains as its CPU allows, for submissions that the own domain cannot take.
 //
-// Whoever is on the other end keeps a link back for as long as it is told that it is needed.
+// The peer keeps a link in the other direction for as long as this VM says that it needs the link.
 func (s *Site) Peers(now time.Duration) []Peer {
 	members := s.MembersAndLapsed(now)
 	holders := s.shardCounts()
@@ -60,8 +62,7 @@
 	return append(out, s.pickPeers(foreign, s.maxLinks()-len(out))...)
 }
 
-// affordable is how many links this VM's processor bears. Without a word of its processor it
-// bears them all.
+// maxLinks returns how many links this VM's CPU allows. If its cores are not known, it is the number of members.
 func (s *Site) maxLinks() int {
 	if s.self.Cores <= 0 {
 		return len(s.members)
@@ -69,8 +70,8 @@
 	return int(optionalLinkShare * s.self.Cores / linkCostCores)
 }
 
-// pickPeers returns the first of some VMs by rendezvous hashing, so that the VMs of a site choose
-// evenly and each goes on with most of its choice as others come and go.
+// pickPeers chooses n of some VMs, but at least minOtherDomainLinks, by rendezvous hashing: the choices of
+// all VMs are spread evenly, and each VM keeps most of its choice as others come and go.
 func (s *Site) pickPeers(members []Member, n int) []Peer {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(rendezvousHash(s.self.Name, b.Name), rendezvousHash(s.self.Name, a.Name)), strings.Compare(a.Name, b.Name))
@@ -82,17 +83,16 @@
 	return out
 }
 
-// Member returns an entry VM whose key is there, or has lapsed lately.
+// Member returns an entry VM whose key exists or has lapsed recently.
 func (s *Site) Member(name string) (Member, bool) {
 	if m, there := s.members[name]; there {
 		return m, true
 	}
-	l, lapsed := s.lapsedMembers[name]
+	l, lapsed := s.lapsed[name]
 	return l.member, lapsed
 }
 
-// Least returns the least processor of the entry VMs of a failure domain that are there, in cores;
-// 0: it is not known.
+// MinCores returns the cores of the smallest entry VM of a failure domain; 0: not known.
 func (s *Site) MinCores(domain string) float64 {
 	least := 0.0
 	for _, m := range s.members {
--- a/internal/kept/site/peers_test.go
+++ b/internal/kept/site/peers_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// largeSite is a site of domains with VMs of unequal size, the first of each domain large, and
-// shards held by the first VMs of each domain.
+// largeSite returns a site with so many VMs in each domain. The first VMs of each domain are large and hold
+// one shard each; the others are small and hold none.
 func largeSite(self string, domains, vms, holders int) *Site {
 	var names []string
 	members := make(map[string]Member)
@@ -28,14 +28,13 @@
 	for d := range domains {
 		for i := range holders {
 			shard := ShardName(string(rune('a'+d)), i)
-			s.shardState(shard).holding = Holding{Shard: shard, Holder: fmt.Sprintf("%c%d", 'a'+d, i), Incarnation: 1, Token: 1}
+			s.stateOf(shard).holding = Holding{Shard: shard, Holder: fmt.Sprintf("%c%d", 'a'+d, i), Incarnation: 1, Token: 1}
 		}
 	}
 	return s
 }
 
-// Symptom: on a site of many VMs the links take all the processor of the small ones. Sequence: none,
-// the site only has to be large. Cause: each VM had a link to each other one.
+// Guards against a full mesh on a large site, whose links take all the CPU of small VMs.
 func TestSmallVMsOfLargeSitesHaveFewLinks(t *testing.T) {
 	for _, vms := range []int{5, 25, 50, 100} {
 		s := largeSite("a4", 6, vms, 3)
@@ -43,7 +42,7 @@
 		if len(peers) > 12 {
 			t.Errorf("%d VMs a domain: a small VM has %d links", vms, len(peers))
 		}
-		own, foreign := 0, 0
+		own, others := 0, 0
 		for _, p := range peers {
 			if s.shardCounts()[p.Name] == 0 {
 				t.Errorf("%d VMs a domain: a link to %s, which holds nothing", vms, p.Name)
@@ -51,17 +50,17 @@
 			if p.Domain == "a" {
 				own++
 			} else {
-				foreign++
+				others++
 			}
 		}
-		if own != 3 || foreign < minOtherDomainLinks {
-			t.Errorf("%d VMs a domain: links to %d holders of the own domain, %d of others", vms, own, foreign)
+		if own != 3 || others < minOtherDomainLinks {
+			t.Errorf("%d VMs a domain: links to %d holders of the own domain, %d of others", vms, own, others)
 		}
 	}
 }
 
-// A holder has links to all VMs of its domain, which would take its shards over, and watches the
-// other holders closely.
+// A holder has links to all VMs of its domain, which would take its shards over, and detects the
+// loss of the other holders quickly.
 func TestHoldersWatchTheirDomain(t *testing.T) {
 	s := largeSite("a0", 6, 25, 3)
 	own, near := 0, 0
@@ -74,20 +73,19 @@
 		}
 	}
 	if own != 24 || near != 2 {
-		t.Errorf("links to %d VMs of the own domain, %d of them near", own, near)
+		t.Errorf("links to %d VMs of the own domain, %d of them with fast detection", own, near)
 	}
 }
 
-// On a small site all VMs have links to all.
-func TestSmallSitesAreMeshed(t *testing.T) {
+func TestSmallSitesAreFullyMeshed(t *testing.T) {
 	s := largeSite("a1", 4, 2, 1)
 	if n := len(s.Peers(time.Hour)); n != 7 {
 		t.Errorf("%d links, want 7", n)
 	}
 }
 
-// The homes of a site choose holders of other domains evenly.
-func TestForeignHoldersAreChosenEvenly(t *testing.T) {
+// VMs without shards choose holders of other domains evenly.
+func TestOtherDomainHoldersAreChosenEvenly(t *testing.T) {
 	chosen := make(map[string]int)
 	for i := 3; i < 25; i++ {
 		for _, d := range "abcdef" {
@@ -109,8 +107,8 @@
 	}
 }
 
-// Symptom: one VM, perhaps the smallest, holds more workers than it has processor for. Sequence: a
-// domain of small VMs is divided. Cause: shards were as large as a VM of 0.4 core can hold.
+// Guards against shards that are too large for small VMs: in a domain of small VMs, a shard must have fewer
+// workers than a VM of 0.4 core can hold.
 func TestShardsFitTheSmallestVM(t *testing.T) {
 	for _, c := range []struct {
 		workers, shards int
--- a/internal/kept/site/site.go
+++ b/internal/kept/site/site.go
@@ -1,15 +1,19 @@
 // Package site decides which entry VM holds which shard.
 //
+// A shard is a part of the workers of one failure domain. Its holder is the entry VM
+// that assigns tasks to these workers. All entry VMs run the same rules on what they
+// read from the store, and each claims the shards that it should hold.
+//
 // # Contract
 //
-// A Site is a deterministic core: no I/O, no clock, no goroutine. What the store
-// and the links between entry VMs say goes in, claims come out. Whoever carries a
-// claim out writes the shard's key under the condition that it has not changed,
-// so of several claimants one wins. The token in it grows by one with each
-// change of the holder; workers refuse a lower one.
+// A Site is a deterministic core: no I/O, no clock, no goroutine. Changes in the store
+// and the state of the links between entry VMs go in, claims come out. The caller
+// carries a claim out by writing the shard's key on condition that it has not changed,
+// so only one of several claimants wins. The key holds a fencing token, which grows by
+// one with each change of the holder; workers refuse lower tokens.
 //
-// Taking a shard over is therefore safe at any time, and a wrong suspicion costs
-// a few milliseconds of new starts: the runs go on under the new token.
+// Taking a shard over is therefore safe at any time. If the holder was alive after all,
+// starts pause for a few milliseconds; runs continue under the new token.
 package site
 
 import (
@@ -22,25 +26,39 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/store"
 )
 
-// Settings are the times of a Site.
+// Settings are the delays and limits of a Site.
 type Settings struct {
-	ClaimStagger     time.Duration // between entry VMs that may take the same shard
-	OtherDomainDelay time.Duration // additional wait of those in other failure domains
-	LayoutDelay      time.Duration // after the start, for the other VMs to be known
-	// LayoutStagger is between VMs that may divide the same domain. Each reads the whole list of workers
-	// several times: 147 VMs that read 1,100 entries at once keep the store from all other calls for
-	// seconds.
-	LayoutStagger          time.Duration
-	OtherDomainLayoutDelay time.Duration // additional wait of VMs in other failure domains
-	StartupDelay           time.Duration // after the start, before shards of other domains are taken
-	HandbackDelay          time.Duration // before a shard is given back to its own domain
-	ClaimCooldown          time.Duration // between claims of the same shard by this VM
-	LapsedKeyGrace         time.Duration // for a key that lapsed, before its VM counts as gone
-	MaxStoreGap            time.Duration // between answers of the store, above which it was out of reach
-	MinStoreUptime         time.Duration // of answers, before this VM acts on links that it has lost
+	// ClaimStagger is the delay per rank between entry VMs that may claim the same shard.
+	ClaimStagger time.Duration
+	// OtherDomainDelay is added for entry VMs outside the shard's failure domain.
+	OtherDomainDelay time.Duration
+	// LayoutDelay is the wait after the start before this VM writes a shard layout, so that it
+	// knows the other VMs.
+	LayoutDelay time.Duration
+	// LayoutStagger is the delay per rank between VMs that may write the layout of the same domain.
+	// Each of them reads the whole list of workers several times: 147 VMs that read 1,100 entries at
+	// once keep the store from serving any other call for seconds.
+	LayoutStagger time.Duration
+	// OtherDomainLayoutDelay is added for VMs outside the domain whose layout is missing.
+	OtherDomainLayoutDelay time.Duration
+	// StartupDelay is the wait after the start before this VM claims shards of other domains.
+	StartupDelay time.Duration
+	// HandbackDelay is how long a better holder must have been present before it gets a shard.
+	HandbackDelay time.Duration
+	// ClaimCooldown is the minimum time between two claims of the same shard by this VM.
+	ClaimCooldown time.Duration
+	// LapsedKeyGrace is how long a holder keeps its shards after its key has lapsed, unless its
+	// link is lost. While its link is up it keeps them beyond that.
+	LapsedKeyGrace time.Duration
+	// MaxStoreGap is the longest time between answered calls of the store. After a longer
+	// one this VM counts as having been cut off from the store.
+	MaxStoreGap time.Duration
+	// MinStoreUptime is how long the store must have answered without such a gap before this VM
+	// treats lapsed keys and lost links as the loss of a holder.
+	MinStoreUptime time.Duration
 }
 
-// DefaultSettings suit links whose silence is noticed after half a second.
+// DefaultSettings returns settings for links that detect a silent peer after half a second.
 func DefaultSettings() Settings {
 	return Settings{
 		ClaimStagger:           150 * time.Millisecond,
@@ -59,55 +77,56 @@
 
 type shardState struct {
 	holding     Holding
-	vacantSince time.Duration // 0: it has a holder that is there
-	claimedAt   time.Duration // by this VM; 0: never
-	betterSince time.Duration // since when another VM should have it
+	vacantSince time.Duration // 0: it has a live holder
+	claimedAt   time.Duration // last claim by this VM; 0: never
+	betterSince time.Duration // since when another VM is the better holder; 0: none is
 }
 
-type lapsedEntry struct {
+// lapsedMember is a member whose key has lapsed at a time.
+type lapsedMember struct {
 	member Member
 	at     time.Duration
 }
 
-// Site is what one entry VM knows of the site.
+// Site is one entry VM's view of the site: its members, the shards and their holders.
 type Site struct {
 	settings          Settings
 	self              Member
 	startedAt         time.Duration
 	members           map[string]Member
-	lapsedMembers     map[string]lapsedEntry // whose key is gone and whose VM may still be there
+	lapsed            map[string]lapsedMember // their keys have lapsed, but the VMs may still run
 	linkLost          map[string]bool
-	linkUp            map[string]bool // the link to it stands
-	lastContact       time.Duration   // when the store was asked last that answered
-	contactSince      time.Duration   // since when it has answered without a gap
+	linkUp            map[string]bool
+	lastContact       time.Duration // when the last answered call of the store was sent
+	contactSince      time.Duration // since when the store has answered without a gap
 	domains           []string
 	layouts           map[string]ShardLayout
 	shards            map[string]*shardState
 	sortedShards      []*shardState // by the shard's name
 	stopping          bool
-	changed           bool // something since it was last decided
+	changed           bool // since the last Decide
 	decidedAt         time.Duration
-	handbackCheckedAt time.Duration // when it was last looked whether another VM should have a shard of this one
+	handbackCheckedAt time.Duration // last check whether other VMs should hold shards of this VM
 }
 
-// New returns the site of some failure domains as seen by self.
+// New returns the view that self has of a site with the given failure domains.
 func New(s Settings, self Member, domains []string, now time.Duration) *Site {
 	site := &Site{
-		settings:      s,
-		self:          self,
-		startedAt:     now,
-		members:       map[string]Member{},
-		lapsedMembers: map[string]lapsedEntry{},
-		linkLost:      map[string]bool{},
-		linkUp:        map[string]bool{},
-		shards:        map[string]*shardState{},
-		domains:       domains,
-		layouts:       map[string]ShardLayout{},
+		settings:  s,
+		self:      self,
+		startedAt: now,
+		members:   map[string]Member{},
+		lapsed:    map[string]lapsedMember{},
+		linkLost:  map[string]bool{},
+		linkUp:    map[string]bool{},
+		shards:    map[string]*shardState{},
+		domains:   domains,
+		layouts:   map[string]ShardLayout{},
 	}
 	return site
 }
 
-// Apply takes a key of the site as it stands in the store.
+// Apply takes in a change of one of the site's keys in the store.
 func (s *Site) Apply(now time.Duration, e store.Event) error {
 	s.changed = true
 	if name, is := strings.CutPrefix(e.Key, memberPrefix); is {
@@ -136,21 +155,20 @@
 	s.layouts[domain] = d
 	for i := range d.Shards {
 		name := ShardName(domain, i)
-		s.shardState(name)
+		s.stateOf(name)
 	}
 	return nil
 }
 
-// Division returns how a failure domain is divided; ok is false if nobody has said so
-// yet.
-func (s *Site) Layout(domain string) (d ShardLayout, ok bool) {
+// ShardLayout returns the shard layout of a failure domain; ok is false if none has been written yet.
+func (s *Site) ShardLayout(domain string) (d ShardLayout, ok bool) {
 	d, ok = s.layouts[domain]
 	return d, ok
 }
 
-// Undivided returns the failure domains whose division this VM should write: its own,
-// and after a while those of others. The VMs take turns, as each reads the whole list of
-// workers for it.
+// DomainsWithoutLayout returns the failure domains whose missing layout this VM should write now: its
+// own domain first, other domains after a further delay. The VMs wait in order of rank, as each
+// reads the whole list of workers to write a layout.
 func (s *Site) DomainsWithoutLayout(now time.Duration) []string {
 	var out []string
 	for _, domain := range s.domains {
@@ -168,7 +186,7 @@
 	return out
 }
 
-// turn is how many VMs are to do something for a failure domain before this one.
+// layoutRank returns how many VMs of this VM's domain come before it in writing a domain's layout.
 func (s *Site) layoutRank(domain string) int {
 	before := 0
 	for _, m := range s.members {
@@ -193,23 +211,23 @@
 		delete(s.linkUp, name)
 	}
 	s.members[name] = m
-	delete(s.lapsedMembers, name)
+	delete(s.lapsed, name)
 	return nil
 }
 
-// lapse notes that a member's key is gone. Keys lapse while the store is out or
-// turns their VMs away; a VM whose link stands is given time to write it again.
+// lapse records that a member's key is gone. Keys also lapse while the store is down or
+// refuses their VMs, so the member gets time to write its key again.
 func (s *Site) lapse(now time.Duration, name string) {
 	m, there := s.members[name]
 	if !there {
 		return
 	}
 	delete(s.members, name)
-	s.lapsedMembers[name] = lapsedEntry{member: m, at: now}
+	s.lapsed[name] = lapsedMember{member: m, at: now}
 }
 
 func (s *Site) applyShard(shard string, e store.Event) error {
-	v := s.shardState(shard)
+	v := s.stateOf(shard)
 	if e.Deleted || e.Revision <= v.holding.Revision {
 		return nil
 	}
@@ -222,8 +240,8 @@
 	return nil
 }
 
-// Reset takes the whole of the site's keys in place of all that was known. A key that cannot
-// be read does not keep the others from being taken.
+// Reset takes in a full listing of the site's keys; members that are not in it have lapsed.
+// Keys that cannot be decoded are skipped and reported in the returned error.
 func (s *Site) Reset(now time.Duration, items []store.Item) error {
 	present := make(map[string]bool, len(items))
 	for _, it := range items {
@@ -241,7 +259,7 @@
 	return failed
 }
 
-// Suspect says whether the link to an entry VM is lost.
+// SetLinkLost records whether the link to an entry VM is lost or up.
 func (s *Site) SetLinkLost(name string, lost bool) {
 	s.changed = true
 	if lost {
@@ -253,15 +271,15 @@
 	s.linkUp[name] = true
 }
 
-// Unlinked says that this VM has closed its link to an entry VM, as it needs none. What was known by
-// the link holds no more: a VM that was out of reach once would pass for dead when it becomes a
-// holder, until a new link stands, and lose its shards at once.
+// LinkClosed records that this VM has closed its link to an entry VM because it no longer needs one.
+// The link's last state is dropped: a VM that was unreachable back then would otherwise count as
+// dead when it becomes a holder later, and lose its shards before a new link is up.
 func (s *Site) LinkClosed(name string) {
 	delete(s.linkLost, name)
 	delete(s.linkUp, name)
 }
 
-// Contact says that the store has answered a call that left at a time.
+// StoreAnswered records that the store has answered a call that was sent at the given time.
 func (s *Site) StoreAnswered(sent, now time.Duration) {
 	if sent-s.lastContact > s.settings.MaxStoreGap {
 		s.contactSince = now
@@ -269,10 +287,10 @@
 	s.lastContact = max(s.lastContact, sent)
 }
 
-// Leave says that this VM is about to stop: it claims nothing more.
+// StopClaiming ends all claims by this VM, as it is about to stop.
 func (s *Site) StopClaiming() { s.stopping = true }
 
-// Members returns the entry VMs whose keys are there, by name.
+// Members returns the entry VMs whose keys exist, sorted by name.
 func (s *Site) Members() []Member {
 	out := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
@@ -282,15 +300,15 @@
 	return out
 }
 
-// Links returns the entry VMs to keep links to: the members, and those whose key
-// has lapsed lately.
+// MembersAndLapsed returns the other entry VMs that may be running: the members, and
+// those whose key has lapsed recently or whose link is still up.
 func (s *Site) MembersAndLapsed(now time.Duration) []Member {
 	out := s.Members()
-	for name, l := range s.lapsedMembers {
+	for name, l := range s.lapsed {
 		if now-l.at < 2*s.settings.LapsedKeyGrace || s.linkUp[name] {
 			out = append(out, l.member)
 		} else {
-			delete(s.lapsedMembers, name)
+			delete(s.lapsed, name)
 			delete(s.linkLost, name)
 			delete(s.linkUp, name)
 		}
@@ -298,10 +316,11 @@
 	return slices.DeleteFunc(out, func(m Member) bool { return m.Name == s.self.Name })
 }
 
-// Size is the number of entry VMs whose keys are there.
+// MemberCount returns the number of entry VMs whose keys exist.
 func (s *Site) MemberCount() int { return len(s.members) }
 
-// Covered reports whether each shard of a failure domain has a holder that is there and not suspected.
+// AllShardsHeld reports whether each shard of a failure domain has a holder that is a member and whose
+// link is not lost.
 func (s *Site) AllShardsHeld(domain string) bool {
 	d, known := s.layouts[domain]
 	if !known {
@@ -316,7 +335,7 @@
 	return true
 }
 
-// Holding returns who holds a shard.
+// Holding returns the last known holder of a shard.
 func (s *Site) Holding(shard string) Holding {
 	if v, known := s.shards[shard]; known {
 		return v.holding
@@ -324,7 +343,7 @@
 	return Holding{Shard: shard}
 }
 
-// Holdings returns the holder of each shard, by the shard's name.
+// Holdings returns the last known holder of each shard, sorted by the shard's name.
 func (s *Site) Holdings() []Holding {
 	out := make([]Holding, 0, len(s.sortedShards))
 	for _, v := range s.sortedShards {
@@ -333,8 +352,8 @@
 	return out
 }
 
-// view returns what is known of a shard.
-func (s *Site) shardState(shard string) *shardState {
+// stateOf returns the state of a shard, creating it if it is new.
+func (s *Site) stateOf(shard string) *shardState {
 	v := s.shards[shard]
 	if v == nil {
 		v = &shardState{holding: Holding{Shard: shard}}
@@ -345,12 +364,12 @@
 	return v
 }
 
-// Mine reports whether a holding is this process's.
+// HeldBySelf reports whether this process is the holder; an earlier process of this VM is not.
 func (s *Site) HeldBySelf(h Holding) bool {
 	return h.Holder == s.self.Name && h.Incarnation == s.self.Incarnation
 }
 
-// Gone reports whether the process that holds a shard has certainly ended: its VM
+// HolderRestarted reports whether the process that holds a shard has certainly ended, because its VM
 // has started another one.
 func (s *Site) HolderRestarted(h Holding) bool {
 	if h.Holder == s.self.Name {
--- a/internal/kept/site/site_test.go
+++ b/internal/kept/site/site_test.go
@@ -10,14 +10,14 @@
 
 const ms = time.Millisecond
 
-// world is a store's keys of a site, and what each entry VM makes of them.
+// world simulates the site's keys in the store and the Site of each entry VM.
 type world struct {
 	t    *testing.T
 	now  time.Duration
 	rev  uint64
 	keys map[string]store.Item
 	vms  map[string]*Site
-	cut  map[string]bool // VMs that do not hear of the store
+	cut  map[string]bool // VMs that are cut off from the store
 }
 
 func newWorld(t *testing.T, shards int, members ...Member) *world {
@@ -60,16 +60,16 @@
 	w.rev++
 	it := store.Item{Key: key, Value: value, Revision: w.rev}
 	w.keys[key] = it
-	w.tell(store.Event{Item: it})
+	w.notify(store.Event{Item: it})
 }
 
 func (w *world) remove(key string) {
 	w.rev++
 	delete(w.keys, key)
-	w.tell(store.Event{Item: store.Item{Key: key, Revision: w.rev}, Deleted: true})
+	w.notify(store.Event{Item: store.Item{Key: key, Revision: w.rev}, Deleted: true})
 }
 
-func (w *world) tell(e store.Event) {
+func (w *world) notify(e store.Event) {
 	for name, s := range w.vms {
 		if !w.cut[name] {
 			w.apply(s, e)
@@ -77,7 +77,7 @@
 	}
 }
 
-// run lets all VMs decide, each 10 ms, and carries their claims out.
+// run has all VMs decide every 10 ms and carries out their claims.
 func (w *world) run(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += 10 * ms {
 		for name, s := range w.vms {
@@ -104,7 +104,7 @@
 	return Holding{}
 }
 
-// kill ends a VM; its peers' links are reset, its key stays for a while.
+// kill ends a VM: its peers lose their links to it, its key stays.
 func (w *world) kill(name string) {
 	delete(w.vms, name)
 	for _, s := range w.vms {
@@ -112,6 +112,7 @@
 	}
 }
 
+// four returns two VMs in each of two domains.
 func four() []Member {
 	return []Member{member("a1"), member("a2"), member("b1"), member("b2")}
 }
@@ -135,8 +136,7 @@
 	}
 }
 
-// A holder that was killed is replaced at once, by a VM of its domain, under a higher
-// token.
+// A killed holder is replaced at once by a VM of its domain, under a higher token.
 func TestKilledHolderIsReplacedAtOnce(t *testing.T) {
 	w := newWorld(t, 1, four()...)
 	before := w.holder("a/0")
@@ -147,12 +147,12 @@
 		t.Errorf("%+v, then %+v", before, after)
 	}
 	if after.PredecessorStopped {
-		t.Error("a holder whose link is lost counts as ended for certain")
+		t.Error("a holder counts as certainly ended only because its link is lost")
 	}
 }
 
-// Symptom: at a heal, VMs that were cut off take shards from holders that live. Cause:
-// their links are not back yet.
+// Guards against VMs that take shards from live holders when a network partition heals: the store answers
+// them again before their links are up.
 func TestVMThatWasCutOffClaimsNothingAtTheHeal(t *testing.T) {
 	w := newWorld(t, 1, four()...)
 	before := w.holder("b/0")
@@ -174,9 +174,8 @@
 	}
 }
 
-// Symptom: after an outage of the store in which all keys lapsed, every shard changes
-// its holder though nobody died.
-func TestLapsedKeyOfALiveHolderTakesNothingFromIt(t *testing.T) {
+// Guards against takeovers from live holders after an outage of the store during which all keys lapsed.
+func TestLiveHolderKeepsItsShardsWhenItsKeyLapses(t *testing.T) {
 	w := newWorld(t, 1, four()...)
 	before := w.holder("a/0")
 	w.remove(MemberKey(before.Holder))
@@ -186,7 +185,7 @@
 	}
 }
 
-// A key that lapses with a link that is lost says that the VM is gone.
+// A lapsed key together with a lost link means that the VM is gone.
 func TestLapsedKeyAndLostLinkReplaceTheHolder(t *testing.T) {
 	w := newWorld(t, 1, four()...)
 	before := w.holder("a/0")
@@ -198,7 +197,7 @@
 	}
 }
 
-// A process that starts again under the same name holds nothing of its earlier life.
+// A restarted process of the same name does not hold the shards of the earlier one; it claims them anew.
 func TestRestartedVMTakesItsShardUnderANewToken(t *testing.T) {
 	w := newWorld(t, 1, member("a1"))
 	before := w.holder("a/0")
@@ -213,7 +212,7 @@
 	}
 }
 
-// A domain without VMs is served from outside, and given back.
+// The shards of a domain without VMs are held by VMs of other domains until one of its own starts.
 func TestShardGoesBackToItsOwnDomain(t *testing.T) {
 	w := newWorld(t, 1, member("b1"), member("b2"))
 	if h := w.holder("a/0"); h.Holder == "" || h.Holder[:1] != "b" {
@@ -236,11 +235,10 @@
 		t.Errorf("%+v", claims)
 	}
 	if more := s.Decide(w.now); len(more) > 0 {
-		t.Errorf("a VM that stops claims %+v", more)
+		t.Errorf("a stopping VM claims %+v", more)
 	}
 }
 
-// Workers keep their shard when they start again, and are spread evenly.
 func TestWorkersAreSpreadOverShards(t *testing.T) {
 	d := PlanLayout("a", 88, 0)
 	if d.Shards != 4 {
@@ -257,11 +255,10 @@
 	}
 }
 
-// Symptom: shards go to and fro between the VMs of a domain for as long as the site lives, and
-// submissions are given up as their shard changes hands again and again. Sequence: a VM of three
-// starts again, another one holds two of the three shards. Cause: a VM that holds two gave both to
-// the one that holds none.
-func TestShardsDoNotGoToAndFro(t *testing.T) {
+// Guards against shards that move back and forth between VMs without end, so that submissions fail as their
+// shard changes hands too often. It happens if a VM with two shards gives both to a restarted
+// VM that has none.
+func TestShardsDoNotMoveBackAndForth(t *testing.T) {
 	members := []Member{member("a1"), member("a2"), member("a3"), member("b1")}
 	w := newWorld(t, 3, members...)
 	w.kill("a1")
@@ -287,9 +284,8 @@
 	}
 }
 
-// Symptom: after a large VM has stopped as planned, a small one has to hold all its shards and starts
-// tasks late. Sequence: the VM hands its shards over. Cause: all went to the VM that had least to do
-// before.
+// Guards against a planned stop that hands all shards of a large VM to one small VM, which then starts
+// tasks late: each handover must count in the load of its successor.
 func TestStoppingVMSpreadsItsShards(t *testing.T) {
 	members := []Member{member("a1"), member("a2"), member("a3"), member("a4"), member("b1")}
 	members[0].Cores = 2
@@ -299,7 +295,7 @@
 	w := newWorld(t, 6, members...)
 	for i := range 6 {
 		if h := w.holder(ShardName("a", i)); h.Holder != "a1" {
-			t.Fatalf("the large VM does not hold all: %+v", h)
+			t.Fatalf("the large VM does not hold all shards: %+v", h)
 		}
 	}
 	s := w.vms["a1"]
@@ -315,10 +311,9 @@
 	}
 }
 
-// Symptom: a sound holder loses its shards as soon as it has them. Sequence: a VM cannot reach another
-// one for a while; it needs no link to it any more and closes it; the other becomes a holder. Cause:
-// what was known by the closed link still counted.
-func TestWhatWasKnownByAClosedLinkIsForgotten(t *testing.T) {
+// Guards against a live holder that loses its shards as soon as it has them. A VM's link to it was lost and
+// then closed as no longer needed; the lost state must not outlast the link.
+func TestClosedLinkLeavesNoLostState(t *testing.T) {
 	w := newWorld(t, 1, four()...)
 	holder := w.holder("a/0").Holder
 	other := map[string]string{"a1": "a2", "a2": "a1"}[holder]
@@ -327,6 +322,6 @@
 	s.LinkClosed(holder)
 	w.run(2 * time.Second)
 	if h := w.holder("a/0"); h.Holder != holder {
-		t.Errorf("%s has taken the shard of %s, which is there", h.Holder, holder)
+		t.Errorf("%s has taken the shard of %s, which is alive", h.Holder, holder)
 	}
 }
--- a/internal/kept/site/size_bench_test.go
+++ b/internal/kept/site/size_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/store"
 )
 
-// siteOf is a site of so many entry VMs in six failure domains, with ten workers a VM in shards of eleven, as
-// one of its VMs sees it; holder says who holds a shard.
+// siteOf returns the view that one VM has of a site with so many entry VMs in six failure domains. There are
+// ten workers per VM and eleven per shard; holder returns the holder of a shard.
 func siteOf(tb testing.TB, vms int, holder func(domain, shard int) string) *Site {
 	tb.Helper()
 	const domains = 6
@@ -39,17 +39,17 @@
 	return s
 }
 
-// nobody holds any shard, as after a restart of all VMs.
+// nobody leaves all shards without holders, as after a restart of all VMs.
 func nobody(int, int) string { return "" }
 
-// inTurn has the VMs of a domain hold its shards in turn.
+// inTurn assigns the shards of a domain to its VMs in turn.
 func inTurn(vms int) func(domain, shard int) string {
 	return func(domain, shard int) string { return fmt.Sprintf("vm-%d", (domain+6*shard)%vms) }
 }
 
 var siteSizes = []int{30, 236, 472, 1000}
 
-// BenchmarkDecide is a look for claims that are due, where all shards have holders, and where none has.
+// BenchmarkDecide measures Decide where all shards have holders, and where none has.
 func BenchmarkDecide(b *testing.B) {
 	for _, vms := range siteSizes {
 		for name, holder := range map[string]func(int, int) string{"held": inTurn(vms), "vacant": nobody} {
@@ -67,7 +67,7 @@
 	}
 }
 
-// BenchmarkPeers is a look at which links are needed.
+// BenchmarkPeers measures which links a VM finds that it needs.
 func BenchmarkPeers(b *testing.B) {
 	for _, vms := range siteSizes {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -184,7 +184,7 @@
 func (e *engine) updateWorkers(h *heldShard) {
 	var own []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
-	if d, known := e.site.Layout(domain); known && e.workerLists[domain] != nil {
+	if d, known := e.site.ShardLayout(domain); known && e.workerLists[domain] != nil {
 		for _, info := range e.workerLists[domain].workersByShard(d)[h.holding.Shard] {
 			if e.isServed(info) {
 				own = append(own, info)
