--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -23,7 +23,7 @@
 // storeCancel replaces the record of an unfinished submission by its cancellation.
 // It returns the final state, or Unknown if there is no such submission.
 func (v *VM) storeCancel(ctx context.Context, id submission.ID) (submission.State, error) {
-	ctx, cancel := context.WithTimeout(ctx, cancelWithin)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	for {
 		found, err := v.readSubmission(ctx, id)
@@ -46,7 +46,7 @@
 	}
 }
 
-const cancelWithin = 1400 * time.Millisecond
+const cancelTimeout = 1400 * time.Millisecond
 
 type cancelledEvent struct {
 	id    submission.ID
@@ -68,15 +68,15 @@
 	}
 	e.applyStateReport(ev.id, stateReport{state: submission.Cancelled})
 	ref := &pb.KeptRef{Id: string(ev.id)}
-	e.stopCancelled(ref)
+	e.cancelInOwnShards(ref)
 	for name := range e.links {
 		f := e.frame(name)
 		f.Cancelled = append(f.Cancelled, ref)
 	}
 }
 
-// stopCancelled ends what shards of this VM have of a submission.
-func (e *engine) stopCancelled(ref *pb.KeptRef) {
+// cancelInOwnShards ends what shards of this VM have of a submission.
+func (e *engine) cancelInOwnShards(ref *pb.KeptRef) {
 	for name, h := range e.shards {
 		if ref.Shard == "" || ref.Shard == name {
 			h.core.Cancel(e.now, submission.ID(ref.Id))
--- a/internal/kept/vm/early.go
+++ b/internal/kept/vm/early.go
@@ -14,26 +14,26 @@
 // to 250 ms later, though most of that could still be done in time; and the first shard to
 // be recovered would be given what belongs to all of them.
 
-// earlyMost bounds what waits. Beyond it submissions are refused as before.
-const earlyMost = 512
+// maxDeferred bounds what waits. Beyond it submissions are refused as before.
+const maxDeferred = 512
 
-// holdEarly keeps a submission that came before the shards are known. It reports false if
+// deferAtStartup keeps a submission that came before the shards are known. It reports false if
 // the submission is to be decided on now.
-func (e *engine) holdEarly(ev submitEvent) bool {
-	if len(e.deferred) >= earlyMost || !e.worthHolding(ev) || e.shardsKnown() {
+func (e *engine) deferAtStartup(ev submitEvent) bool {
+	if len(e.deferred) >= maxDeferred || !e.worthDeferring(ev) || e.ownDomainReachable() {
 		return false
 	}
 	e.deferred = append(e.deferred, ev)
 	return true
 }
 
-// worthHolding reports whether a submission gains by waiting for more shards: while it can
+// worthDeferring reports whether a submission gains by waiting for more shards: while it can
 // be done in time, or nobody can take it at all.
-func (e *engine) worthHolding(ev submitEvent) bool {
+func (e *engine) worthDeferring(ev submitEvent) bool {
 	if e.now-e.startedAt >= e.vm.config.Policy.StartHold() {
 		return false
 	}
-	switch e.work(ev.record, ev.receivedAt).Band(e.now) {
+	switch e.policyWork(ev.record, ev.receivedAt).Band(e.now) {
 	case policy.InTime:
 		return true
 	case policy.Late:
@@ -43,10 +43,10 @@
 	}
 }
 
-// shardsKnown reports whether the holder of each shard of this VM's failure domain can be
+// ownDomainReachable reports whether the holder of each shard of this VM's failure domain can be
 // reached. Those of other domains are not waited for: with all of them a restart left the
 // workers idle for 0.15 s longer.
-func (e *engine) shardsKnown() bool {
+func (e *engine) ownDomainReachable() bool {
 	known := 0
 	for _, h := range e.site.Holdings() {
 		if site.DomainOf(h.Shard) != e.vm.config.Domain {
@@ -69,16 +69,16 @@
 	return false
 }
 
-// releaseEarly decides on the submissions that need not wait any more.
-func (e *engine) releaseEarly() {
+// admitDeferred decides on the submissions that need not wait any more.
+func (e *engine) admitDeferred() {
 	if len(e.deferred) == 0 {
 		return
 	}
-	known := e.shardsKnown()
+	known := e.ownDomainReachable()
 	waiting := e.deferred
 	e.deferred = nil
 	for _, ev := range waiting {
-		if !known && e.worthHolding(ev) {
+		if !known && e.worthDeferring(ev) {
 			e.deferred = append(e.deferred, ev)
 			continue
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-// dropEarly forgets a submission whose caller has gone. It reports whether it was there.
-func (e *engine) dropEarly(reply chan Outcome) bool {
+// dropDeferred forgets a submission whose caller has gone. It reports whether it was there.
+func (e *engine) dropDeferred(reply chan Outcome) bool {
 	before := len(e.deferred)
 	e.deferred = slices.DeleteFunc(e.deferred, func(ev submitEvent) bool { return ev.reply == reply })
 	return len(e.deferred) < before
--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -54,13 +54,13 @@
 		return
 	}
 	klog.InfoS("kept: an end was not stored", "id", id, "shard", ev.shard, "outcome", fmt.Sprint(ev.result.Outcome))
-	if ev.result.Outcome == journal.Conflict && !guardBroken(ev.result, h) {
+	if ev.result.Outcome == journal.Conflict && !guardFailed(ev.result, h) {
 		h.core.RecordConflict(e.now, id)
 	}
 }
 
-// guardBroken reports whether a row failed because the shard has another holder.
-func guardBroken(r journal.Result, h *heldShard) bool {
+// guardFailed reports whether a row failed because the shard has another holder.
+func guardFailed(r journal.Result, h *heldShard) bool {
 	g := h.guard()
 	for _, it := range r.Items {
 		if it.Key == g.Key && it.Revision != g.Revision {
@@ -99,7 +99,7 @@
 	switch {
 	case ev.result.Outcome == journal.Stored:
 		h.core.ProgressSaved(e.now, id, ev.result.Revision)
-	case ev.result.Outcome == journal.Conflict && !guardBroken(ev.result, h):
+	case ev.result.Outcome == journal.Conflict && !guardFailed(ev.result, h):
 		h.core.RecordConflict(e.now, id)
 	}
 }
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -152,13 +152,13 @@
 	for name, h := range e.shards {
 		e.runShard(name, h)
 	}
-	e.releaseEarly()
+	e.admitDeferred()
 	e.driveTransients()
 	e.queryOverdueStates()
 	e.signalDrained()
-	e.tellLoads()
-	e.tellUnplaced()
-	e.reportWaiting()
+	e.broadcastLoads()
+	e.broadcastUnplaced()
+	e.broadcastWaiting()
 	e.prune()
 	e.flush()
 	e.vm.ready.Store(e.canServe())
@@ -228,7 +228,7 @@
 		e.storeProgress(name, h, s)
 	}
 	for _, m := range a.Reassigns {
-		e.storeMove(name, h, m)
+		e.storeReassign(name, h, m)
 	}
 	e.logLosses(name, a)
 	for _, l := range a.TaskLosses {
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -72,20 +72,20 @@
 		changed = e.evacuations.ApplyAll(ev.notices)
 	}
 	e.evacuations.RecordRead(ev.sent)
-	e.enforceEvacuations(changed, "the store")
+	e.applyEvacuations(changed, "the store")
 }
 
-// takeEvacuations takes what a peer passes on.
-func (e *engine) takeEvacuations(from string, told []*pb.KeptEvacuation) {
+// receiveEvacuations takes what a peer passes on.
+func (e *engine) receiveEvacuations(from string, told []*pb.KeptEvacuation) {
 	notices := make([]evacuation.Notice, len(told))
 	for i, w := range told {
 		notices[i] = evacuation.Notice{Domain: w.Domain, Revision: w.Revision, Evacuated: w.Evacuated}
 	}
-	e.enforceEvacuations(e.evacuations.ApplyAll(notices), from)
+	e.applyEvacuations(e.evacuations.ApplyAll(notices), from)
 }
 
-// enforceEvacuations puts changes in force at the shards of this VM, and passes them on.
-func (e *engine) enforceEvacuations(domains []string, from string) {
+// applyEvacuations puts changes in force at the shards of this VM, and passes them on.
+func (e *engine) applyEvacuations(domains []string, from string) {
 	if len(domains) == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 		e.setEvacuated(h)
 	}
 	for peer := range e.links {
-		e.tellEvacuations(peer)
+		e.sendEvacuations(peer)
 	}
 }
 
@@ -107,8 +107,8 @@
 	h.core.SetEvacuated(e.now, e.evacuations.Evacuated(site.DomainOf(h.holding.Shard)))
 }
 
-// tellEvacuations tells a peer the newest notice about each domain.
-func (e *engine) tellEvacuations(peer string) {
+// sendEvacuations tells a peer the newest notice about each domain.
+func (e *engine) sendEvacuations(peer string) {
 	notices := e.evacuations.Notices()
 	if len(notices) == 0 {
 		return
@@ -135,7 +135,7 @@
 	return out
 }
 
-func returnedOf(in []*pb.KeptReturned) []shard.ReturnedTask {
+func decodeReturned(in []*pb.KeptReturned) []shard.ReturnedTask {
 	var out []shard.ReturnedTask
 	for _, r := range in {
 		out = append(out, shard.ReturnedTask{
@@ -149,9 +149,9 @@
 	return out
 }
 
-// takeReturned gives tasks that a holder has given back to other shards. They keep their place in
+// reassignReturned gives tasks that a holder has given back to other shards. They keep their place in
 // the order: their objective runs from when the submission came.
-func (e *engine) takeReturned(t *transientSubmission, p *part, told []shard.ReturnedTask) {
+func (e *engine) reassignReturned(t *transientSubmission, p *part, told []shard.ReturnedTask) {
 	var back []shard.ReturnedTask
 	for _, r := range told {
 		if p.record.Has(r.Task) { // else it was given to another shard before
@@ -170,7 +170,7 @@
 	}
 	p.record = &left
 	t.unassigned = append(t.unassigned, unassignedTasks{record: p.record, tasks: back})
-	e.giveElsewhere(t)
+	e.placeUnassigned(t)
 }
 
 // unassignedTasks are tasks of a transient submission that no shard has.
@@ -179,30 +179,30 @@
 	tasks  []shard.ReturnedTask
 }
 
-// giveElsewhere gives tasks that no shard has to those that may start them. A shard has one
+// placeUnassigned gives tasks that no shard has to those that may start them. A shard has one
 // unfinished part of a submission at most, so some may have to wait for the end of another part.
 // Where no shard may start anything, the callers are told at once: that it has not run only if
 // that is certain.
-func (e *engine) giveElsewhere(t *transientSubmission) {
+func (e *engine) placeUnassigned(t *transientSubmission) {
 	for len(t.unassigned) > 0 {
-		all := e.reachableShards(t.record)
+		all := e.eligibleShards(t.record)
 		if len(all) == 0 {
 			e.endUnassigned(t)
 			return
 		}
-		shards := slices.DeleteFunc(all, func(c policy.Candidate) bool { return t.hasUnfinished(c.Shard) })
+		shards := slices.DeleteFunc(all, func(c policy.Candidate) bool { return t.hasUnfinishedPart(c.Shard) })
 		if len(shards) == 0 {
 			return // until another part has ended
 		}
 		lost := t.unassigned[0]
 		t.unassigned = t.unassigned[1:]
-		e.assignElsewhere(t, lost, shards)
+		e.placeTasks(t, lost, shards)
 	}
 }
 
-// hasUnfinished reports whether a shard has a part of which tasks are to be done, there or, as it was
+// hasUnfinishedPart reports whether a shard has a part of which tasks are to be done, there or, as it was
 // rejected, elsewhere: that part must not be replaced.
-func (t *transientSubmission) hasUnfinished(shard string) bool {
+func (t *transientSubmission) hasUnfinishedPart(shard string) bool {
 	p := t.part(shard)
 	return p != nil && p.state != submission.Done
 }
@@ -210,16 +210,16 @@
 // endUnassigned ends a submission of which nobody may start what is left.
 func (e *engine) endUnassigned(t *transientSubmission) {
 	switch {
-	case t.anyBegun():
+	case t.anyStarted():
 		e.giveUp(t, "its failure domains are evacuated")
-	case t.ownTasks() == 0:
+	case t.assignedTaskCount() == 0:
 		e.refuseTransient(t, policy.AllDomainsEvacuated)
 	default: // what another shard has of it begins, or comes back
 	}
 }
 
-// ownTasks is the number of tasks that shards have.
-func (t *transientSubmission) ownTasks() int {
+// assignedTaskCount is the number of tasks that shards have.
+func (t *transientSubmission) assignedTaskCount() int {
 	n := 0
 	for _, p := range t.parts {
 		n += p.record.TaskCount()
@@ -227,17 +227,17 @@
 	return n
 }
 
-func (e *engine) assignElsewhere(t *transientSubmission, lost unassignedTasks, shards []policy.Candidate) {
+func (e *engine) placeTasks(t *transientSubmission, lost unassignedTasks, shards []policy.Candidate) {
 	tasks := lost.tasks
 	for _, portion := range e.vm.config.Policy.Split(shards, len(tasks), isDivisible(lost.record), longestEstimate(lost.record)) {
-		rec := partOf(lost.record, tasks[:portion.Tasks])
+		rec := partialRecord(lost.record, tasks[:portion.Tasks])
 		tasks = tasks[portion.Tasks:]
 		rec.Shard = portion.Shard
 		rec.Serial = e.nextSerial()
 		p := &part{record: rec, shard: portion.Shard, updatedAt: e.now}
-		t.replace(p)
+		t.addPart(p)
 		l := e.loads[p.shard]
-		l.sentMilli += int64(portion.Tasks) * largestTask(rec)
+		l.sentMilli += int64(portion.Tasks) * largestTaskMilli(rec)
 		klog.InfoS("kept: given to another shard", "id", t.record.ID, "from", lost.record.Shard, "shard", p.shard,
 			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.now-t.receivedAt)
 		e.sendPart(t, p, l)
@@ -245,15 +245,15 @@
 }
 
 // replace adds a part, in the place of one that its shard has completed.
-func (t *transientSubmission) replace(p *part) {
+func (t *transientSubmission) addPart(p *part) {
 	// Others may be going through the parts now.
 	parts := slices.DeleteFunc(slices.Clone(t.parts), func(old *part) bool { return old.shard == p.shard })
 	t.started = t.started || len(parts) < len(t.parts)
 	t.parts = append(parts, p)
 }
 
-// partOf makes the record of a part of returned tasks.
-func partOf(from *submission.Record, mine []shard.ReturnedTask) *submission.Record {
+// partialRecord makes the record of a part of returned tasks.
+func partialRecord(from *submission.Record, mine []shard.ReturnedTask) *submission.Record {
 	rec := *from
 	rec.TasksElsewhere = nil
 	rec.Token = 0
@@ -276,8 +276,8 @@
 	return &rec
 }
 
-// endReturned takes that a holder has nothing left of a part: what it kept has completed.
-func (e *engine) endReturned(t *transientSubmission, p *part) {
+// completeReturned takes that a holder has nothing left of a part: what it kept has completed.
+func (e *engine) completeReturned(t *transientSubmission, p *part) {
 	p.state = submission.Done
 	if p.record.TaskCount() == 0 {
 		// The shard may be given another part later. Others may be going through the parts now.
@@ -286,12 +286,12 @@
 	e.completeIfDone(t)
 }
 
-// storeMove writes a stored submission, of which nothing runs, under a shard that may start it. The
+// storeReassign writes a stored submission, of which nothing runs, under a shard that may start it. The
 // write demands that its record is unchanged and that neither shard has changed hands: the next
 // holder of the old one could have started it.
-func (e *engine) storeMove(name string, h *heldShard, m shard.ReassignAction) {
+func (e *engine) storeReassign(name string, h *heldShard, m shard.ReassignAction) {
 	rec := m.Record
-	shards := e.reachableShards(rec)
+	shards := e.eligibleShards(rec)
 	if len(shards) == 0 {
 		h.core.ReassignFailed(e.now, rec.ID)
 		return
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -43,7 +43,7 @@
 
 func (ev submitEvent) apply(e *engine) {
 	ev.receivedAt = e.now
-	if !e.holdEarly(ev) {
+	if !e.deferAtStartup(ev) {
 		e.admit(ev)
 	}
 }
@@ -97,7 +97,7 @@
 	h.shard = name
 	h.storeAttempts++
 	if l := e.loads[name]; l != nil {
-		l.sentMilli += int64(need) * largestTask(rec)
+		l.sentMilli += int64(need) * largestTaskMilli(rec)
 	}
 	value := rec.Encode()
 	id := rec.ID
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -14,7 +14,7 @@
 
 // candidates returns the shards that can take a submission, or why none does.
 func (e *engine) candidates(r *submission.Record, came time.Duration) ([]policy.Candidate, *Outcome) {
-	shards := e.reachableShards(r)
+	shards := e.eligibleShards(r)
 	if len(shards) == 0 && e.anyReachable() {
 		why := policy.NoWorkerForService
 		if len(e.evacuations.Domains()) > 0 {
@@ -22,18 +22,18 @@
 		}
 		return nil, &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: string(why)}
 	}
-	if reason := policy.Admit(e.now, e.work(r, came), shards); reason.Refused() {
-		return nil, &Outcome{Kind: Refused, RetryAfter: e.comeBack(r, shards), Why: string(reason)}
+	if reason := policy.Admit(e.now, e.policyWork(r, came), shards); reason.Refused() {
+		return nil, &Outcome{Kind: Refused, RetryAfter: e.retryDelay(r, shards), Why: string(reason)}
 	}
 	return shards, nil
 }
 
-// reachableShards returns what the shards that can be reached, and may start its tasks, could take
+// eligibleShards returns what the shards that can be reached, and may start its tasks, could take
 // of a submission. One whose domain is evacuated, or without workers of its service, would keep it
 // waiting for ever.
-func (e *engine) reachableShards(r *submission.Record) []policy.Candidate {
+func (e *engine) eligibleShards(r *submission.Record) []policy.Candidate {
 	var out []policy.Candidate
-	size := largestTask(r)
+	size := largestTaskMilli(r)
 	task := longestEstimate(r)
 	for _, name := range slices.Sorted(maps.Keys(e.loads)) {
 		l := e.loads[name]
@@ -57,7 +57,7 @@
 }
 
 // work is a submission that came at a time and has not begun, as the policy sees it.
-func (e *engine) work(r *submission.Record, came time.Duration) *policy.Work {
+func (e *engine) policyWork(r *submission.Record, came time.Duration) *policy.Work {
 	takes := r.CriticalPath()
 	return &policy.Work{
 		ID:            r.ID,
@@ -69,8 +69,8 @@
 	}
 }
 
-// comeBack is after what time a caller that is refused should try again.
-func (e *engine) comeBack(r *submission.Record, shards []policy.Candidate) time.Duration {
+// retryDelay is after what time a caller that is refused should try again.
+func (e *engine) retryDelay(r *submission.Record, shards []policy.Candidate) time.Duration {
 	if len(shards) == 0 {
 		return defaultRetryAfter
 	}
@@ -91,8 +91,8 @@
 	return time.Duration(work / float64(max(room, 1)) * float64(len(e.links)+1))
 }
 
-// largestTask is the processor that a task takes, thousandths of a core.
-func largestTask(r *submission.Record) int64 {
+// largestTaskMilli is the processor that a task takes, thousandths of a core.
+func largestTaskMilli(r *submission.Record) int64 {
 	size := int64(1)
 	for i := range r.Steps {
 		size = max(size, r.Steps[i].CPUMilli)
@@ -108,8 +108,8 @@
 	return d
 }
 
-// tellLoads tells all peers how much the shards of this VM could take.
-func (e *engine) tellLoads() {
+// broadcastLoads tells all peers how much the shards of this VM could take.
+func (e *engine) broadcastLoads() {
 	pace := max(minLoadInterval, time.Duration(len(e.links))*loadIntervalPerPeer)
 	for name, h := range e.shards {
 		since := e.now - h.loadSentAt
@@ -123,7 +123,7 @@
 		h.loadSentAt = e.now
 		h.sentLoad = load
 		e.vm.metrics.shard(name).set(len(h.sessions), &load)
-		e.takeLoad(e.vm.config.Name, name, h.holding.Token, load)
+		e.updateLoad(e.vm.config.Name, name, h.holding.Token, load)
 		far := e.now-h.loadSentFarAt >= farLoadInterval || len(e.links) <= site.MaxFullMeshPeers
 		if far {
 			h.loadSentFarAt = e.now
@@ -174,7 +174,7 @@
 		slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Services, b.Services) && maps.Equal(a.UnstartedByQueue, b.UnstartedByQueue)
 }
 
-func (e *engine) takeLoad(holder, name string, token uint64, load shard.Load) {
+func (e *engine) updateLoad(holder, name string, token uint64, load shard.Load) {
 	l := e.loads[name]
 	if l == nil {
 		l = &knownLoad{}
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -55,8 +55,8 @@
 			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{back}}
 			e.transients["job"] = sub
 			e.evacuations.Apply(evacuation.Notice{Domain: "a", Revision: 1 << 40, Evacuated: true})
-			e.giveElsewhere(sub)
-			left := sub.ownTasks()
+			e.placeUnassigned(sub)
+			left := sub.assignedTaskCount()
 			for _, u := range sub.unassigned {
 				left += len(u.tasks)
 			}
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -82,7 +82,7 @@
 		delete(e.links, name)
 		delete(e.linkUp, name)
 		delete(e.linkNeededAt, name)
-		e.waiting.forget(name)
+		e.waiting.forgetPeer(name)
 		e.site.LinkClosed(name)
 		e.vm.calls.setLink(name, nil)
 	}
@@ -163,7 +163,7 @@
 	}
 	e.peerIncarnations[ev.name] = ev.incarnation
 	e.requeryHolder(ev.name)
-	e.tellEvacuations(ev.name)
+	e.sendEvacuations(ev.name)
 	e.resendLists(ev.name)
 	e.site.SetLinkLost(ev.name, false)
 	for _, h := range e.shards {
@@ -193,7 +193,7 @@
 		klog.InfoS("kept: peer lost", "peer", ev.name, "why", ev.why)
 	}
 	e.linkUp[ev.name] = false
-	e.waiting.forget(ev.name)
+	e.waiting.forgetPeer(ev.name)
 	e.site.SetLinkLost(ev.name, true)
 	e.updateSitePacing()
 	e.vm.calls.setReachesStore(ev.name, false)
@@ -225,7 +225,7 @@
 		e.applyTaskLosses(ref, decodeLosses(w.Losses))
 	}
 	for _, s := range f.States {
-		e.applyStateReport(submission.ID(s.Id), stateReport{shard: s.Shard, token: s.Token, state: submission.State(s.State), serial: s.Serial, returned: returnedOf(s.Returned)})
+		e.applyStateReport(submission.ID(s.Id), stateReport{shard: s.Shard, token: s.Token, state: submission.State(s.State), serial: s.Serial, returned: decodeReturned(s.Returned)})
 	}
 	for _, ref := range f.Queries {
 		e.receiveQuery(ev.from, ref)
@@ -234,23 +234,23 @@
 		if ref.Shard == "" {
 			e.applyStateReport(submission.ID(ref.Id), stateReport{state: submission.Cancelled})
 		}
-		e.stopCancelled(ref)
+		e.cancelInOwnShards(ref)
 	}
 	for _, ref := range f.TakenBack {
-		e.takeBackPart(ref)
+		e.receiveRecall(ref)
 	}
 	for _, l := range f.Loads {
-		e.takeLoad(ev.from, l.Shard, l.Token, decodeLoad(l))
+		e.updateLoad(ev.from, l.Shard, l.Token, decodeLoad(l))
 	}
 	if f.Unplaced != nil {
-		e.waiting.takeUnplaced(ev.from, f.Unplaced.ByQueue)
+		e.waiting.setUnplaced(ev.from, f.Unplaced.ByQueue)
 	}
 	for _, w := range f.Workers {
 		e.handleWorkers(ev.from, w)
 	}
-	e.takeEvacuations(ev.from, f.Evacuations)
+	e.receiveEvacuations(ev.from, f.Evacuations)
 	for _, w := range f.Elsewhere {
-		e.waiting.takeDomain(w.Domain, domainReport{counts: w.ByQueue, at: e.now - time.Duration(w.AgeNs)})
+		e.waiting.updateDomain(w.Domain, domainReport{counts: w.ByQueue, at: e.now - time.Duration(w.AgeNs)})
 	}
 	for _, c := range f.Calls {
 		e.relayCall(ev.from, c)
--- a/internal/kept/vm/sweep.go
+++ b/internal/kept/vm/sweep.go
@@ -16,15 +16,15 @@
 // it has seen it for long enough. Times of day play no part, and a new holder begins
 // anew, so a state may stay longer but never shorter.
 const (
-	keepFinalFor = 150 * time.Second // callers ask for 120 s after the end
-	sweepEvery   = 30 * time.Second
-	sweepWithin  = 5 * time.Second
+	finalStateRetention = 150 * time.Second // callers ask for 120 s after the end
+	sweepInterval       = 30 * time.Second
+	sweepTimeout        = 5 * time.Second
 )
 
 func (v *VM) sweepFinals(ctx context.Context) {
 	seen := make(map[string]time.Duration)
 	for ctx.Err() == nil {
-		pause.For(ctx, sweepEvery)
+		pause.For(ctx, sweepInterval)
 		if !v.sweepsFinals.Load() {
 			clear(seen)
 			continue
@@ -34,12 +34,12 @@
 			klog.V(1).InfoS("kept: final states could not be read", "why", err)
 			continue
 		}
-		v.removeFinals(ctx, overdue(v.now(), seen, items))
+		v.removeFinals(ctx, expiredKeys(v.now(), seen, items))
 	}
 }
 
 // overdue notes what is seen for the first time, and returns the keys seen for long.
-func overdue(now time.Duration, seen map[string]time.Duration, items []store.Item) []string {
+func expiredKeys(now time.Duration, seen map[string]time.Duration, items []store.Item) []string {
 	present := make(map[string]bool, len(items))
 	var old []string
 	for _, it := range items {
@@ -48,7 +48,7 @@
 		switch {
 		case !known:
 			seen[it.Key] = now
-		case now-first > keepFinalFor:
+		case now-first > finalStateRetention:
 			old = append(old, it.Key)
 		}
 	}
@@ -64,7 +64,7 @@
 	removed := 0
 	for len(keys) > 0 {
 		n := min(len(keys), store.MaxEntries)
-		commitCtx, cancel := context.WithTimeout(ctx, sweepWithin)
+		commitCtx, cancel := context.WithTimeout(ctx, sweepTimeout)
 		_, err := v.store.Commit(commitCtx, store.Txn{Delete: keys[:n]})
 		cancel()
 		if err != nil {
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -21,39 +21,39 @@
 // Without it such a submission waits to the end of its caller's time: under overload two in
 // a hundred submissions ended so, and none of their callers learnt that nothing had run.
 
-// takeBackWithin is up to when the holders answer. A message that was lost is not waited
+// recallTimeout is up to when the holders answer. A message that was lost is not waited
 // for: the parts that came back are given out again.
-const takeBackWithin = 250 * time.Millisecond
+const recallTimeout = 250 * time.Millisecond
 
 // reconsider takes a divided submission back when its time is over, and gives parts that
 // came back out again when others have begun.
-func (e *engine) reconsider(t *transientSubmission) {
+func (e *engine) recallOrReassign(t *transientSubmission) {
 	if !e.vm.config.Policy.TakeBack || len(t.parts) < 2 || t.state.Final() {
 		return
 	}
 	switch {
-	case t.recalledAt == 0 && t.anyReturned():
+	case t.recalledAt == 0 && t.anyRejected():
 		t.recalledAt = e.now // a holder has rejected its part by itself
-	case t.recalledAt == 0 && !t.anyBegun():
-		if reason := e.vm.config.Policy.KeepWaiting(e.now, e.work(t.record, t.receivedAt)); reason.Refused() {
-			e.takeBack(t, reason)
+	case t.recalledAt == 0 && !t.anyStarted():
+		if reason := e.vm.config.Policy.KeepWaiting(e.now, e.policyWork(t.record, t.receivedAt)); reason.Refused() {
+			e.recall(t, reason)
 		}
-	case t.recalledAt > 0 && t.anyReturned() && (t.anyBegun() || e.now-t.recalledAt > takeBackWithin):
-		e.giveOutAgain(t)
+	case t.recalledAt > 0 && t.anyRejected() && (t.anyStarted() || e.now-t.recalledAt > recallTimeout):
+		e.reassignRejected(t)
 	}
 }
 
-func (t *transientSubmission) anyBegun() bool {
+func (t *transientSubmission) anyStarted() bool {
 	return t.started || slices.ContainsFunc(t.parts, func(p *part) bool {
 		return p.handovers > 0 || p.state == submission.Running || p.state == submission.Done
 	})
 }
 
-func (t *transientSubmission) anyReturned() bool {
+func (t *transientSubmission) anyRejected() bool {
 	return slices.ContainsFunc(t.parts, func(p *part) bool { return p.state == submission.Rejected })
 }
 
-func (e *engine) takeBack(t *transientSubmission, reason policy.Reason) {
+func (e *engine) recall(t *transientSubmission, reason policy.Reason) {
 	t.recalledAt = e.now
 	klog.InfoS("kept: taken back", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.receivedAt)
 	e.notifyPartHolders(t,
@@ -61,14 +61,14 @@
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.TakenBack = append(f.TakenBack, part) })
 }
 
-// giveOutAgain hands the parts that came back to the shards that do them soonest. A shard
+// reassignRejected hands the parts that came back to the shards that do them soonest. A shard
 // has one part of a submission at most.
-func (e *engine) giveOutAgain(t *transientSubmission) {
+func (e *engine) reassignRejected(t *transientSubmission) {
 	for _, p := range t.parts {
 		if p.state != submission.Rejected {
 			continue
 		}
-		l := e.shardFor(t, p)
+		l := e.selectShard(t, p)
 		if l == nil {
 			e.giveUp(t, "a part of it came back and no shard can be reached")
 			return
@@ -84,9 +84,9 @@
 	t.recalledAt = 0
 }
 
-// shardFor chooses the shard that a part is given to next; nil if there is none.
-func (e *engine) shardFor(t *transientSubmission, p *part) *knownLoad {
-	shards := e.reachableShards(p.record)
+// selectShard chooses the shard that a part is given to next; nil if there is none.
+func (e *engine) selectShard(t *transientSubmission, p *part) *knownLoad {
+	shards := e.eligibleShards(p.record)
 	shards = slices.DeleteFunc(shards, func(c policy.Candidate) bool {
 		other := t.part(c.Shard)
 		return other != nil && other != p
@@ -99,8 +99,8 @@
 	return e.loads[p.shard]
 }
 
-// takeBackPart answers a home that takes a part back.
-func (e *engine) takeBackPart(ref *pb.KeptRef) {
+// receiveRecall answers a home that takes a part back.
+func (e *engine) receiveRecall(ref *pb.KeptRef) {
 	if h := e.shards[ref.Shard]; h != nil {
 		h.core.TakeBack(e.now, submission.ID(ref.Id))
 	}
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -93,8 +93,8 @@
 		l := e.loads[p.shard]
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
 		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
-			"tasks", p.record.TaskCount(), "of", ev.record.TaskCount(), "objective", ev.record.Terms.Objective(ev.record.CriticalPath()), "free", l.FreeSlots(largestTask(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
-		l.sentMilli += int64(startableTasks(p.record)) * largestTask(p.record)
+			"tasks", p.record.TaskCount(), "of", ev.record.TaskCount(), "objective", ev.record.Terms.Objective(ev.record.CriticalPath()), "free", l.FreeSlots(largestTaskMilli(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
+		l.sentMilli += int64(startableTasks(p.record)) * largestTaskMilli(p.record)
 		e.sendPart(t, p, l)
 	}
 }
@@ -190,8 +190,8 @@
 			}
 			e.checkHolder(t, p)
 		}
-		e.giveElsewhere(t)
-		e.reconsider(t)
+		e.placeUnassigned(t)
+		e.recallOrReassign(t)
 		if t.state.Final() && e.now-t.endedAt > resultRetention {
 			delete(e.transients, t.record.ID)
 		}
@@ -322,14 +322,14 @@
 	}
 	p.updatedAt = e.now
 	if own {
-		e.takeReturned(t, p, w.returned)
+		e.reassignReturned(t, p, w.returned)
 	}
 	if e.transients[t.record.ID] != t {
 		return // nobody could take what was given back
 	}
 	switch state {
 	case submission.Returned:
-		e.endReturned(t, p)
+		e.completeReturned(t, p)
 	case submission.Unknown:
 		// The holder never got it, or it is the holder no more. In the first case it
 		// can be given once more; in the second the next holder comes by itself.
@@ -369,7 +369,7 @@
 // refuseTransient tells the callers of a submission, of which nothing has begun, when to come
 // again.
 func (e *engine) refuseTransient(t *transientSubmission, why policy.Reason) {
-	after := e.comeBack(t.record, e.reachableShards(t.record))
+	after := e.retryDelay(t.record, e.eligibleShards(t.record))
 	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.receivedAt)
 	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.receivedAt, "retry_after", after, "parts", len(t.parts))
 	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
@@ -379,7 +379,7 @@
 // end of a part.
 func (e *engine) completeIfDone(t *transientSubmission) {
 	if len(t.unassigned) > 0 {
-		e.giveElsewhere(t)
+		e.placeUnassigned(t)
 		return
 	}
 	if t.allPartsIn(submission.Done) {
@@ -431,7 +431,7 @@
 
 // apply ends a transient submission that no caller waits for any more.
 func (ev abandonEvent) apply(e *engine) {
-	if e.dropEarly(ev.reply) {
+	if e.dropDeferred(ev.reply) {
 		klog.InfoS("kept: abandoned", "id", ev.id, "why", "its caller has gone before a shard was known")
 		return
 	}
--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -37,8 +37,8 @@
 	return waitingReports{domains: make(map[string]domainReport), unplaced: make(map[string]queueCounts)}
 }
 
-// takeDomain takes a report of a domain unless a newer one is known.
-func (w *waitingReports) takeDomain(domain string, r domainReport) {
+// updateDomain takes a report of a domain unless a newer one is known.
+func (w *waitingReports) updateDomain(domain string, r domainReport) {
 	if r.at > w.domains[domain].at {
 		w.domains[domain] = r
 	}
@@ -48,16 +48,16 @@
 func (w *waitingReports) fresh(now time.Duration) map[string]domainReport {
 	out := make(map[string]domainReport)
 	for domain, r := range w.domains {
-		if now-r.at < waitingFresh {
+		if now-r.at < maxWaitingReportAge {
 			out[domain] = r
 		}
 	}
 	return out
 }
 
-func (w *waitingReports) takeUnplaced(peer string, counts queueCounts) { w.unplaced[peer] = counts }
+func (w *waitingReports) setUnplaced(peer string, counts queueCounts) { w.unplaced[peer] = counts }
 
-func (w *waitingReports) forget(peer string) { delete(w.unplaced, peer) }
+func (w *waitingReports) forgetPeer(peer string) { delete(w.unplaced, peer) }
 
 // unplacedIn sums what the other VMs could not place of a queue.
 func (w *waitingReports) unplacedIn(queue string) uint32 {
@@ -70,8 +70,8 @@
 
 // Times of the holders' reports. Callers may get a count that is two seconds old.
 const (
-	waitingEvery = 500 * time.Millisecond
-	waitingFresh = 2 * time.Second
+	waitingReportInterval = 500 * time.Millisecond
+	maxWaitingReportAge   = 2 * time.Second
 )
 
 func (ev waitingEvent) apply(e *engine) {
@@ -102,15 +102,15 @@
 	return out
 }
 
-// reportWaiting tells the peers of a holder what waits in its domain, and what it has heard of the
+// broadcastWaiting tells the peers of a holder what waits in its domain, and what it has heard of the
 // others. A report that nothing waits replaces the one before.
-func (e *engine) reportWaiting() {
-	if len(e.shards) == 0 || len(e.vm.config.Domains) < 2 || e.now-e.waitingReportedAt < waitingEvery {
+func (e *engine) broadcastWaiting() {
+	if len(e.shards) == 0 || len(e.vm.config.Domains) < 2 || e.now-e.waitingReportedAt < waitingReportInterval {
 		return
 	}
 	e.waitingReportedAt = e.now
 	own := e.vm.config.Domain
-	e.waiting.takeDomain(own, domainReport{counts: e.waitingIn(own), at: e.now})
+	e.waiting.updateDomain(own, domainReport{counts: e.waitingIn(own), at: e.now})
 	var reports []*pb.KeptWaiting
 	for domain, r := range e.waiting.fresh(e.now) {
 		reports = append(reports, &pb.KeptWaiting{Domain: domain, AgeNs: uint64(e.now - r.at), ByQueue: r.counts})
@@ -133,9 +133,9 @@
 	return out
 }
 
-// tellUnplaced tells all peers of this VM's share of the count, again and again while
+// broadcastUnplaced tells all peers of this VM's share of the count, again and again while
 // there is one: a peer may have come, or started again, since.
-func (e *engine) tellUnplaced() {
+func (e *engine) broadcastUnplaced() {
 	if e.now-e.unplacedSentAt < loadInterval {
 		return
 	}
--- a/internal/kept/vm/waiting_test.go
+++ b/internal/kept/vm/waiting_test.go
@@ -48,12 +48,12 @@
 // one domain, the older one comes last. Cause would be: the last to come is taken.
 func TestOlderReportOfADomainIsNotTaken(t *testing.T) {
 	w := newWaitingReports()
-	w.takeDomain("a", domainReport{counts: queueCounts{"q": 5}, at: 2 * time.Second})
-	w.takeDomain("a", domainReport{counts: queueCounts{"q": 9}, at: time.Second})
+	w.updateDomain("a", domainReport{counts: queueCounts{"q": 5}, at: 2 * time.Second})
+	w.updateDomain("a", domainReport{counts: queueCounts{"q": 9}, at: time.Second})
 	if n := w.fresh(2*time.Second + time.Millisecond)["a"].counts["q"]; n != 5 {
 		t.Errorf("%d wait by the reports, want the newer 5", n)
 	}
-	if len(w.fresh(2*time.Second+waitingFresh)) != 0 {
+	if len(w.fresh(2*time.Second+maxWaitingReportAge)) != 0 {
 		t.Error("a report that is too old is passed on")
 	}
 }
--- a/internal/process/power/plan.go
+++ b/internal/process/power/plan.go
@@ -77,7 +77,7 @@
 	return plan, nil
 }
 
-// partOf gives a worker its idle draw and its part of the rest.
+// partialRecord gives a worker its idle draw and its part of the rest.
 func partOf(w Candidate, rest, spread Milliwatts) WorkerPart {
 	part := WorkerPart{Name: w.Name, Incarnation: w.Incarnation, Ceiling: w.Ceiling}
 	if w.Incarnation == 0 {
