--- a/internal/kept/daemon/daemon.go
+++ b/internal/kept/daemon/daemon.go
@@ -180,7 +180,7 @@
 		Direct:      &relay.HTTP{Address: s.Store, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}},
 		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
 		Orders:      d.runClient,
-		Layout: vm.StoreLayout{
+		StoreLayout: vm.StoreLayout{
 			WorkerPrefix:  WorkerPrefix,
 			DecodeWorker:  decodeWorker,
 			CatalogPrefix: CatalogPrefix,
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -98,19 +98,19 @@
 	workerLists       map[string]*workerList   // by failure domain, of those in which this VM holds a shard
 	lastListVersion   uint64                   // counts the lists that this VM has read
 	// holdersChanged is set when there may be a holder that was not sent the list of workers.
-	holdersChanged   bool
-	readingWorkers   bool                       // this VM reads the list of workers from the store
-	lastWorkersRead  workersEvent               // the last list read here, of all domains
-	services         map[string]catalog.Service // all that a configuration has named, as the newest one that does defines them
-	evacuations      evacuation.Set
-	claimsInFlight   map[string]bool
-	divisionInFlight bool
-	transientSerial  uint64 // counts the transient submissions accepted here
-	unplacedSentAt   time.Duration
-	unplacedSent     bool                     // the last count of unplaced submissions sent to peers was not 0
-	frames           map[string]*pb.KeptFrame // by peer: to be sent at the end of this round
-	prunedAt         time.Duration
-	drained          chan struct{} // closed once all shards are handed over; nil: this VM is not draining
+	holdersChanged  bool
+	readingWorkers  bool                       // this VM reads the list of workers from the store
+	lastWorkersRead workersEvent               // the last list read here, of all domains
+	services        map[string]catalog.Service // all that a configuration has named, as the newest one that does defines them
+	evacuations     evacuation.Set
+	claimsInFlight  map[string]bool
+	layoutInFlight  bool
+	transientSerial uint64 // counts the transient submissions accepted here
+	unplacedSentAt  time.Duration
+	unplacedSent    bool                     // the last count of unplaced submissions sent to peers was not 0
+	frames          map[string]*pb.KeptFrame // by peer: to be sent at the end of this round
+	prunedAt        time.Duration
+	drained         chan struct{} // closed once all shards are handed over; nil: this VM is not draining
 }
 
 func newEngine(ctx context.Context, v *VM) *engine {
@@ -146,7 +146,7 @@
 		ev.apply(e)
 	}
 	e.maintainLinks()
-	e.divideDomains()
+	e.planLayouts()
 	e.claimShards()
 	e.updateLists()
 	for name, h := range e.shards {
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -26,7 +26,7 @@
 
 // evacuatedDomain is the domain whose evacuation a key asks for.
 func (v *VM) evacuatedDomain(key string) (domain string, ok bool) {
-	prefix := v.config.Layout.EvacuationPrefix
+	prefix := v.config.StoreLayout.EvacuationPrefix
 	domain, ok = strings.CutPrefix(key, prefix)
 	return domain, ok && prefix != "" && domain != ""
 }
@@ -53,11 +53,11 @@
 
 // readEvacuations asks the store for all evacuations; nil if the site has none by its settings.
 func (v *VM) readEvacuations(ctx context.Context) (*evacuationsEvent, error) {
-	if v.config.Layout.EvacuationPrefix == "" {
+	if v.config.StoreLayout.EvacuationPrefix == "" {
 		return nil, nil
 	}
 	sent := v.now()
-	items, revision, err := v.readAll(ctx, v.config.Layout.EvacuationPrefix, false)
+	items, revision, err := v.readAll(ctx, v.config.StoreLayout.EvacuationPrefix, false)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -58,7 +58,7 @@
 	version uint64        // at this VM, or at the one that told of it
 	sender  string        // who told of it; "": it was read here
 
-	division       site.ShardLayout         // that the workers are divided by
+	layout         site.ShardLayout         // that the workers are divided by
 	shardByAddress map[string]string        // of the workers, by address
 	byShard        map[string][]worker.Info // nil: they are not divided yet
 
@@ -285,8 +285,8 @@
 // divide returns the workers of a list by shard. The shard of an address is worked out once: each is hashed
 // with each shard of the domain.
 func (l *workerList) workersByShard(d site.ShardLayout) map[string][]worker.Info {
-	if l.division != d {
-		l.division, l.shardByAddress, l.byShard = d, nil, nil
+	if l.layout != d {
+		l.layout, l.shardByAddress, l.byShard = d, nil, nil
 	}
 	if l.byShard != nil {
 		return l.byShard
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -48,7 +48,7 @@
 	Direct              relay.Transport
 	Store               func(relay.Transport) store.Store // the store, over a way of making calls
 	Orders              worker.Client
-	Layout              StoreLayout
+	StoreLayout         StoreLayout
 	Policy              policy.Settings
 	Cores               float64 // processor of this VM, in cores; 0: not known
 	LinkBytesPerSecond  float64 // what this VM's link carries a second, in bytes; 0: not known
@@ -91,7 +91,7 @@
 
 	sweepsFinals atomic.Bool // this VM removes final states
 
-	reportedEntries loggedKeys // entries of the list of workers
+	loggedEntries loggedKeys // entries of the list of workers
 
 	orderRTT atomic.Int64 // how long answers of workers to orders usually take, in nanoseconds
 
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -160,10 +160,10 @@
 
 func (v *VM) watchCatalog(ctx context.Context) {
 	take := func(it store.Item) {
-		if it.Key != v.config.Layout.CatalogKey {
+		if it.Key != v.config.StoreLayout.CatalogKey {
 			return
 		}
-		c, err := v.config.Layout.DecodeCatalog(it)
+		c, err := v.config.StoreLayout.DecodeCatalog(it)
 		if err != nil {
 			klog.ErrorS(err, "kept: the configuration cannot be read; the one in force stays", "revision", it.Revision)
 			return
@@ -176,7 +176,7 @@
 		v.post(servicesEvent{services: c.Services})
 		klog.InfoS("kept: configuration in force", "version", c.Version, "revision", it.Revision, "queues", len(c.Queues))
 	}
-	f := &prefixWatcher{vm: v, prefix: v.config.Layout.CatalogPrefix, maxWait: time.Duration(catalogWaitShare * float64(cmp.Or(v.config.MaxCatalogDelay, defaultCatalogDelay)))}
+	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.CatalogPrefix, maxWait: time.Duration(catalogWaitShare * float64(cmp.Or(v.config.MaxCatalogDelay, defaultCatalogDelay)))}
 	f.onSnapshot = func(sent time.Duration, revision uint64, items []store.Item) {
 		for _, it := range items {
 			take(it)
@@ -268,7 +268,7 @@
 	send := func(sent time.Duration) {
 		v.post(workersEvent{sent: sent, list: slices.AppendSeq([]worker.Info{}, maps.Values(list))})
 	}
-	f := &prefixWatcher{vm: v, prefix: v.config.Layout.WorkerPrefix, maxWait: v.config.leaveNoticeShare(listWatchShare), pause: v.workersPause}
+	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.WorkerPrefix, maxWait: v.config.leaveNoticeShare(listWatchShare), pause: v.workersPause}
 	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
 		there := make(map[string]bool, len(items))
 		for _, it := range items {
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -14,59 +14,60 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// divideDomains writes into how many shards a domain of a new site is divided.
-func (e *engine) divideDomains() {
+// planLayouts stores the number of shards of each domain that has none yet, one domain at a time.
+func (e *engine) planLayouts() {
 	for _, domain := range e.site.DomainsWithoutLayout(e.now) {
-		if e.divisionInFlight {
+		if e.layoutInFlight {
 			return
 		}
-		e.divisionInFlight = true
-		least := e.site.MinCores(domain)
+		e.layoutInFlight = true
+		minCores := e.site.MinCores(domain)
 		e.vm.spawn(func() {
-			err := e.vm.writeDivision(e.ctx, domain, least)
-			e.vm.post(dividedEvent{domain: domain, err: err})
+			err := e.vm.writeLayout(e.ctx, domain, minCores)
+			e.vm.post(layoutWrittenEvent{domain: domain, err: err})
 		})
 	}
 }
 
-// Times of the division of a new domain.
+// Times for counting the workers of a new domain. The workers of a site that starts write their
+// entries within some seconds. A domain whose number of shards followed from the first few entries
+// would have one shard for ever, and one VM, perhaps one of the smallest, would hold all its workers.
+// So the workers are counted until two counts in a row agree.
 const (
-	// The workers of a site that starts write their entries within some seconds. A domain that
-	// is divided by the first entries has one shard for ever, and one VM, perhaps one of the
-	// smallest, holds all its workers. So they are counted until two counts are the same.
-	workerCountInterval = 1700 * time.Millisecond // more than a worker's heartbeat
-	maxWorkerCountTime  = 5 * time.Second         // then the last count is taken, so that the domain serves
+	workerCountInterval = 1700 * time.Millisecond // more than a worker's heartbeat interval
+	maxWorkerCountTime  = 5 * time.Second         // then the last count is used, so that the domain can serve
 )
 
-// divide counts the workers of a domain until the count stands, and writes its division, unless
-// another VM has.
-func (v *VM) writeDivision(ctx context.Context, domain string, least float64) error {
+// writeLayout counts the workers of a domain and stores its number of shards, unless another VM has
+// stored it already. minCores is the size of the domain's smallest VM.
+func (v *VM) writeLayout(ctx context.Context, domain string, minCores float64) error {
 	n, err := v.countWorkers(ctx, domain)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	d := site.PlanLayout(domain, n, least)
+	d := site.PlanLayout(domain, n, minCores)
 	_, err = v.store.Commit(ctx, store.Txn{
 		Expect: []store.Condition{{Key: site.DomainKey(domain)}},
 		Put:    []store.Put{{Key: site.DomainKey(domain), Value: site.Encode(d)}},
 	})
 	if err == nil {
-		klog.InfoS("kept: domain divided", "domain", domain, "workers", n, "shards", d.Shards, "least_cores", least)
+		klog.InfoS("kept: domain divided into shards", "domain", domain, "workers", n, "shards", d.Shards, "least_cores", minCores)
 	}
 	return err
 }
 
-var errNoWorkers = errors.New("no worker of it is listed yet")
+var errNoWorkers = errors.New("no worker of the domain is listed yet")
 
-// countWorkers counts the workers of a domain until two counts are the same.
+// countWorkers counts the workers of a domain until two counts in a row agree, or for
+// maxWorkerCountTime.
 func (v *VM) countWorkers(ctx context.Context, domain string) (int, error) {
 	began := v.now()
 	last := -1
 	for {
-		lookCtx, cancel := context.WithTimeout(ctx, claimTimeout)
-		workers, err := v.readDomainWorkers(lookCtx, domain, false)
+		readCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+		workers, err := v.readDomainWorkers(readCtx, domain, false)
 		cancel()
 		if err != nil {
 			return 0, err
@@ -85,9 +86,9 @@
 	}
 }
 
-// readDomainWorkers reads the workers of a failure domain from their list.
+// readDomainWorkers reads the workers of a failure domain from the list in the store.
 func (v *VM) readDomainWorkers(ctx context.Context, domain string, stale bool) ([]worker.Info, error) {
-	items, _, err := v.readAll(ctx, v.config.Layout.WorkerPrefix, stale)
+	items, _, err := v.readAll(ctx, v.config.StoreLayout.WorkerPrefix, stale)
 	if err != nil {
 		return nil, err
 	}
@@ -100,50 +101,51 @@
 	return out, nil
 }
 
-// decodeEntry reads an entry of the list of workers. One that names no worker to use is left
-// out, and logged when it is read first.
+// decodeEntry decodes an entry of the list of workers. One that describes no usable worker is logged
+// the first time; ok is false.
 func (v *VM) decodeEntry(it store.Item) (info worker.Info, ok bool) {
-	info, err := v.config.Layout.DecodeWorker(it)
+	info, err := v.config.StoreLayout.DecodeWorker(it)
 	if err == nil {
-		v.reportedEntries.remove(it.Key)
+		v.loggedEntries.remove(it.Key)
 		return info, true
 	}
-	if v.reportedEntries.add(it.Key) {
-		klog.ErrorS(err, "kept: an entry of the list names no worker to use", "key", it.Key, "revision", it.Revision)
+	if v.loggedEntries.add(it.Key) {
+		klog.ErrorS(err, "kept: entry of the worker list describes no usable worker", "key", it.Key, "revision", it.Revision)
 	}
 	return worker.Info{}, false
 }
 
-// loggedKeys remembers the keys of entries that were complained of: such an entry is read
-// again with each look at the list.
+// loggedKeys is the set of keys of unusable entries that were logged. Such an entry is read again each
+// time the list is read.
 type loggedKeys struct {
 	mu   sync.Mutex
-	seen map[string]struct{}
+	keys map[string]struct{}
 }
 
-// maxLoggedKeys bounds the memory that foreign entries take. Beyond it they are not logged.
+// maxLoggedKeys bounds the memory that unusable entries take. Beyond it they are not logged.
 const maxLoggedKeys = 1024
 
+// add reports whether the key is to be logged: it is new, and there is room for it.
 func (o *loggedKeys) add(key string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, known := o.seen[key]; known || len(o.seen) >= maxLoggedKeys {
+	if _, known := o.keys[key]; known || len(o.keys) >= maxLoggedKeys {
 		return false
 	}
-	if o.seen == nil {
-		o.seen = make(map[string]struct{})
+	if o.keys == nil {
+		o.keys = make(map[string]struct{})
 	}
-	o.seen[key] = struct{}{}
+	o.keys[key] = struct{}{}
 	return true
 }
 
 func (o *loggedKeys) remove(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.seen, key)
+	delete(o.keys, key)
 }
 
-// apply notes which services the configuration names. What an earlier one named stays: its
+// apply adds the services that the configuration names. Those of earlier configurations stay, as their
 // workers may still run tasks.
 func (ev servicesEvent) apply(e *engine) {
 	added := false
@@ -160,27 +162,28 @@
 	}
 }
 
-// serves reports whether a worker belongs to a service that the configuration names. It is
-// not asked before there is a configuration.
+// isServed reports whether a worker belongs to a service that a configuration has named. Before the first
+// configuration all do.
 func (e *engine) isServed(info worker.Info) bool {
 	_, named := e.services[info.Service]
 	return named || len(e.services) == 0
 }
 
-type dividedEvent struct {
+// layoutWrittenEvent says how writing the number of shards of a domain went.
+type layoutWrittenEvent struct {
 	domain string
 	err    error
 }
 
-func (ev dividedEvent) apply(e *engine) {
-	e.divisionInFlight = false
+func (ev layoutWrittenEvent) apply(e *engine) {
+	e.layoutInFlight = false
 	var conflict *store.ConflictError
 	if ev.err != nil && !errors.As(ev.err, &conflict) {
-		klog.InfoS("kept: a domain could not be divided", "domain", ev.domain, "why", ev.err)
+		klog.InfoS("kept: domain not divided into shards", "domain", ev.domain, "why", ev.err)
 	}
 }
 
-// updateWorkers holds the workers of a shard.
+// updateWorkers gives a shard the workers that the list of its domain assigns to it.
 func (e *engine) updateWorkers(h *heldShard) {
 	var own []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
@@ -196,7 +199,8 @@
 	e.storeWorkers(h)
 }
 
-// syncSessions makes the sessions those of the workers that the core knows.
+// syncSessions starts and ends sessions so that there is one with each worker of the shard, in the
+// worker's latest incarnation.
 func (e *engine) syncSessions(h *heldShard) {
 	known := make(map[string]bool)
 	for _, id := range h.core.WorkerIDs() {
@@ -204,7 +208,7 @@
 		info, _ := h.core.WorkerInfo(id)
 		ws := h.sessions[id]
 		if ws != nil && info.Incarnation().Succeeds(ws.incarnation()) {
-			klog.InfoS("kept: worker started again under its ID", "worker", info.Incarnation(), "earlier", ws.incarnation(),
+			klog.InfoS("kept: worker restarted under the same ID", "worker", info.Incarnation(), "earlier", ws.incarnation(),
 				"shard", h.holding.Shard, "known_from", h.core.WorkerOrigin(id).String())
 			e.vm.metrics.workersRestarted.Inc(1)
 			ws.cancel()
@@ -225,8 +229,8 @@
 	}
 }
 
-// holder returns the shard that a session belongs to; nil if it is held no more, or the session has
-// given way to one with the worker's next incarnation.
+// sessionShard returns the shard that a session belongs to; nil if this VM no longer holds it, or a
+// session with a later incarnation of the worker has replaced this one.
 func (e *engine) sessionShard(ws *workerSession) *heldShard {
 	h := e.shards[ws.shard]
 	if h == nil || h.holding.Token != ws.token || h.sessions[ws.info.Load().ID] != ws {
@@ -252,7 +256,7 @@
 
 func (ev workerFencedEvent) apply(e *engine) {
 	if h := e.sessionShard(ev.session); h != nil {
-		klog.InfoS("kept: a worker has seen a higher token", "worker", ev.session.info.Load().ID, "shard", ev.session.shard, "token", ev.session.token)
+		klog.InfoS("kept: worker has seen a higher fencing token", "worker", ev.session.info.Load().ID, "shard", ev.session.shard, "token", ev.session.token)
 	}
 }
 
@@ -264,11 +268,11 @@
 	e.replaceIncarnation(h, ev.session, ev.successor)
 }
 
-// succeed takes the incarnation that answers in place of a session's.
+// replaceIncarnation replaces the incarnation of a session by the one that answers in its place.
 func (e *engine) replaceIncarnation(h *heldShard, ws *workerSession, next worker.Incarnation) {
 	gone := *ws.info.Load()
 	gone.Born = ws.born.Load()
-	klog.InfoS("kept: worker gone", "worker", gone.Incarnation(), "shard", ws.shard, "successor", next, "why", "another incarnation answers")
+	klog.InfoS("kept: worker replaced", "worker", gone.Incarnation(), "shard", ws.shard, "successor", next, "why", "another incarnation answers")
 	h.core.WorkerRestarted(e.now, gone, next)
 	e.syncSessions(h)
 }
@@ -280,7 +284,7 @@
 	}
 	id := ev.session.info.Load().ID
 	e.vm.metrics.workersLost.Inc(1)
-	klog.InfoS("kept: worker lost", "worker", id, "shard", ev.session.shard, "why", "it does not answer, and its lease is over")
+	klog.InfoS("kept: worker lost", "worker", id, "shard", ev.session.shard, "why", "no answer, and its lease has expired")
 	h.core.WorkerLeaseExpired(e.now, id)
 }
 
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -132,7 +132,7 @@
 		Direct:      w.doors[name],
 		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
 		Orders:      w.fleet.From(domain),
-		Layout: StoreLayout{
+		StoreLayout: StoreLayout{
 			WorkerPrefix: "workers/",
 			DecodeWorker: func(it store.Item) (worker.Info, error) {
 				var info worker.Info
