--- a/internal/kept/shard/types.go
+++ b/internal/kept/shard/types.go
@@ -8,34 +8,34 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// StartAction orders a run.
+// StartAction orders a worker to start a run of a task.
 type StartAction struct {
 	Worker     worker.Info
 	Task       submission.TaskRef
 	Run        uint64
 	Spec       string
 	Checkpoint string
-	Waited     time.Duration // since the submission came to this holder
+	Waited     time.Duration // since its home VM received the submission, or this holder if it is stored
 	Queue      string
-	IsFirst    bool   // of the submission, here
-	Origin     Origin // how the worker's entry is known
+	IsFirst    bool   // the first start of the submission by this holder
+	Origin     Origin // where the worker's entry comes from
 }
 
-// Origin says how a holder knows what a worker says about itself.
+// Origin says where a holder's entry for a worker comes from.
 type Origin uint8
 
 // The origins of a worker's entry.
 const (
-	FromList                Origin = iota // the list of workers
-	FromPreviousHolder                    // the shard's earlier holder, whose list was older
-	FromPreviousIncarnation               // the worker's earlier incarnation
+	FromList                Origin = iota // the list of workers in the store
+	FromPreviousHolder                    // the shard's previous holder, whose list may be out of date
+	FromPreviousIncarnation               // the entry of the worker's previous incarnation
 )
 
 var originNames = [...]string{"list", "earlier holder", "earlier incarnation"}
 
 func (o Origin) String() string { return originNames[o] }
 
-// StopAction ends a run.
+// StopAction orders a worker to stop a run.
 type StopAction struct {
 	Worker worker.Info
 	Task   submission.TaskRef
@@ -43,13 +43,13 @@
 	Reason string
 }
 
-// AckAction acknowledges a worker's ends.
+// AckAction acknowledges the ended runs that a worker has listed.
 type AckAction struct {
 	Worker string // its ID
-	UpTo   uint64
+	UpTo   uint64 // number of the last end that is acknowledged
 }
 
-// FinalAction stores the end of a submission.
+// FinalAction stores the final state of a submission.
 type FinalAction struct {
 	ID       submission.ID
 	Revision uint64 // of its record
@@ -63,65 +63,66 @@
 	Revision uint64
 }
 
-// StateAction tells the submission's home how far it is.
+// StateAction reports the state of a submission to its home VM.
 type StateAction struct {
 	ID     submission.ID
 	Home   string
 	State  submission.State
-	Serial uint64 // of the hand-in that the state is of
-	// Returned are the tasks of it that this shard has given back so far. All are named each
-	// time: a message may get lost.
+	Serial uint64 // of the submission attempt that the state belongs to
+	// Returned are all tasks of the submission that this shard has returned so far. Each report
+	// repeats them, as an earlier one may have been lost.
 	Returned []ReturnedTask
 }
 
-// ReturnedTask is a task that certainly does not run and that its home is to give to another
+// ReturnedTask is a task that certainly does not run and that its home VM has to give to another
 // shard.
 type ReturnedTask struct {
 	Task       submission.Task
 	Run        uint64            // number of its newest run; 0: it never started
 	FailedRuns int               // runs that have failed
-	Losses     []submission.Loss // workers that were lost under it
+	Losses     []submission.Loss // workers that were lost while they ran it
 }
 
-// ReassignAction stores a submission of which nothing runs here under another shard.
+// ReassignAction stores a submission under another shard. None of its tasks runs in this one.
 type ReassignAction struct {
 	Record   *submission.Record
 	Revision uint64
 }
 
-// OutcomeAction tells the home of a transient submission what has become of a task, so
-// that a later holder can go on from there.
+// OutcomeAction reports the outcome of a task's runs to the home VM of a transient submission, from
+// which a later holder of the shard learns it.
 type OutcomeAction struct {
 	Home       string
 	Task       submission.TaskRef
 	FailedRuns int // runs that have failed; 0: the task has completed
 }
 
-// TaskLossesAction tells the home of a transient submission which workers were lost under a task.
+// TaskLossesAction reports to the home VM of a transient submission which workers were lost while
+// they ran a task.
 type TaskLossesAction struct {
 	Home   string
 	Task   submission.TaskRef
 	Losses []submission.Loss
 }
 
-// WorkerLossAction tells of a worker that was lost with tasks on it.
+// WorkerLossAction reports a worker that was lost while it had tasks.
 type WorkerLossAction struct {
 	Worker    string
 	Tasks     int
-	Unrelated bool // other workers were lost at the same moment: it says nothing of the tasks
+	Unrelated bool // workers with other submissions were lost at the same time: no evidence against the tasks
 }
 
-// GivenUpAction tells of a task that starts no more, as the workers that start it are lost.
+// GivenUpAction reports a task that is not started again because workers are lost while they run it.
 type GivenUpAction struct {
 	Task   submission.TaskRef
 	Losses []submission.Loss
 }
 
-// Actions are what a Shard wants done, in no order but that within each list.
+// Actions are what the holder has to do for a Shard. Only the order within each list matters.
 type Actions struct {
 	Starts    []StartAction
 	Stops     []StopAction
-	Probes    []string // IDs of workers to be asked for a listing at once
+	Probes    []string // IDs of workers to ask for a listing at once
 	Acks      []AckAction
 	Finals    []FinalAction
 	Saves     []SaveAction
@@ -134,48 +135,51 @@
 	GivenUp      []GivenUpAction
 }
 
-// Stored is a record with its revision.
+// StoredRecord is a submission's record with its revision in the store.
 type StoredRecord struct {
 	Record   *submission.Record
 	Revision uint64
 }
 
-// Load is what others need to know to send submissions here.
+// Load is a shard's capacity and queue, by which other VMs decide whether to send submissions to it.
 type Load struct {
 	Ready            bool
-	FreeMilli        []int64        // free processor of each usable worker with room, thousandths of a core
-	CapacityMilli    int64          // processor of all usable workers
-	Queued           []QueuedWork   // what waits for room, in the order in which it is served
-	UnstartedByQueue map[string]int // submissions of each queue of which no task has started
-	Services         []string       // that its workers are of, in order
+	FreeMilli        []int64        // free CPU of each worker that can take a task, in thousandths of a core
+	CapacityMilli    int64          // CPU of all usable workers, in thousandths of a core
+	Queued           []QueuedWork   // tasks that wait for a worker, in the order in which they are served
+	UnstartedByQueue map[string]int // submissions of each queue of which no run has begun
+	Services         []string       // services of its workers, sorted
 }
 
-// Queued is what waits for room in one band at one priority, but for tasks whose step has
-// not begun.
+// QueuedWork is the sum of the tasks that wait for a worker in one band at one priority. Tasks whose
+// step depends on unfinished ones are not counted.
 type QueuedWork struct {
 	Band      policy.LatenessBand
 	Priority  int
-	CPUMilli  int64         // processor, thousandths of a core
-	DrainTime time.Duration // on all usable workers
+	CPUMilli  int64         // in thousandths of a core
+	DrainTime time.Duration // time in which all usable workers together complete it
 }
 
-// Ahead is what is served before a submission of some priority that comes now and can be
-// done in time. With all, everything that waits counts.
-func (l *Load) QueuedAhead(priority int, all bool) (milli int64, takes time.Duration) {
+// QueuedAhead sums the queued work that is served before a submission of the given priority that
+// arrives now and can still be in time. If all is set, it sums all queued work.
+func (l *Load) QueuedAhead(priority int, all bool) (milli int64, drainTime time.Duration) {
 	for _, q := range l.Queued {
 		if all || q.Band == policy.InTime && q.Priority <= priority {
 			milli += q.CPUMilli
-			takes += q.DrainTime
+			drainTime += q.DrainTime
 		}
 	}
-	return milli, takes
+	return milli, drainTime
 }
 
-// Settings of a shard.
+// Settings are the settings of a shard.
 type Settings struct {
-	Policy    policy.Settings
-	SaveDelay time.Duration // an unfinished submission's ends are stored after this, to be acknowledged
-	// EnforcesCapacity reports whether the workers of a service reject what does not fit; nil: all do.
+	Policy policy.Settings
+	// SaveDelay is how long after a run of an unfinished submission has ended its progress is stored.
+	// Only then is the end acknowledged to the worker.
+	SaveDelay time.Duration
+	// EnforcesCapacity reports whether the workers of a service refuse tasks that exceed their free
+	// capacity; nil: all do.
 	EnforcesCapacity func(service string) bool
 }
 
@@ -183,7 +187,7 @@
 	return s.EnforcesCapacity == nil || s.EnforcesCapacity(service)
 }
 
-// DefaultSettings are for workers with leases of a second.
+// DefaultSettings suit workers with leases of one second.
 func DefaultSettings() Settings {
 	return Settings{Policy: policy.Defaults(), SaveDelay: 1500 * time.Millisecond}
 }
