--- a/internal/kept/policy/admit.go
+++ b/internal/kept/policy/admit.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Reason is why a submission is refused; "": it is not.
+// Reason is why a submission is refused; "" means that it is not refused.
 type Reason string
 
-// The reasons. A refused submission has not run, and will not.
+// The reasons. A refused submission has not run and will not run.
 const (
 	NoShardReachable    Reason = "no_shard_reachable"
 	NoWorkerForService  Reason = "no_worker_of_the_service"
-	AllDomainsEvacuated Reason = "domains_evacuated" // all that can be reached and have workers of the service
-	ForecastTooLate     Reason = "forecast_too_late"
-	TooLateByNow        Reason = "too_late_by_now"
-	WaitShareUsedUp     Reason = "waited_its_share"
+	AllDomainsEvacuated Reason = "domains_evacuated" // each reachable domain with workers of the service is evacuated
+	ForecastTooLate     Reason = "forecast_too_late" // on arrival: it would end too late on every reachable shard
+	TooLateByNow        Reason = "too_late_by_now"   // while it waited: it would end too late even if it started now
+	WaitShareUsedUp     Reason = "waited_its_share"  // it has waited for Settings.WaitShare of its caller's timeout
 )
 
-// Refused reports whether there is a reason.
+// Refused reports whether there is a reason to refuse.
 func (r Reason) Refused() bool { return r != "" }
 
-// Admit decides, when a submission comes, whether one of the shards that can be reached
-// would do it while its caller has a use for the answer.
+// Admit decides, when a submission arrives, whether any reachable shard can finish it before it
+// is TooLate.
 func Admit(now time.Duration, w *Work, shards []Candidate) Reason {
 	if len(shards) == 0 {
 		return NoShardReachable
@@ -30,21 +30,23 @@
 	return ""
 }
 
-// MinWait is the time until a task would start at the shard where it would start first.
-// There is one shard at least. One without room, as it has lost its workers, has nothing to
-// wait for either: it counts only if no other is there.
+// MinWait is the shortest time until one of the shards would start a task; there must be at
+// least one shard.
+//
+// A shard that has lost its workers has no capacity and an empty queue, so its wait of 0 is not a
+// forecast. It is ignored; if no shard has capacity, the result is 0.
 func MinWait(shards []Candidate) time.Duration {
-	least, found := time.Duration(0), false
+	shortest, found := time.Duration(0), false
 	for _, c := range shards {
-		if c.Capacity > 0 && (!found || c.Wait < least) {
-			least, found = c.Wait, true
+		if c.Capacity > 0 && (!found || c.Wait < shortest) {
+			shortest, found = c.Wait, true
 		}
 	}
-	return least
+	return shortest
 }
 
-// KeepWaiting decides whether a submission of which nothing has begun goes on waiting for
-// room at its shard.
+// KeepWaiting decides whether a submission of which no task has started may go on waiting for
+// capacity at its shard. It returns the reason to refuse it, or "".
 func (s *Settings) KeepWaiting(now time.Duration, w *Work) Reason {
 	switch {
 	case w.Band(now) == TooLate:
--- a/internal/kept/policy/crash.go
+++ b/internal/kept/policy/crash.go
@@ -7,42 +7,44 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// A worker that is lost while a task runs there is evidence against the task: a task may crash each
-// worker that starts it. Its neighbours there look the same, and so do tasks on workers that lose power
-// together or are cut off. So a first loss makes a task a suspect, which from then on runs alone on its
-// worker, and only a loss of that worker tells the task from its neighbours.
+// A task may crash every worker that starts it, so losing a worker while a task runs there is
+// evidence against the task. The evidence is ambiguous: the other tasks on that worker look just
+// as guilty, and so do tasks on workers that lose power together or are cut off from the network.
+// Therefore a first loss only makes a task a suspect. From then on it runs alone on its worker, and
+// the loss of that worker can be due to no other task.
 //
-// Losses at the same moment of workers with nothing in common weigh nothing: they have another cause, or
-// several tasks that crash. But they count: a task that many such losses hit runs alone as well, or a
-// number of tasks that crash would excuse each other.
+// If workers that run no submission in common are lost at the same moment, the losses have weight 0:
+// there is another cause, such as a power cut, or several tasks crash their workers. They still count
+// by number. A task hit by many of them runs alone as well, since otherwise several crashing tasks
+// would clear each other.
 
-// What the loss of a worker weighs as evidence against a task there.
+// The weight of the loss of a worker as evidence against a task that was there.
 const (
-	weightUnrelated = 0 // workers with nothing in common were lost at the same moment
-	weightShared    = 1 // other tasks ran there, or it is not known that this one did
-	weightAlone     = 2
+	weightUnrelated = 0 // workers without a common submission were lost at the same moment
+	weightShared    = 1 // other tasks ran there, or it is not known whether this one had started
+	weightAlone     = 2 // the task is known to have run there, alone
 )
 
 const (
-	suspectLossCount = 2 // losses that make a task a suspect, whatever they weigh
-	maxLossCount     = 3 // losses after which a task is given up, whatever they weigh
+	suspectLossCount = 2 // number of losses, of any weight, that make a task a suspect
+	maxLossCount     = 3 // number of losses, of any weight, after which a task is given up
 )
 
-// The part of a shard's workers that suspects may have at a time: one in workersPerSuspect, and minSuspectWorkers at
-// least.
+// Suspects may use one in workersPerSuspect of a shard's workers at a time, and at least
+// minSuspectWorkers.
 const (
 	workersPerSuspect = 4
 	minSuspectWorkers = 2
 )
 
-// Lost is the loss of a worker as it concerns a task there.
+// LossContext describes the loss of a worker from the point of view of one task there.
 type LossContext struct {
-	StartedAlone    bool // the task was started alone
-	KnownToRun      bool // it is known to have run there
+	StartedAlone    bool // the task was started alone on its worker
+	KnownToRun      bool // the task is known to have run there
 	UnrelatedLosses bool // other workers, with other submissions, were lost at the same moment
 }
 
-// Weight is what a loss weighs against the task.
+// Weight returns the weight of the loss as evidence against the task.
 func (l LossContext) Weight() int {
 	switch {
 	case l.UnrelatedLosses:
@@ -54,26 +56,27 @@
 	}
 }
 
-// Suspect reports whether a task must run alone.
+// IsSuspect reports whether a task must run alone on its worker.
 func (s *Settings) IsSuspect(losses []submission.Loss) bool {
 	return s.LossEvidence > 0 && (totalWeight(losses) > 0 || len(losses) >= suspectLossCount)
 }
 
-// ShouldGiveUp reports whether a task starts no more, as the workers that start it are lost. Only a worker
-// that has certainly ended counts, unless losses that are not certain suffice.
-func (s *Settings) ShouldGiveUp(losses []submission.Loss, uncertain bool) bool {
+// ShouldGiveUp reports whether a task must not be started again because the workers that start it
+// are lost. Losses count only if the worker is known to have ended, unless countUncertain is set.
+func (s *Settings) ShouldGiveUp(losses []submission.Loss, countUncertain bool) bool {
 	counted := losses
-	if !uncertain {
+	if !countUncertain {
 		counted = slices.DeleteFunc(slices.Clone(losses), func(l submission.Loss) bool { return !l.Certain })
 	}
 	return s.LossEvidence > 0 && (totalWeight(counted) >= s.LossEvidence || len(counted) >= maxLossCount)
 }
 
-// LossConfirmationTime is how soon a lost worker, or its next incarnation, answers in most cases. A task that
-// may have to be given up waits for it.
+// LossConfirmationTime is the time within which a lost worker, or its next incarnation, answers in
+// most cases, which shows whether the worker had ended or was only cut off. A task that might have
+// to be given up is not started again before that.
 const LossConfirmationTime = 5 * time.Second
 
-// MaxSuspectWorkers is how many of a shard's workers suspects may have at a time.
+// MaxSuspectWorkers is how many of a shard's workers suspects may use at a time.
 func (s *Settings) MaxSuspectWorkers(workers int) int {
 	return max(workers/workersPerSuspect, minSuspectWorkers)
 }
--- a/internal/kept/policy/doc.go
+++ b/internal/kept/policy/doc.go
@@ -1,15 +1,16 @@
-// Package policy holds the decisions of the dispatcher under load and faults: whom to
-// admit, in what order, where to run, whom to trust, and when a refused caller should
-// come back.
+// Package policy decides how the dispatcher behaves under load and faults: which submissions
+// to admit, in which order to serve them, where to run their tasks, which workers to avoid,
+// and when a refused caller should retry.
 //
 // # Contract
 //
-// Each decision is a pure function of a snapshot and of Settings: no I/O, no clock, no
-// goroutine, no state but Trust, which is a plain value that its owner keeps. A decision
-// against a submission comes with a typed Reason. Times are since boot.
+// Each decision is a pure function of a snapshot and of Settings. The package does no I/O,
+// reads no clock and starts no goroutine. What it needs to remember (WorkerHealth, Progress,
+// Pace, RetrySchedule) are plain values that their owners keep. A decision against a submission
+// comes with a typed Reason. Times are durations since boot.
 //
-// What the functions rely on: the caller's estimates (often off by a half), the queue's
-// terms, and what the holders of shards say of their room, some 15 ms old. Nothing here
-// depends on a site's size, names or load; thresholds are in Settings, with the load that
-// each answers.
+// The inputs are the callers' estimates of run times (often off by half), the terms of the
+// queue, and the load that the holders of shards report, about 15 ms old. Nothing depends on
+// the size, the names or the load of a site. The thresholds that operators can set are in
+// Settings, each with the load or fault that it is for.
 package policy
--- a/internal/kept/policy/order.go
+++ b/internal/kept/policy/order.go
@@ -8,29 +8,30 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// Work is what the order and the admission of a submission depend on.
+// Work holds the properties of a submission that its admission and its place in the queue
+// depend on.
 type Work struct {
 	ID            submission.ID
-	Priority      int           // of its queue; 0 comes first
-	ReceivedAt    time.Duration // when it came
-	Objective     time.Duration // in which it should be done, since it came
-	RunTime       time.Duration // if all its tasks start now
-	CallerTimeout time.Duration // how long its caller waits, since it came; 0: not known
-	Started       bool          // a task of it was given to a worker
-	RemainingWork float64       // work of the tasks that have not started, cores times seconds
+	Priority      int           // of its queue; lower values are served first
+	ReceivedAt    time.Duration // time since boot
+	Objective     time.Duration // time after ReceivedAt within which it should be done
+	RunTime       time.Duration // time that it still takes if its tasks start now
+	CallerTimeout time.Duration // how long its caller waits after ReceivedAt; 0: not known
+	Started       bool          // a task of it was sent to a worker
+	RemainingWork float64       // of the tasks that can start and have not, in core-seconds; 0: not set
 }
 
-// Band says whether a submission can still be done in time.
+// LatenessBand says whether a submission can still be done within its objective.
 type LatenessBand uint8
 
 // The bands, in the order in which they are served.
 const (
 	InTime  LatenessBand = iota
-	Late                 // within submission.LateFactor times its objective
-	TooLate              // of little use to its caller
+	Late                 // after its objective, but within submission.LateFactor times it
+	TooLate              // later still, and of little use to its caller
 )
 
-// Band returns the band of a submission that would start at a time.
+// Band returns the band of the submission if it starts at the given time.
 func (w *Work) Band(start time.Duration) LatenessBand {
 	switch ends := start + w.RunTime; {
 	case ends <= w.ReceivedAt+w.Objective:
@@ -42,16 +43,16 @@
 	}
 }
 
-// Urgency is a submission's place in the order of its shard.
+// Urgency is the sort key of a submission in the queue of its shard.
 type Urgency struct {
 	band     LatenessBand
 	priority int
-	size     int // of the work left, as a power of two
+	size     int // binary exponent of RemainingWork
 	deadline time.Duration
 	id       submission.ID
 }
 
-// Urgency returns the place of a submission in the order of its shard, now.
+// Urgency returns the sort key of a submission at the time now.
 func (s *Settings) Urgency(now time.Duration, w *Work) Urgency {
 	u := Urgency{priority: w.Priority, deadline: w.ReceivedAt + w.Objective, id: w.ID}
 	if s.Bands {
@@ -66,9 +67,8 @@
 	return u
 }
 
-// Compare orders submissions, the most pressing first: by band, by priority, by the size of
-// what is left, then by the objective's end. The identity decides between equals, so that
-// the order is the same each time.
+// Compare orders submissions, the most urgent first: by band, priority, remaining work and
+// deadline. The ID breaks ties, so that the order is the same each time.
 func (u Urgency) Compare(other Urgency) int {
 	return cmp.Or(
 		cmp.Compare(u.band, other.band),
--- a/internal/kept/policy/progress.go
+++ b/internal/kept/policy/progress.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Progress is how far a run was seen to be. Its zero value is that of a run that was not
-// seen yet.
+// Progress is the progress of a run as its worker reported it. The zero value means that nothing
+// was reported yet.
 type Progress struct {
-	percent   int           // of its work, as its worker last said
-	changedAt time.Duration // when it was first seen there
-	seenAt    time.Duration // when it was last seen
+	percent   int           // of its work, as last reported
+	changedAt time.Duration // when this percentage was first reported
+	seenAt    time.Duration // when the last report came
 }
 
-// See takes what a worker says of a run, at the time when its answer came.
+// Update records a report of the run. now is the time when the worker's answer came.
 func (p *Progress) Update(now time.Duration, percent int) {
 	if p.seenAt == 0 || percent != p.percent {
 		p.percent = percent
@@ -22,38 +22,40 @@
 	p.seenAt = now
 }
 
-// A run whose progress does not change stands still. One that runs as expected gains
-// stallWorkShare of its work in the time that is waited for. One that takes many times as long
-// gains a percent in stallPercentFactor times what its percents took up to now; before its first it is
-// given twice the time. Listings come each 250 ms, so less than minStallTime could be one that
-// was missed.
+// A run counts as stalled if its progress has not changed for the longest of three times:
+//   - the time in which a run of the expected duration does stallWorkShare of its work;
+//   - stallPercentFactor times what one percent has taken so far, for runs that take many times
+//     as long as expected;
+//   - minStallTime, as listings come every 250 ms and one may be missed.
+//
+// Before its first percent a run gets twice the longer of the first and the last.
 const (
 	stallWorkShare     = 0.3
 	stallPercentFactor = 3
 	minStallTime       = 300 * time.Millisecond
 )
 
-// IsStalled reports whether a run has made no progress for so long that its worker must be
-// taken for hung: its tasks stand still while it answers calls. started is when it was
-// started.
+// IsStalled reports whether a run has made no progress for so long that its worker is considered
+// hung: it answers calls, but its tasks make no progress. started is when the run was started.
 func (p Progress) IsStalled(started, expected time.Duration) bool {
 	if p.seenAt == 0 || p.percent >= 100 {
 		return false
 	}
-	within := max(minStallTime, time.Duration(stallWorkShare*float64(expected)))
+	timeout := max(minStallTime, time.Duration(stallWorkShare*float64(expected)))
 	if p.percent == 0 {
-		within *= 2
+		timeout *= 2
 	} else {
-		within = max(within, stallPercentFactor*(p.changedAt-started)/time.Duration(p.percent))
+		timeout = max(timeout, stallPercentFactor*(p.changedAt-started)/time.Duration(p.percent))
 	}
-	return p.seenAt-p.changedAt >= within
+	return p.seenAt-p.changedAt >= timeout
 }
 
-// minPercentToExtrapolate is the percent below which the rounding to whole ones weighs too much.
+// minPercentToExtrapolate is the progress below which rounding to whole percents makes an
+// extrapolation too inexact.
 const minPercentToExtrapolate = 4
 
-// Total is how long a run would take in all if it goes on as it did, known once it has made
-// some progress. age is its age when it was last seen.
+// EstimatedTotal extrapolates how long the run takes in all if it goes on at its present rate. age
+// is its age at the last report. known is false until the run has done enough of its work.
 func (p Progress) EstimatedTotal(age time.Duration) (total time.Duration, known bool) {
 	if p.percent < minPercentToExtrapolate || age <= 0 {
 		return 0, false
@@ -61,39 +63,39 @@
 	return age * 100 / time.Duration(p.percent), true
 }
 
-// Age is the age of a run that was started at a time, when it was last seen.
+// Age is the age, at the last report, of a run that was started at the given time.
 func (p Progress) Age(started time.Duration) time.Duration { return p.seenAt - started }
 
-// AdvancedAfter reports whether a run has made progress after another one did so last.
+// AdvancedAfter reports whether the run has made progress since the other one last did.
 func (p Progress) AdvancedAfter(other Progress) bool {
 	return p.changedAt > other.changedAt+minStallTime/2
 }
 
-// Run is a run under way, with what its siblings tell of the submission.
+// Run compares a run in progress with its siblings, the other tasks of the same step.
 type Run struct {
-	Total     time.Duration   // it would take in all, as it goes on
-	Remaining time.Duration   // of that
-	Siblings  []time.Duration // what tasks of the same step take or took on other workers
+	Total     time.Duration   // extrapolated duration of the run
+	Remaining time.Duration   // of Total
+	Siblings  []time.Duration // durations of siblings on other workers, measured or extrapolated
 }
 
-// A run is moved if it would be done sooner from the start on a worker like those of its
-// siblings. Tasks of a step differ by a sixth and workers by a half; slowRunFactor is beyond
-// both, so that only a sick worker's runs are moved. moveCost is for the stop, its listing
-// and the new start.
+// A run is moved if it would end sooner when started anew on a worker like those of its siblings.
+// Durations differ by a sixth between the tasks of a step and by half between workers;
+// slowRunFactor is beyond both, so that only runs on faulty workers are moved. moveCost is the
+// time for the stop, the listing that confirms it and the new start.
 const (
 	slowRunFactor = 2.5
 	moveCost      = 60 * time.Millisecond
 )
 
-// ShouldMove reports whether a run's worker holds it up, by what its siblings take elsewhere.
-// Estimates are no ground for it: they are off by a half, and by the same factor for all
-// tasks of a submission.
+// ShouldMove reports whether the run is so much slower than its siblings on other workers that it
+// should be started anew elsewhere. Estimates of the caller are not used: they are off by half,
+// and by the same factor for all tasks of a submission.
 func (r Run) ShouldMove() bool {
 	if len(r.Siblings) == 0 {
 		return false
 	}
-	usual := median(r.Siblings)
-	return float64(r.Total) > slowRunFactor*float64(usual) && r.Remaining > usual+moveCost
+	typical := median(r.Siblings)
+	return float64(r.Total) > slowRunFactor*float64(typical) && r.Remaining > typical+moveCost
 }
 
 func median(d []time.Duration) time.Duration {
--- a/internal/kept/policy/split.go
+++ b/internal/kept/policy/split.go
@@ -9,23 +9,25 @@
 // Candidate is a shard that could take tasks of a submission.
 type Candidate struct {
 	Shard       string
-	InOwnDomain bool          // of this VM's failure domain
-	Free        int           // tasks that fit now
-	Capacity    int           // tasks that fit in all
-	Wait        time.Duration // until one more task would start, if none fits now
-	QueueTime   time.Duration // that all that waits there takes, also what is served later
+	InOwnDomain bool          // in this VM's failure domain
+	Free        int           // number of tasks that can start now
+	Capacity    int           // number of tasks that can run at a time, when nothing else runs
+	Wait        time.Duration // time until one more task would start, if none can start now
+	QueueTime   time.Duration // time that all queued work takes, including work that is served later
 }
 
-// Portion is the number of a submission's tasks that a shard gets.
+// Allocation is the number of a submission's tasks that go to a shard.
 type Allocation struct {
 	Shard string
 	Tasks int
 }
 
-// Split decides which shards get how many of equal tasks. All go to one shard if one
-// has room for them. Otherwise those that fit nowhere are spread so that all shards
-// end at about the same time; each is task long. Without the spread a wide submission
-// waits for its last tasks in one shard while others have room.
+// Split decides how many of a number of equal tasks go to each shard; task is the duration of one.
+//
+// All tasks go to one shard if it can start them all now. Otherwise each shard gets as many as it
+// can start now, and the rest is queued so that all shards end at about the same time. Without the
+// division a submission with many tasks would wait for its last ones at one shard while others have
+// free capacity. Tasks that are not divisible all go to the shard that would start them first.
 func (s *Settings) Split(shards []Candidate, tasks int, divisible bool, task time.Duration) []Allocation {
 	if len(shards) == 0 || tasks == 0 {
 		return nil
@@ -49,6 +51,7 @@
 	return spread(order, tasks, task)
 }
 
+// spread fills the free capacity of the shards in order and queues the remaining tasks one by one.
 func spread(order []Candidate, tasks int, task time.Duration) []Allocation {
 	given := make([]int, len(order))
 	left := tasks
@@ -71,15 +74,15 @@
 	return out
 }
 
-// soonest is the index of the shard where one more task would begin first. Of equal ones it is the one
-// with less to do in all: what comes first everywhere would otherwise always go to the same
-// shard.
+// soonest returns the index of the shard where one more task would start first, given how many were
+// queued at each already. Of equal shards it takes the one with less queued work: the most urgent
+// work waits nowhere, and would otherwise always go to the same shard.
 func soonest(order []Candidate, queued []int, task time.Duration) int {
 	best := -1
 	var bestWait, bestQueue time.Duration
 	for i, c := range order {
-		mine := task * time.Duration(queued[i]) / time.Duration(max(c.Capacity, 1))
-		wait, queue := c.Wait+mine, c.QueueTime+mine
+		added := task * time.Duration(queued[i]) / time.Duration(max(c.Capacity, 1))
+		wait, queue := c.Wait+added, c.QueueTime+added
 		if c.Capacity == 0 {
 			wait += time.Hour
 		}
--- a/internal/kept/policy/split_test.go
+++ b/internal/kept/policy/split_test.go
@@ -21,15 +21,15 @@
 	return out
 }
 
-// Each task is given to one shard, and while all fit somewhere none is given to a shard
-// that has no room for it.
+// Each task goes to exactly one shard, and while all can start at once none goes to a shard without free
+// capacity for it.
 func TestSplit(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng.Seed(7)
 	properties := gopter.NewProperties(parameters)
 	counts := gen.SliceOfN(4, gen.IntRange(0, 28))
 	rooms := gen.SliceOfN(4, gen.IntRange(1, 28))
-	properties.Property("tasks are neither lost nor doubled, and room is used", prop.ForAll(
+	properties.Property("tasks are neither lost nor duplicated, and free capacity is used", prop.ForAll(
 		func(free, room []int, tasks int) bool {
 			shards := shardsOf(free, room)
 			total, given := 0, 0
@@ -46,7 +46,7 @@
 			}
 			return given == tasks
 		}, counts, rooms, gen.IntRange(1, 40)))
-	properties.Property("what waits for each other stays together", prop.ForAll(
+	properties.Property("tasks that are not divisible stay together", prop.ForAll(
 		func(free, room []int, tasks int) bool {
 			p := settings.Split(shardsOf(free, room), tasks, false, 100*time.Millisecond)
 			return len(p) == 1 && p[0].Tasks == tasks
@@ -54,7 +54,7 @@
 	properties.TestingRun(t)
 }
 
-func TestOwnDomainComesFirstWhileItKeepsAReserve(t *testing.T) {
+func TestOwnDomainIsPreferredWhileItKeepsItsReserve(t *testing.T) {
 	shards := []Candidate{{Shard: "own", InOwnDomain: true, Free: 10, Capacity: 28}, {Shard: "other", Free: 20, Capacity: 28}}
 	if p := settings.Split(shards, 4, true, time.Second); len(p) != 1 || p[0].Shard != "own" {
 		t.Errorf("%+v", p)
@@ -64,10 +64,10 @@
 	}
 }
 
-// Symptom: one shard is sent all urgent work while others have less to do. Sequence: no shard
-// has room, and what comes first waits nowhere. Cause: of equal shards the first by name was
-// taken, whatever else waits there.
-func TestEqualWaitsAreDecidedByAllThatWaits(t *testing.T) {
+// Guards against sending all urgent work to one shard while others have less to do. When no shard has free
+// capacity and the most urgent work would wait equally long at each, the total queued work must decide, not
+// the name of the shard.
+func TestEqualWaitsAreDecidedByQueueTime(t *testing.T) {
 	shards := []Candidate{{Shard: "a", Capacity: 28, QueueTime: 300 * time.Millisecond}, {Shard: "b", Capacity: 28, QueueTime: 100 * time.Millisecond}}
 	if p := settings.Split(shards, 1, true, time.Second); len(p) != 1 || p[0].Shard != "b" {
 		t.Errorf("%+v", p)
--- a/internal/kept/policy/trust.go
+++ b/internal/kept/policy/trust.go
@@ -6,130 +6,132 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// Trust is what runs on a worker have shown of it. Its zero value is that of a worker of
-// which nothing is known.
+// WorkerHealth is what the runs on a worker have shown about it. The zero value is that of a worker
+// about which nothing is known.
 type WorkerHealth struct {
-	failureStreak  int           // failed runs since the last that completed
-	lastFailed     submission.ID // whose run failed last; "": none
-	slowness       float64       // how much longer runs take here than elsewhere; 0: not known
-	ejectedUntil   time.Duration // until when it gets nothing
-	ejections      int
-	slowStartLimit int // tasks that it may have at once; 0: as many as fit
+	failureStreak  int           // failed runs since the last completed one
+	lastFailed     submission.ID // submission of the last counted failure; "": none
+	slowness       float64       // mean ratio of run times here to the usual ones; 0: not known
+	ejectedUntil   time.Duration // it gets no tasks until then
+	ejections      int           // since the last completed run, up to 4
+	slowStartLimit int           // maximum of tasks at a time; 0: as many as fit
 }
 
-// A worker that fails what completes elsewhere is left alone for a while. Without it a
-// worker that fails all at once draws all work, as it always has room. Sound workers
-// fail two runs in a thousand, so two failures of different submissions without a
-// completed run between them are enough; one makes it the last choice, for one task at
-// a time.
+// A worker that fails what completes elsewhere is ejected: it gets no tasks for a while. Otherwise a
+// worker that fails every run at once would attract all work, as it always has free capacity. On
+// healthy workers two runs in a thousand fail, so two failures of different submissions without a
+// completed run between them suffice. After one failure a worker is the last choice and gets one
+// task at a time.
 const (
 	ejectionStreak    = 2               // failed runs in a row, of different submissions
 	baseEjectionTime  = 2 * time.Second // doubled with each ejection
 	maxEjectionTime   = 8 * time.Second
-	slownessWeight    = 0.2 // of a new run in the mean
-	minSlowness       = 0.5
-	failingCostFactor = 10 // of a worker whose last run failed
+	slownessWeight    = 0.2 // weight of a new run in the moving average
+	minSlowness       = 0.5 // lowest slowness that counts in Cost
+	failingCostFactor = 10  // for a worker that has failed since its last completed run
 )
 
-// Failed notes a failed run of a submission at a worker.
-func (s *Settings) RecordFailure(now time.Duration, r *WorkerHealth, id submission.ID) {
-	if !s.Eject || r.lastFailed == id {
-		return // not asked for, or counted
+// RecordFailure records that a run of a submission failed on the worker.
+func (s *Settings) RecordFailure(now time.Duration, h *WorkerHealth, id submission.ID) {
+	if !s.Eject || h.lastFailed == id {
+		return // ejection is off, or the failure of this submission is counted
 	}
-	r.lastFailed = id
-	r.failureStreak++
-	if r.failureStreak >= ejectionStreak && now >= r.ejectedUntil {
-		r.eject(now)
+	h.lastFailed = id
+	h.failureStreak++
+	if h.failureStreak >= ejectionStreak && now >= h.ejectedUntil {
+		h.eject(now)
 	}
 }
 
-// Hung notes that tasks stand still at a worker. It gets nothing for a while, longer each
-// time, and then one task at a time until one has completed: with all its room it would hold
-// up three tasks at each try.
-func (r *WorkerHealth) RecordHang(now time.Duration) {
-	r.failureStreak = max(r.failureStreak, 1)
-	if now >= r.ejectedUntil {
-		r.eject(now)
+// RecordHang records that the tasks on the worker are stalled. The worker is ejected, for longer each
+// time, and then gets one task at a time until one has completed: with all its capacity in use it
+// would delay three tasks at each try.
+func (h *WorkerHealth) RecordHang(now time.Duration) {
+	h.failureStreak = max(h.failureStreak, 1)
+	if now >= h.ejectedUntil {
+		h.eject(now)
 	}
 }
 
-func (r *WorkerHealth) eject(now time.Duration) {
-	r.ejectedUntil = now + min(baseEjectionTime<<r.ejections, maxEjectionTime)
-	r.ejections = min(r.ejections+1, 4)
+func (h *WorkerHealth) eject(now time.Duration) {
+	h.ejectedUntil = now + min(baseEjectionTime<<h.ejections, maxEjectionTime)
+	h.ejections = min(h.ejections+1, 4)
 }
 
-// Pardon takes back a failure of a submission that failed elsewhere too.
-func (r *WorkerHealth) ForgiveFailure(id submission.ID) {
-	if r.lastFailed != id || r.failureStreak == 0 {
+// ForgiveFailure takes back the failure of a submission that failed on other workers too.
+func (h *WorkerHealth) ForgiveFailure(id submission.ID) {
+	if h.lastFailed != id || h.failureStreak == 0 {
 		return
 	}
-	r.lastFailed = ""
-	r.failureStreak--
-	r.ejectedUntil = 0
+	h.lastFailed = ""
+	h.failureStreak--
+	h.ejectedUntil = 0
 }
 
-// Completed notes a run and the ratio of its time to the expected one.
-func (r *WorkerHealth) RecordCompletion(ratio float64) {
+// RecordCompletion records a completed run and the ratio of its duration to the usual one.
+func (h *WorkerHealth) RecordCompletion(ratio float64) {
 	if ratio <= slowStartPassRatio {
-		r.raiseSlowStartLimit()
+		h.raiseSlowStartLimit()
 	}
-	r.failureStreak = 0
-	r.lastFailed = ""
-	r.ejections = 0
-	if r.slowness == 0 {
-		r.slowness = 1
+	h.failureStreak = 0
+	h.lastFailed = ""
+	h.ejections = 0
+	if h.slowness == 0 {
+		h.slowness = 1
 	}
-	r.slowness += (ratio - r.slowness) * slownessWeight
+	h.slowness += (ratio - h.slowness) * slownessWeight
 }
 
-// Admits reports whether a worker may get a task beside those it has.
-func (r *WorkerHealth) CanAccept(now time.Duration, beside int) bool {
-	if now < r.ejectedUntil {
+// CanAccept reports whether the worker may get another task while it has a number of tasks.
+func (h *WorkerHealth) CanAccept(now time.Duration, current int) bool {
+	if now < h.ejectedUntil {
 		return false
 	}
-	if r.slowStartLimit > 0 && beside >= r.slowStartLimit {
+	if h.slowStartLimit > 0 && current >= h.slowStartLimit {
 		return false
 	}
-	return r.failureStreak == 0 || beside == 0
+	return h.failureStreak == 0 || current == 0
 }
 
-// A worker may be cold: for some time after its start, or after its domain was not used, tasks
-// take several times as long there. Given all its room at once it would hold all of them up. So
-// it has one task at first, and twice as many each time that one has taken about the usual time.
+// Slow start: a worker may be cold, that is, tasks take several times as long there for some time
+// after its start or while its domain was not in use. Filled at once, it would delay all of those
+// tasks. So it gets one task at first, and the limit doubles each time that a run has taken about
+// the usual time.
 const (
-	slowStartInitial     = 1
-	slowStartMax         = 8   // tasks at once; a worker that has shown more is given what fits
-	slowStartPassRatio   = 1.5 // of a run's time and the usual one
-	slowStartUsableShare = 0.5 // of its room that a forecast may count on meanwhile
+	slowStartInitial     = 1   // tasks at a time
+	slowStartMax         = 8   // tasks at a time; above it there is no limit
+	slowStartPassRatio   = 1.5 // highest ratio of a run's duration to the usual one that raises the limit
+	slowStartUsableShare = 0.5 // share of its capacity that a forecast counts during slow start
 )
 
-// Prove has a worker show again that it is not cold.
-func (r *WorkerHealth) BeginSlowStart() { r.slowStartLimit = slowStartInitial }
+// BeginSlowStart limits a worker that may be cold to a few tasks at a time.
+func (h *WorkerHealth) BeginSlowStart() { h.slowStartLimit = slowStartInitial }
 
-// proved notes a run that a worker which has to prove itself has done well.
-func (r *WorkerHealth) raiseSlowStartLimit() {
-	r.slowStartLimit *= 2
-	if r.slowStartLimit > slowStartMax {
-		r.slowStartLimit = 0
+// raiseSlowStartLimit doubles the limit after a run at about the usual speed.
+func (h *WorkerHealth) raiseSlowStartLimit() {
+	h.slowStartLimit *= 2
+	if h.slowStartLimit > slowStartMax {
+		h.slowStartLimit = 0
 	}
 }
 
-// Share is the part of its room that a worker can be counted on for.
-func (r *WorkerHealth) UsableShare() float64 {
-	if r.slowStartLimit > 0 {
+// UsableShare returns the share of the worker's capacity that a forecast may count.
+func (h *WorkerHealth) UsableShare() float64 {
+	if h.slowStartLimit > 0 {
 		return slowStartUsableShare
 	}
 	return 1
 }
 
-// Place is a worker as a choice for a task.
+// Placement is a worker that a task could be started on.
 type Placement struct {
 	Health        *WorkerHealth
-	DataElsewhere bool // the task's data is elsewhere
-	FailedBefore  bool // the task failed there before
+	DataElsewhere bool // the task's data is in another rack
+	FailedBefore  bool // the task failed there, or was moved away from it
 }
 
-// Cost ranks workers for a task, the lowest first: how much longer it takes there.
+// Cost ranks workers for a task, the lowest first. It is roughly the factor by which the task takes
+// longer there than usual.
 func (s *Settings) Cost(p Placement) float64 {
 	slow := p.Health.slowness
 	if slow == 0 || !s.FastFirst {
@@ -149,35 +151,35 @@
 }
 
 const (
-	remoteCostFactor       = 1.5 // time of a task away from its data, by the platform's figures
-	failedBeforeCostFactor = 100 // where it failed before: last choice
-	costSteps              = 5   // differences under a fifth are noise
+	remoteCostFactor       = 1.5 // factor of a task's duration away from its data, by the platform's figures
+	failedBeforeCostFactor = 100 // makes the worker the last choice
+	costSteps              = 5   // costs are rounded to fifths: smaller differences are noise
 )
 
-// Better reports whether a worker with some processor left is preferred to another that
-// costs the same.
-func (s *Settings) HasBetterFit(left, otherLeft int64) bool {
+// HasBetterFit reports whether a worker is preferred to another of the same cost, given the free
+// processor of both: with BestFit the one with less, otherwise the one with more.
+func (s *Settings) HasBetterFit(free, otherFree int64) bool {
 	if s.BestFit {
-		return left < otherLeft
+		return free < otherFree
 	}
-	return left > otherLeft
+	return free > otherFree
 }
 
-// Pace is how long a queue's tasks take, against their callers' estimates. Its zero value
-// trusts the estimates.
+// Pace is the learned ratio of the durations of a queue's tasks to their callers' estimates. Its
+// zero value takes the estimates as they are.
 type Pace struct {
 	factor float64
 	runs   int
 }
 
-// Learning of a queue's pace.
+// The pace of a queue is a moving average.
 const (
-	paceWeight     = 0.05
-	paceWarmUpRuns = 10 // runs for which the plain mean is used
-	paceMaxRatio   = 4  // a run counts as at most so many times the usual one
+	paceWeight     = 0.05 // lowest weight of a new run
+	paceWarmUpRuns = 10   // runs over which it is the plain mean; later runs weigh as much as the last of these
+	paceMaxRatio   = 4    // a run counts as at most this many times the present pace
 )
 
-// Factor is by how much to multiply estimates.
+// Factor returns the factor by which to multiply estimates.
 func (p *Pace) Factor() float64 {
 	if p == nil || p.runs == 0 {
 		return 1
@@ -185,8 +187,8 @@
 	return p.factor
 }
 
-// Learn takes the time of a run that has completed, as a share of its estimate. It returns
-// that share against the queue's pace: above 1 the run was slow.
+// Learn updates the pace by a completed run, given the ratio of its duration to its estimate. It
+// returns that ratio relative to the pace before: above 1 the run was slow for its queue.
 func (s *Settings) Learn(p *Pace, ratio float64) float64 {
 	factor := p.Factor()
 	if !s.LearnPace {
--- a/internal/kept/policy/trust_test.go
+++ b/internal/kept/policy/trust_test.go
@@ -5,34 +5,32 @@
 	"time"
 )
 
-// Symptom: a worker that hangs holds up three tasks each time that it is tried again.
-// Sequence: its tasks stand still, it is left alone for a while, and still hangs. Cause: it
-// was given all that it has room for at once.
-func TestAWorkerThatHungIsTriedWithOneTask(t *testing.T) {
+// Guards against a hung worker that delays three tasks each time it is tried again. It is ejected when
+// its tasks stall, and still hangs afterwards. It must get one task at a time, not as many as fit.
+func TestHungWorkerIsTriedWithOneTask(t *testing.T) {
 	var r WorkerHealth
 	now := time.Hour
 	r.RecordHang(now)
 	if r.CanAccept(now+time.Second, 0) {
-		t.Error("it gets a task at once")
+		t.Error("the worker gets a task right after the hang")
 	}
 	now += baseEjectionTime
 	if !r.CanAccept(now, 0) || r.CanAccept(now, 1) {
-		t.Error("it is not tried with just one task")
+		t.Error("the worker is not tried with exactly one task")
 	}
 	r.RecordHang(now)
 	if r.CanAccept(now+baseEjectionTime, 0) {
-		t.Error("it is not left alone for longer the second time")
+		t.Error("the second ejection is no longer than the first")
 	}
 	r.RecordCompletion(1)
 	if !r.CanAccept(now+2*baseEjectionTime, 2) {
-		t.Error("it is doubted after a run that completed")
+		t.Error("the worker is still limited after a completed run")
 	}
 }
 
-// Symptom: a trial with eject off shows no difference. Sequence: a worker fails two
-// submissions in a row. Cause: the switch was asked where workers are admitted, together with
-// that for hanging ones, and counted only if both were off.
-func TestEjectIsSwitchedOffByItself(t *testing.T) {
+// Guards against a setting eject=false without effect. The switch must work for a worker that fails two
+// submissions in a row, whatever the setting for hung workers is.
+func TestEjectIsSwitchedOffIndependently(t *testing.T) {
 	off := Defaults()
 	off.Eject = false
 	for name, c := range map[string]struct {
--- a/internal/kept/policy/turns.go
+++ b/internal/kept/policy/turns.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Turns is the order in which the refused callers of an entry VM may come back. Its zero
-// value is that of a VM that has refused nobody.
+// RetrySchedule spreads the retries of the callers that an entry VM has refused. The zero value is
+// that of a VM that has refused nobody.
 type RetrySchedule struct {
-	nextTurn      time.Duration // when the next one's turn is
-	overloadStart time.Duration // when the present overload began
-	lastRefusal   time.Duration // when somebody was refused last
+	nextTurn      time.Duration // earliest retry of the next refused caller
+	overloadStart time.Duration // start of the present overload
+	lastRefusal   time.Duration // last time a caller was refused
 }
 
-// Bounds of the time after which a refused caller comes back.
+// Parameters of the retry times.
 const (
-	minRetryAfter = time.Second // callers are told whole seconds
-	// maxRetryAfter is as long as an urgent caller can be expected to wait; beyond it a later
-	// turn says nothing, as the load will be another.
+	minRetryAfter = time.Second // the Retry-After header has whole seconds
+	// maxRetryAfter is as long as an urgent caller can be expected to wait. Longer times would be
+	// no better, as the load is a different one by then.
 	maxRetryAfter = 30 * time.Second
-	// overloadGap is for how long nobody is refused at the end of an overload. Waves of demand
-	// of some seconds count as one.
+	// overloadGap is the time without a refusal after which an overload has ended. Waves of demand
+	// of a few seconds each thus count as one overload.
 	overloadGap = 2 * time.Second
-	// overloadDurationFactor is how many times its present length an overload is taken to last on. With
-	// 1 half of those that come back meet the same overload, with 3 a quarter; more keeps
-	// callers waiting for longer and gains little.
+	// overloadDurationFactor is how many times its present duration an overload is assumed to
+	// continue. With 1, half of the retries meet the same overload, with 3 a quarter; higher values
+	// keep callers waiting for longer and gain little.
 	overloadDurationFactor = 3
 )
 
-// RetryAfter says after what time a refused caller should come back: when what waits now is
-// done, but not before the overload may be over, and after the turns of those that were
-// refused before it. How long an overload lasts is not known: it is taken to last for
-// overloadDurationFactor as long as it has lasted. Each turn takes the time of the caller's work on
-// its share of the room, twice: half of the room serves those that come anew.
+// RetryAfter returns after what time a refused caller should retry. wait is the present waiting
+// time of the shortest queue, work the time that the caller's work takes on its share of the capacity.
 //
-// With one time for all, the refused of a second come back in the same second, to the same
-// overload, and are refused again. In a closed loop with ten seconds of overload the turns
-// serve at their return more than three in four, a constant second one in nine.
+// The retry is due when the queued work is done, but not before the overload is likely to be over,
+// and after the retries of the callers refused before it. How long an overload will last is not
+// known; it is assumed to continue for overloadDurationFactor times as long as it has lasted. Each
+// retry gets a slot of twice the caller's work, as half of the capacity serves new callers.
+//
+// With the same time for all, the callers refused in one second would come back in the same second,
+// into the same overload, and be refused again. In a closed loop with ten seconds of overload, this
+// schedule serves more than three in four retries; a constant time of one second serves one in nine.
 func (t *RetrySchedule) RetryAfter(now, wait, work time.Duration) time.Duration {
 	if t.lastRefusal == 0 || now-t.lastRefusal > overloadGap {
 		t.overloadStart = now
