--- a/internal/kept/vm/callers.go
+++ b/internal/kept/vm/callers.go
@@ -9,42 +9,43 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// Kind is what became of a request to take a submission.
+// OutcomeKind is the result of Submit.
 type OutcomeKind uint8
 
-// The answers to a submission.
+// The results of Submit.
 const (
-	Accepted      OutcomeKind = iota // it is stored and will end
-	Ended                            // it was transient, and this is its end
-	Refused                          // it has not run and will not
-	Indeterminate                    // it may have been stored
+	Accepted      OutcomeKind = iota // the submission is stored and will run to its end
+	Ended                            // the submission is transient and has ended
+	Refused                          // the submission has not run and will not
+	Indeterminate                    // the submission may have been stored or have run
 )
 
-// Outcome is the answer to a submission.
+// Outcome is the answer to a caller of Submit.
 type Outcome struct {
 	Kind       OutcomeKind
-	State      submission.State // if ended: done or failed
-	RetryAfter time.Duration    // if busy: when to come back
+	State      submission.State // if Ended: submission.Done or submission.Failed
+	RetryAfter time.Duration    // if Refused: after which time to retry
 	Why        string
 }
 
-// RetryAfterSeconds is a time to come back after, in the whole seconds that a caller is told; 1
-// at least.
+// RetryAfterSeconds formats the value of a Retry-After header: whole seconds, rounded up, at least 1.
 func RetryAfterSeconds(after time.Duration) string {
 	seconds := int64((after + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
-// ErrUnavailable says that neither a peer nor the store could be asked.
+// ErrUnavailable reports that the request could not be served now: the engine is overloaded or did not
+// answer in time, or the store could not be reached.
 var ErrUnavailable = errors.New("kept: the state cannot be read now")
 
-// StateAnswer is the state of a submission; Unknown: there is none such.
+// StateAnswer is the state of a submission. submission.Unknown means that it does not exist.
 type StateAnswer struct {
 	State submission.State
 	Err   error
 }
 
-// Submit takes a submission, or says why not. It returns within ctx.
+// Submit accepts or refuses a submission. For a transient one it returns when the submission has ended.
+// If ctx ends first the outcome is Indeterminate.
 func (v *VM) Submit(ctx context.Context, r *submission.Record) Outcome {
 	reply := make(chan Outcome, 1)
 	if !v.post(submitEvent{record: r, reply: reply}) {
@@ -59,14 +60,14 @@
 	}
 }
 
-// finalStateWait is how long a question for a state waits for the end: well within what callers
-// wait for an answer (1.5 s), and longer than an end takes to come from its worker (20 ms;
-// 250 ms beside a slow store).
+// finalStateWait is how long State waits for a submission to end. It is well below the time-out of callers
+// (1.5 s), and longer than the end of a run takes to arrive from its worker (20 ms, or 250 ms while the
+// store is slow).
 const finalStateWait = 300 * time.Millisecond
 
-// State returns how far a submission is. If it has not ended yet, the answer waits up to
-// finalStateWait for the end: callers ask when their tasks have ended, some milliseconds before
-// that is known here, and would ask again a quarter of a second later.
+// State returns the state of a submission. If it has not ended yet, State waits up to finalStateWait for the
+// end: callers ask as soon as their tasks have ended, some milliseconds before this VM knows it, and would
+// otherwise ask again a quarter of a second later.
 func (v *VM) State(ctx context.Context, id submission.ID) (submission.State, error) {
 	ended := make(chan struct{})
 	state, err := v.queryState(ctx, id, ended)
@@ -84,13 +85,14 @@
 	return v.queryState(ctx, id, nil)
 }
 
-// queryState asks the engine; ended, if not nil, is closed at the submission's end.
+// queryState asks the engine for the current state. The engine closes ended, if it is not nil, when the
+// submission ends.
 func (v *VM) queryState(ctx context.Context, id submission.ID, ended chan struct{}) (submission.State, error) {
 	reply := make(chan StateAnswer, 1)
 	return v.requestState(ctx, stateEvent{id: id, reply: reply, ended: ended}, reply)
 }
 
-// Cancel ends a submission and returns its final state.
+// Cancel cancels a submission unless it has ended, and returns its final state.
 func (v *VM) Cancel(ctx context.Context, id submission.ID) (submission.State, error) {
 	reply := make(chan StateAnswer, 1)
 	return v.requestState(ctx, cancelEvent{id: id, reply: reply}, reply)
@@ -104,7 +106,7 @@
 	return a.State, a.Err
 }
 
-// ask posts an event and waits for its answer.
+// postAndWait posts an event to the engine and waits for its reply.
 func postAndWait[A any](ctx context.Context, v *VM, ev event, reply chan A) (answer A, err error) {
 	if !v.post(ev) {
 		return answer, ErrUnavailable
@@ -117,8 +119,8 @@
 	}
 }
 
-// Waiting is the number of a queue's submissions of which nothing has begun. It
-// may be some hundred milliseconds old.
+// Waiting returns the number of a queue's submissions of which no task has started. The counts of other
+// failure domains may be two seconds old.
 func (v *VM) Waiting(ctx context.Context, queue string) (int, error) {
 	reply := make(chan int, 1)
 	return postAndWait(ctx, v, waitingEvent{queue: queue, reply: reply}, reply)
--- a/internal/kept/vm/doc.go
+++ b/internal/kept/vm/doc.go
@@ -1,37 +1,49 @@
-// Package vm is an entry VM that serves submissions under their callers' own keys: it joins the
-// callers' requests, the store, the links to its peers and the workers of the shards that it
-// holds.
+// Package vm implements an entry VM, which accepts submissions and runs them under the IDs that
+// their callers chose. It connects the callers' requests, the store, the links to peer entry VMs,
+// and the workers of the shards that this VM holds.
+//
+// # Terms
+//
+//   - A stored submission has a record in the store and survives the loss of any VM. A transient
+//     submission is kept in memory only; its caller waits for the result.
+//   - The home VM of a submission is the entry VM that accepted it from the caller.
+//   - A shard is a group of workers of one failure domain. Its holder is the one entry VM that may
+//     start tasks on them. Each change of holder raises the shard's fencing token.
+//   - A part is the tasks of a transient submission that one shard has.
 //
 // # Goroutines
 //
-// One goroutine, the engine, owns all state and takes typed events from a bounded ring. The
-// others are a duty each: a watch, a journal, a link, a session with a worker, an order under way.
-// They end with the VM's context, and speak to the engine by events alone.
+// One goroutine, the engine, owns all state and takes typed events from a bounded ring buffer.
+// Every other goroutine does one job: a watch, a journal, a link, a session with a worker, an order
+// in flight. They end with the VM's context and reach the engine only through events.
 //
-// # Duties of the engine, and who may call whom
+// # Structure of the engine
 //
-// Each round takes all waiting events, then lets each duty do what is due, then sends one frame to
-// each peer. Arrows go down only: a duty reads those below it, and none above.
+// Each round applies all queued events, then lets each component do what is due, then sends one
+// frame to each peer. Components are layered: code may use the layers below its own, never those
+// above.
 //
-//	callers, front        callers.go   requests become events, answers come back on a channel
+//	callers                 callers.go   requests become events, answers come back on a channel
 //	  |
-//	homes                 home.go, states.go, cancel.go     stored submissions
-//	                      transient.go, takeback.go,        transient ones and their parts
-//	                      early.go
+//	home VM                 stored.go, states.go, cancel.go   stored submissions
+//	                        transient.go, recall.go,          transient submissions and their parts
+//	                        deferred.go
 //	  |
-//	moves between shards  evacuate.go, offload.go   what waits where it cannot, or need not, start
+//	moves between shards    evacuate.go, offload.go   tasks whose shard must not, or need not, start them
 //	  |
-//	shards held           engine.go (drive), holding.go, ends.go, noted.go
-//	                      session.go, workers.go    the workers of a shard, and orders to them
+//	shard holder            engine.go (runShard), shards.go, persist.go, storedworkers.go
+//	                        session.go, workers.go    the workers of a shard, and orders to them
 //	  |
-//	what is known         load.go      room of shards, by their holders
-//	                      waiting.go   what waits in queues, by domain
-//	                      lists.go     workers of a domain, by its reader
-//	                      evacuation   domains in which nothing may start (package of its own)
+//	knowledge of the site   load.go          capacity and queues of shards, as their holders report them
+//	                        waiting.go       waiting submissions by queue and failure domain
+//	                        workerlists.go   workers of a failure domain
+//	                        evacuation       evacuated failure domains (a package of its own)
 //	  |
-//	ways                  peers.go, peercalls.go   links, who needs them, frames
-//	                      watch.go, sweep.go       what the store says, this VM's key there
+//	communication           peers.go, relaycalls.go   links, frames, and store calls relayed for peers
+//	                        watch.go, sweep.go        watches of the store, this VM's session there,
+//	                                                  and removal of old final states
 //
-// The decisions themselves are in packages without I/O or clock: policy (whom to admit, in what
-// order, where), shard (what runs where), site (who holds what), evacuation.
+// Decisions are made in packages without I/O or clock: policy (which submissions to admit, in what
+// order, and where), shard (what runs on which worker), site (which VM holds which shard), and
+// evacuation.
 package vm
--- a/internal/kept/vm/early.go
+++ b/internal/kept/vm/early.go
@@ -7,18 +7,18 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/site"
 )
 
-// Submissions that come in the first moments of a VM's life wait until the shards' holders
-// are known.
+// Submissions that arrive just after the start of a VM are deferred until the holders of the shards are
+// known.
 //
-// Without it each restart of all VMs refuses what comes until the shards are recovered, 80
-// to 250 ms later, though most of that could still be done in time; and the first shard to
-// be recovered would be given what belongs to all of them.
+// Without this, a restart of all VMs would refuse submissions until the shards are recovered, 80 to 250 ms
+// later, though most of them could still be done in time; and the first recovered shard would get the
+// submissions that should be spread over all shards.
 
-// maxDeferred bounds what waits. Beyond it submissions are refused as before.
+// maxDeferred limits the deferred submissions. Those beyond it are admitted or refused at once.
 const maxDeferred = 512
 
-// deferAtStartup keeps a submission that came before the shards are known. It reports false if
-// the submission is to be decided on now.
+// deferAtStartup defers a submission that arrives before the shards of this VM's domain are reachable. It
+// returns false if the submission is to be admitted or refused now.
 func (e *engine) deferAtStartup(ev submitEvent) bool {
 	if len(e.deferred) >= maxDeferred || !e.worthDeferring(ev) || e.ownDomainReachable() {
 		return false
@@ -27,8 +27,8 @@
 	return true
 }
 
-// worthDeferring reports whether a submission gains by waiting for more shards: while it can
-// be done in time, or nobody can take it at all.
+// worthDeferring reports whether a submission should wait for more shards: it can still be done in time, or
+// it is late and no shard is reachable.
 func (e *engine) worthDeferring(ev submitEvent) bool {
 	if e.now-e.startedAt >= e.vm.config.Policy.StartHold() {
 		return false
@@ -43,9 +43,9 @@
 	}
 }
 
-// ownDomainReachable reports whether the holder of each shard of this VM's failure domain can be
-// reached. Those of other domains are not waited for: with all of them a restart left the
-// workers idle for 0.15 s longer.
+// ownDomainReachable reports whether the holder of each shard of this VM's failure domain can be reached.
+// It does not wait for other domains: waiting for all of them leaves the workers idle for 0.15 s longer
+// after a restart.
 func (e *engine) ownDomainReachable() bool {
 	known := 0
 	for _, h := range e.site.Holdings() {
@@ -69,7 +69,7 @@
 	return false
 }
 
-// admitDeferred decides on the submissions that need not wait any more.
+// admitDeferred admits or refuses the deferred submissions that need not wait any longer.
 func (e *engine) admitDeferred() {
 	if len(e.deferred) == 0 {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// dropDeferred forgets a submission whose caller has gone. It reports whether it was there.
+// dropDeferred removes a deferred submission whose caller has gone. It reports whether there was one.
 func (e *engine) dropDeferred(reply chan Outcome) bool {
 	before := len(e.deferred)
 	e.deferred = slices.DeleteFunc(e.deferred, func(ev submitEvent) bool { return ev.reply == reply })
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -13,32 +13,32 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// home is a submission that came, or was asked for, at this VM.
+// trackedSubmission is a stored submission that this VM accepted or was asked about.
 type trackedSubmission struct {
 	id             submission.ID
-	record         *submission.Record // nil: only its state is known here
-	revision       uint64
-	stored         bool // its record is in the store
+	record         *submission.Record // nil: only the state is known here
+	revision       uint64             // of the record in the store
+	stored         bool               // the record is in the store
 	state          submission.State
 	shard          string
-	holderToken    uint64 // under which a holder was told of it; 0: none was
-	holder         string // that was told of it
-	updatedAt      time.Duration
-	queriedAt      time.Duration
-	receivedAt     time.Duration
-	storeAttempts  int
-	outcomeWaiters []chan Outcome
-	stateWaiters   []chan StateAnswer
-	endWaiters     []chan struct{} // closed at the end: callers that wait for it
-	lookupInFlight bool
+	holderToken    uint64             // fencing token of the holder that was last told or asked; 0: none yet
+	holder         string             // the peer that was last asked for the state
+	updatedAt      time.Duration      // when the state was last reported
+	queriedAt      time.Duration      // when the holder was last asked for the state
+	receivedAt     time.Duration      // when the submission, or the first question about it, came
+	storeAttempts  int                // writes of the record that were tried
+	outcomeWaiters []chan Outcome     // callers of Submit
+	stateWaiters   []chan StateAnswer // callers that wait for a lookup in the store
+	endWaiters     []chan struct{}    // closed when the submission ends
+	lookupInFlight bool               // the state is being read from the store
 }
 
-// Bounds of the intake.
+// Limits for accepting and looking up submissions.
 const (
-	intakeTimeout     = 1200 * time.Millisecond // callers wait 1.5 s for their answer
-	maxIntakeAttempts = 4                       // as shards change their holder
-	lookupTimeout     = 1500 * time.Millisecond
-	defaultRetryAfter = time.Second // for callers that are refused while nothing can be taken
+	intakeTimeout     = 1200 * time.Millisecond // to store a submission; callers wait 1.5 s for their answer
+	maxIntakeAttempts = 4                       // writes of a record, each refused because its shard got a new holder
+	lookupTimeout     = 1500 * time.Millisecond // to read a submission from the store
+	defaultRetryAfter = time.Second             // told to callers while no submission can be accepted
 )
 
 func (ev submitEvent) apply(e *engine) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// decide takes a submission, or refuses it.
+// admit accepts or refuses a submission.
 func (e *engine) admit(ev submitEvent) {
 	id := ev.record.ID
 	if ev.record.Transient {
@@ -77,7 +77,7 @@
 	e.placeAndStore(h)
 }
 
-// create picks a shard and stores the record.
+// placeAndStore chooses a shard and writes the record to the store.
 func (e *engine) placeAndStore(h *trackedSubmission) {
 	rec := h.record
 	shards, refusal := e.candidates(rec, h.receivedAt)
@@ -111,7 +111,7 @@
 		Done:        func(r journal.Result) { e.vm.post(recordStoredEvent{record: rec, result: r}) },
 	})
 	if !added {
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "too many submissions wait for the store"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "too many submissions wait to be stored"})
 	}
 }
 
@@ -131,7 +131,7 @@
 	h.outcomeWaiters = nil
 }
 
-// demand is the number of tasks that could start at once.
+// startableTasks counts the tasks that depend on no other step and so can start immediately.
 func startableTasks(r *submission.Record) int {
 	sum := 0
 	for i := range r.Steps {
@@ -168,16 +168,16 @@
 	case journal.Conflict:
 		e.handleStoreConflict(h, ev.result)
 	case journal.Refused:
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "the store takes nothing"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "the store refused the write"})
 	case journal.Unknown:
-		klog.InfoS("kept: not known whether accepted", "id", ev.record.ID, "took", e.now-h.receivedAt)
+		klog.InfoS("kept: store did not answer, the submission may have been stored", "id", ev.record.ID, "took", e.now-h.receivedAt)
 		delete(e.tracked, ev.record.ID)
 		e.replyOutcome(h, Outcome{Kind: Indeterminate, Why: "the store did not answer"})
 	}
 }
 
-// handleStoreConflict handles a record that was not written: either the submission is
-// known already, or its shard has another holder.
+// handleStoreConflict handles a record that was not written because a condition failed: either the
+// submission was stored before, or its shard has a new holder.
 func (e *engine) handleStoreConflict(h *trackedSubmission, r journal.Result) {
 	for _, it := range r.Items {
 		switch {
@@ -195,14 +195,13 @@
 		}
 	}
 	if h.storeAttempts >= maxIntakeAttempts || e.now-h.receivedAt > intakeTimeout {
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "its shard changes hands"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "its shard keeps changing its holder"})
 		return
 	}
 	e.placeAndStore(h)
 }
 
-// adoptStored adopts a submission that another VM, or this one before it started
-// again, has stored.
+// adoptStored tracks a submission that another VM, or this VM before a restart, has stored.
 func (e *engine) adoptStored(h *trackedSubmission, it store.Item) {
 	h.stored = true
 	h.revision = it.Revision
@@ -212,20 +211,20 @@
 		h.record = r
 		h.shard = r.Shard
 	} else {
-		klog.ErrorS(err, "kept: a stored submission cannot be read")
+		klog.ErrorS(err, "kept: cannot decode a stored submission")
 	}
 	klog.InfoS("kept: accepted before", "id", h.record.ID, "home", h.record.Home, "shard", h.shard, "revision", it.Revision)
 	e.replyOutcome(h, Outcome{Kind: Accepted})
 	e.queryHolder(h)
 }
 
-// assign hands a stored submission to the holder of its shard.
+// assignToHolder passes a stored submission to the holder of its shard.
 func (e *engine) assignToHolder(h *trackedSubmission) {
 	holding := e.site.Holding(h.shard)
 	h.holderToken = holding.Token
 	h.queriedAt = e.now
 	if holding.Token != h.record.Token {
-		return // its holder has read it from the store
+		return // the shard has a newer holder, which reads the record from the store
 	}
 	if own := e.shards[h.shard]; own != nil {
 		if own.holding.Token == holding.Token {
@@ -241,12 +240,12 @@
 	})
 }
 
-// receiveAssign takes a submission that a peer hands over.
+// receiveAssign adds a submission that a peer assigns to a shard of this VM.
 func (e *engine) receiveAssign(from string, a *pb.KeptAssign) {
 	id := submission.ID(a.Id)
 	r, err := submission.DecodeRecord(id, a.Record)
 	if err != nil {
-		klog.ErrorS(err, "kept: a peer's submission cannot be read", "peer", from)
+		klog.ErrorS(err, "kept: cannot decode a submission assigned by a peer", "peer", from)
 		return
 	}
 	if r.Transient {
@@ -255,13 +254,14 @@
 	}
 	h := e.shards[r.Shard]
 	if h == nil || h.holding.Token != r.Token {
-		klog.InfoS("kept: a submission for another holder", "id", id, "peer", from, "shard", r.Shard, "token", r.Token)
-		return // its home asks again, and the holder finds it in the store
+		klog.InfoS("kept: submission ignored, its shard is not held here under its token", "id", id, "peer", from, "shard", r.Shard, "token", r.Token)
+		return // its home VM asks the holder again, which finds the record in the store
 	}
 	h.core.Assign(e.now, shard.StoredRecord{Record: r, Revision: a.Revision})
 }
 
-// rehome asks the new holders about submissions that were given to earlier ones.
+// requeryNewHolders forgets when the previous holders of shards were asked for submissions, so that the new
+// holders are asked sooner.
 func (e *engine) requeryNewHolders() {
 	for _, h := range e.tracked {
 		if h.stored && !h.state.Final() && h.holderToken != e.site.Holding(h.shard).Token {
