--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -10,171 +10,179 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// Times of the talk with a worker.
+// Time-outs of the calls to a worker.
 const (
-	// Renewals of a lease of a second: two of them may get lost before it is over.
+	// renewWait is how long the worker may wait for the end of a run before it answers a renewal.
+	// With renewTimeout, two renewals of a lease of one second may get lost before it expires.
 	renewWait       = 250 * time.Millisecond
-	renewTimeout    = 150 * time.Millisecond // for the answer, beyond the wait
-	renewRetryDelay = 30 * time.Millisecond  // after one without an answer
-	ackPollInterval = 5 * time.Millisecond   // between looks whether ends are acknowledged
-	maxAckPolls     = 4                      // then the hold goes on without: it renews the lease
-	// An order waits for its answer for some times as long as they usually take, within
-	// bounds. A sound worker answers in a millisecond, one in another region in 40; a VM whose
-	// processor is held back for a tenth of a second measures that too. What has no answer is
-	// asked for and made void, which takes some milliseconds: the sooner it begins, the more
-	// can still be done in time elsewhere.
+	renewTimeout    = 150 * time.Millisecond // for the answer to a renewal, added to its wait
+	renewRetryDelay = 30 * time.Millisecond  // after a renewal without an answer
+	ackPollInterval = 5 * time.Millisecond   // between checks whether ends are acknowledged
+	maxAckPolls     = 4                      // then the next renewal leaves without: it extends the lease
+
+	// The time-out of an order is a multiple of the usual round-trip time, within bounds. A
+	// healthy worker answers within a millisecond, one in another region within 40; a VM whose
+	// CPU is throttled for a tenth of a second measures that too. After a time-out the holder
+	// lists the worker's runs and voids the order, which takes some milliseconds: the sooner it
+	// begins, the more can still be done in time on another worker.
 	orderTimeoutFactor = 10
 	minOrderTimeout    = 45 * time.Millisecond
 	maxOrderTimeout    = 150 * time.Millisecond
-	// Where the answers of all workers take long, it is this VM's own link or processor that is
-	// full. An order given up then is asked for, made void and sent again, each on a new
-	// connection: that fills the link further, and sound workers pass for silent.
+	// maxBusyOrderTimeout applies when the answers of all workers are slow: then this VM's own
+	// link or CPU is saturated. Each order given up causes a listing, a void and a repetition,
+	// each on a new connection, which load the link further until healthy workers seem not to
+	// answer.
 	maxBusyOrderTimeout = 800 * time.Millisecond
-	rttWeight           = 8                      // of the usual time against a new one
-	sharedRTTWeight     = 64                     // the same, over all workers
-	startValidFor       = 700 * time.Millisecond // on the worker's clock: a start that comes later is refused
-	maxClockDrift       = 0.02                   // most by which a worker's clock is slow
+
+	rttWeight       = 8                      // of the moving average of round-trip times: a new one counts 1/rttWeight
+	sharedRTTWeight = 64                     // the same for the average over all workers
+	startValidFor   = 700 * time.Millisecond // on the worker's clock; the worker refuses a start that arrives later
+	maxClockDrift   = 0.02                   // by which a worker's clock may be slow
 )
 
-// workerSession speaks to one worker for as long as its shard is held.
+// workerSession makes the calls to one worker while this VM holds its shard.
 type workerSession struct {
 	vm           *VM
 	shard        string
 	info         atomic.Pointer[worker.Info]
-	born         atomic.Int64 // of the incarnation that it speaks to; 0: not known
-	token        uint64
-	ackedEnd     atomic.Uint64
-	acked        chan struct{}
-	extendLeases *atomic.Bool // whether leases may be extended
-	unanswered   atomic.Bool  // the newest call had no answer
-	orderRTT     atomic.Int64 // how long answers to orders usually take, in nanoseconds
+	born         atomic.Int64  // start of the incarnation that the session is with; 0: not known
+	token        uint64        // fencing token of the shard
+	ackedEnd     atomic.Uint64 // the worker need not list ends up to this number again
+	acked        chan struct{} // receives a value when ackedEnd changes
+	extendLeases *atomic.Bool  // whether leases may be extended
+	unanswered   atomic.Bool   // the last renewal was not answered
+	orderRTT     atomic.Int64  // moving average of the round-trip time of orders, in nanoseconds
 	cancel       context.CancelFunc
 
 	mu              sync.Mutex
-	lastClock       time.Duration // the worker's, at the time below; 0: it never answered
-	clockSentAt     time.Duration // when the call left that brought it
-	clockReceivedAt time.Duration // when its answer came
-	maxDeadline     time.Duration // highest that was sent, on the worker's clock
+	lastClock       time.Duration // the worker's clock as it last reported it; 0: it never answered
+	clockSentAt     time.Duration // when the call that brought lastClock left
+	clockReceivedAt time.Duration // when its answer arrived
+	maxDeadline     time.Duration // latest deadline sent, on the worker's clock
 }
 
+// startSession starts a session, which runs until ctx ends or another incarnation answers.
 func startSession(ctx context.Context, v *VM, shard string, info worker.Info, token uint64, extend *atomic.Bool) *workerSession {
 	ctx, cancel := context.WithCancel(ctx)
-	h := &workerSession{vm: v, shard: shard, token: token, extendLeases: extend, cancel: cancel, acked: make(chan struct{}, 1)}
-	h.info.Store(&info)
-	h.born.Store(info.Born)
-	v.spawn(func() { h.run(ctx) })
-	return h
+	ws := &workerSession{vm: v, shard: shard, token: token, extendLeases: extend, cancel: cancel, acked: make(chan struct{}, 1)}
+	ws.info.Store(&info)
+	ws.born.Store(info.Born)
+	v.spawn(func() { ws.run(ctx) })
+	return ws
 }
 
-// run renews the worker's lease and brings its ends, until ctx ends or another
+// run renews the worker's lease and posts its listings, until ctx ends or another
 // incarnation answers.
-func (h *workerSession) run(ctx context.Context) {
-	lapsed := false
+func (ws *workerSession) run(ctx context.Context) {
+	expired := false
 	for ctx.Err() == nil {
-		sent := h.vm.now()
-		listing, reply := h.renew(ctx, renewWait)
+		sent := ws.vm.now()
+		listing, reply := ws.renew(ctx, renewWait)
 		if ctx.Err() != nil {
 			return
 		}
 		switch reply.Verdict {
 		case worker.Accepted:
-			lapsed = false
-			h.vm.post(listingEvent{session: h, sent: sent, listing: listing})
-			h.awaitAcks(ctx, listing)
+			expired = false
+			ws.vm.post(listingEvent{session: ws, sent: sent, listing: listing})
+			ws.awaitAcks(ctx, listing)
 			continue
 		case worker.Fenced:
-			h.vm.post(workerFencedEvent{session: h})
+			ws.vm.post(workerFencedEvent{session: ws})
 			pause.For(ctx, 4*renewRetryDelay)
 			continue
 		case worker.Replaced:
-			h.vm.post(workerReplacedEvent{session: h, successor: reply.Successor})
+			ws.vm.post(workerReplacedEvent{session: ws, successor: reply.Successor})
 			return
 		}
-		if over, certain := h.leaseExpired(h.vm.now()); certain && over && !lapsed {
-			lapsed = true
-			h.vm.post(leaseExpiredEvent{session: h})
+		if over, certain := ws.leaseExpired(ws.vm.now()); certain && over && !expired {
+			expired = true
+			ws.vm.post(leaseExpiredEvent{session: ws})
 		}
 		pause.For(ctx, renewRetryDelay)
 	}
 }
 
-// awaitAcks waits until the ends of a listing are acknowledged, within a bound: a
-// hold that does not acknowledge them would come back at once with the same ends.
-func (h *workerSession) awaitAcks(ctx context.Context, l worker.Listing) {
+// awaitAcks waits for a limited time until the ends of a listing are acknowledged: a
+// renewal that does not acknowledge them would return at once with the same ends.
+func (ws *workerSession) awaitAcks(ctx context.Context, l worker.Listing) {
 	if len(l.Ended) == 0 {
 		return
 	}
 	last := l.Ended[len(l.Ended)-1].Seq
-	for i := 0; i < maxAckPolls && h.ackedEnd.Load() < last; i++ {
+	for i := 0; i < maxAckPolls && ws.ackedEnd.Load() < last; i++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.acked:
+		case <-ws.acked:
 		case <-time.After(ackPollInterval):
 		}
 	}
 }
 
-// acknowledge has the next hold say that ends up to a number are taken note of.
-func (h *workerSession) acknowledge(seen uint64) {
-	h.ackedEnd.Store(seen)
+// acknowledge has the next renewal acknowledge the ends up to a number.
+func (ws *workerSession) acknowledge(upTo uint64) {
+	ws.ackedEnd.Store(upTo)
 	select {
-	case h.acked <- struct{}{}:
+	case ws.acked <- struct{}{}:
 	default:
 	}
 }
 
-// look asks for a listing at once.
-func (h *workerSession) listNow(ctx context.Context) {
-	sent := h.vm.now()
-	listing, reply := h.renew(ctx, 0)
+// listNow asks the worker for a listing without waiting for the end of a run.
+func (ws *workerSession) listNow(ctx context.Context) {
+	sent := ws.vm.now()
+	listing, reply := ws.renew(ctx, 0)
 	if reply.Verdict == worker.Accepted {
-		h.vm.post(listingEvent{session: h, sent: sent, listing: listing})
+		ws.vm.post(listingEvent{session: ws, sent: sent, listing: listing})
 	}
 }
 
-func (h *workerSession) renew(ctx context.Context, wait time.Duration) (worker.Listing, worker.Reply) {
-	order := worker.Hold{Token: h.token, AckedEnd: h.ackedEnd.Load(), Wait: wait}
-	sent := h.vm.now()
-	now, known := h.latestClock(sent)
-	silent := h.unanswered.Load()
-	if !known || silent {
-		order.Wait = 0 // the call is to learn the worker's clock, or that it is back
-		// Its next incarnation may answer under the same ID, and number its ends anew: it would forget
-		// those that it has not listed yet.
+// renew extends the worker's lease, if it may, and returns a listing. The worker answers when a run ends,
+// or after wait.
+func (ws *workerSession) renew(ctx context.Context, wait time.Duration) (worker.Listing, worker.Reply) {
+	order := worker.Hold{Token: ws.token, AckedEnd: ws.ackedEnd.Load(), Wait: wait}
+	sent := ws.vm.now()
+	now, known := ws.latestClock(sent)
+	unanswered := ws.unanswered.Load()
+	if !known || unanswered {
+		order.Wait = 0 // the call only finds out the worker's clock, or that it is back
+		// The worker's next incarnation may answer under the same ID. It numbers its ends from 1
+		// again, and would discard those that it has not listed yet.
 		order.AckedEnd = 0
 	}
-	// A worker that does not answer is asked, and its lease is not extended: it may hear the
-	// calls though its answers are lost. Without it each new try puts off the time when the
-	// lease is over, and what ran there starts nowhere else: on a played day what four dead
-	// workers had waited for 4.5 s, until they left the list.
-	if known && !silent && h.extendLeases.Load() {
-		order.Deadline = now + h.vm.config.MaxLease
-		h.recordDeadline(order.Deadline)
+	// A worker that does not answer is called without extending its lease, as it may receive the
+	// calls though its answers are lost. Otherwise each attempt would postpone the expiry of the
+	// lease, and its tasks would start nowhere else: tasks of four dead workers waited for 4.5 s,
+	// until the workers left the list.
+	if known && !unanswered && ws.extendLeases.Load() {
+		order.Deadline = now + ws.vm.config.MaxLease
+		ws.recordDeadline(order.Deadline)
 	}
 	ctx, cancel := context.WithTimeout(ctx, order.Wait+renewTimeout)
 	defer cancel()
-	listing, reply := h.vm.config.Orders.Hold(ctx, *h.info.Load(), order)
-	reply = h.checkIncarnation(reply)
-	h.unanswered.Store(reply.Verdict == worker.NoAnswer)
-	h.recordClock(sent, reply)
+	listing, reply := ws.vm.config.Orders.Hold(ctx, *ws.info.Load(), order)
+	reply = ws.checkIncarnation(reply)
+	ws.unanswered.Store(reply.Verdict == worker.NoAnswer)
+	ws.recordClock(sent, reply)
 	return listing, reply
 }
 
-// incarnation is the one that the session speaks to.
-func (h *workerSession) incarnation() worker.Incarnation {
-	return worker.Incarnation{ID: h.info.Load().ID, Born: h.born.Load()}
+// incarnation returns the incarnation of the worker that the session is with.
+func (ws *workerSession) incarnation() worker.Incarnation {
+	return worker.Incarnation{ID: ws.info.Load().ID, Born: ws.born.Load()}
 }
 
-// identify tells an answer of another incarnation under the same ID. One of a later incarnation says
-// that the session's has ended; one of an earlier incarnation, which comes late, says nothing.
-func (h *workerSession) checkIncarnation(r worker.Reply) worker.Reply {
-	if r.Born == 0 || h.born.CompareAndSwap(0, r.Born) {
+// checkIncarnation replaces an answer that another incarnation gave under the same ID. From a later
+// incarnation it means that the session's own has ended; a late one from an earlier incarnation counts
+// as no answer.
+func (ws *workerSession) checkIncarnation(r worker.Reply) worker.Reply {
+	if r.Born == 0 || ws.born.CompareAndSwap(0, r.Born) {
 		return r
 	}
-	switch born := h.born.Load(); {
+	switch born := ws.born.Load(); {
 	case r.Born > born:
-		return worker.Reply{Verdict: worker.Replaced, Successor: worker.Incarnation{ID: h.info.Load().ID, Born: r.Born}}
+		return worker.Reply{Verdict: worker.Replaced, Successor: worker.Incarnation{ID: ws.info.Load().ID, Born: r.Born}}
 	case r.Born < born:
 		return worker.Reply{Verdict: worker.NoAnswer}
 	default:
@@ -182,109 +190,114 @@
 	}
 }
 
-// latestClock is the highest that the worker's clock can show.
-func (h *workerSession) latestClock(now time.Duration) (time.Duration, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.lastClock == 0 {
+// latestClock returns the latest time that the worker's clock can show; false if it is not known.
+func (ws *workerSession) latestClock(now time.Duration) (time.Duration, bool) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	if ws.lastClock == 0 {
 		return 0, false
 	}
-	return h.lastClock + now - h.clockSentAt, true
+	return ws.lastClock + now - ws.clockSentAt, true
 }
 
-func (h *workerSession) recordDeadline(d time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.maxDeadline = max(h.maxDeadline, d)
+// recordDeadline keeps the latest deadline sent to the worker.
+func (ws *workerSession) recordDeadline(d time.Duration) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	ws.maxDeadline = max(ws.maxDeadline, d)
 }
 
-func (h *workerSession) recordClock(sent time.Duration, r worker.Reply) {
+// recordClock keeps the worker's clock from the answer to a call that left at sent.
+func (ws *workerSession) recordClock(sent time.Duration, r worker.Reply) {
 	if r.Clock == 0 {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.lastClock == 0 {
-		// An earlier holder may have extended the lease until this call fenced it.
-		h.maxDeadline = max(h.maxDeadline, r.Clock+h.vm.config.MaxLease)
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	if ws.lastClock == 0 {
+		// The previous holder may have extended the lease until this call fenced it.
+		ws.maxDeadline = max(ws.maxDeadline, r.Clock+ws.vm.config.MaxLease)
 	}
-	if r.Clock > h.lastClock {
-		h.lastClock = r.Clock
-		h.clockSentAt = sent
-		h.clockReceivedAt = h.vm.now()
+	if r.Clock > ws.lastClock {
+		ws.lastClock = r.Clock
+		ws.clockSentAt = sent
+		ws.clockReceivedAt = ws.vm.now()
 	}
 }
 
-// leaseExpired reports whether the worker's lease has run out for certain, though its
-// clock may be slow. It is not certain at all if the worker never answered.
-func (h *workerSession) leaseExpired(now time.Duration) (over, certain bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.lastClock == 0 {
+// leaseExpired reports whether the worker's lease has expired even if the worker's clock is
+// slow. Nothing is certain if the worker never answered.
+func (ws *workerSession) leaseExpired(now time.Duration) (over, certain bool) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	if ws.lastClock == 0 {
 		return false, false
 	}
-	least := h.lastClock + time.Duration(float64(now-h.clockReceivedAt)*(1-maxClockDrift))
-	return least > h.maxDeadline, true
+	earliest := ws.lastClock + time.Duration(float64(now-ws.clockReceivedAt)*(1-maxClockDrift))
+	return earliest > ws.maxDeadline, true
 }
 
-// startDeadline is until when the worker may carry out a start that leaves now.
-func (h *workerSession) startDeadline() time.Duration {
-	now, known := h.latestClock(h.vm.now())
+// startDeadline returns the time on the worker's clock until which it may carry out a start that leaves
+// now; 0 if its clock is not known.
+func (ws *workerSession) startDeadline() time.Duration {
+	now, known := ws.latestClock(ws.vm.now())
 	if !known {
 		return 0
 	}
 	d := now + startValidFor
-	h.recordDeadline(d)
+	ws.recordDeadline(d)
 	return d
 }
 
-// orderTimeout is for how long an order waits for its answer.
-func (h *workerSession) orderTimeout() time.Duration {
-	own := min(orderTimeoutFactor*time.Duration(h.orderRTT.Load()), maxOrderTimeout)
-	all := min(orderTimeoutFactor*time.Duration(h.vm.orderRTT.Load()), maxBusyOrderTimeout)
+// orderTimeout returns how long to wait for the answer to an order.
+func (ws *workerSession) orderTimeout() time.Duration {
+	own := min(orderTimeoutFactor*time.Duration(ws.orderRTT.Load()), maxOrderTimeout)
+	all := min(orderTimeoutFactor*time.Duration(ws.vm.orderRTT.Load()), maxBusyOrderTimeout)
 	return max(own, all, minOrderTimeout)
 }
 
-// recordRTT takes how long the answer to an order took; one that did not come counts as long as
-// it was waited for. Where answers take longer than the wait, as the VM's own processor is
-// busy, the wait would never grow otherwise, and each start would be made void and repeated.
-func (h *workerSession) recordRTT(took time.Duration) {
-	updateAverage(&h.orderRTT, took, rttWeight)
+// recordRTT records the round-trip time of an order; for one without an answer, the time-out. If
+// that were left out and answers took longer than the time-out, as when this VM's own CPU is busy,
+// the time-out would never grow, and each start would be voided and repeated.
+func (ws *workerSession) recordRTT(took time.Duration) {
+	updateAverage(&ws.orderRTT, took, rttWeight)
 }
 
-// recordOrder takes how long an order took. Over all workers only answers count: a tenth of the
-// workers that have just died would draw the wait of all orders to its bound otherwise.
-func (h *workerSession) recordOrder(took time.Duration, r worker.Reply) {
-	h.recordRTT(took)
+// recordOrder records how long an order took. In the average over all workers only answers count:
+// otherwise the death of a tenth of the workers would raise the time-out of all orders to its limit.
+func (ws *workerSession) recordOrder(took time.Duration, r worker.Reply) {
+	ws.recordRTT(took)
 	if r.Verdict != worker.NoAnswer {
-		updateAverage(&h.vm.orderRTT, took, sharedRTTWeight)
+		updateAverage(&ws.vm.orderRTT, took, sharedRTTWeight)
 	}
 }
 
-// follow moves a usual time towards a new one. Of two at once one may get lost.
-func updateAverage(usual *atomic.Int64, took time.Duration, weight int64) {
-	before := usual.Load()
-	usual.Store(before + (int64(took)-before)/weight)
+// updateAverage adds a sample to a moving average. Of two concurrent samples one may get lost.
+func updateAverage(average *atomic.Int64, sample time.Duration, weight int64) {
+	before := average.Load()
+	average.Store(before + (int64(sample)-before)/weight)
 }
 
-func (h *workerSession) start(ctx context.Context, s worker.Start) {
-	s.Token = h.token
-	s.Deadline = h.startDeadline()
-	ctx, cancel := context.WithTimeout(ctx, h.orderTimeout())
+// start sends an order to start a run and posts the worker's reply.
+func (ws *workerSession) start(ctx context.Context, s worker.Start) {
+	s.Token = ws.token
+	s.Deadline = ws.startDeadline()
+	ctx, cancel := context.WithTimeout(ctx, ws.orderTimeout())
 	defer cancel()
-	sent := h.vm.now()
-	r := h.checkIncarnation(h.vm.config.Orders.Start(ctx, *h.info.Load(), s))
-	h.recordClock(sent, r)
-	h.recordOrder(h.vm.now()-sent, r)
-	h.vm.post(startReplyEvent{session: h, task: s.Task, run: s.Run, reply: r})
+	sent := ws.vm.now()
+	r := ws.checkIncarnation(ws.vm.config.Orders.Start(ctx, *ws.info.Load(), s))
+	ws.recordClock(sent, r)
+	ws.recordOrder(ws.vm.now()-sent, r)
+	ws.vm.post(startReplyEvent{session: ws, task: s.Task, run: s.Run, reply: r})
 }
 
-func (h *workerSession) stop(ctx context.Context, s worker.Stop) {
-	s.Token = h.token
-	ctx, cancel := context.WithTimeout(ctx, h.orderTimeout())
+// stop sends an order to end a run and posts the worker's reply.
+func (ws *workerSession) stop(ctx context.Context, s worker.Stop) {
+	s.Token = ws.token
+	ctx, cancel := context.WithTimeout(ctx, ws.orderTimeout())
 	defer cancel()
-	sent := h.vm.now()
-	r := h.checkIncarnation(h.vm.config.Orders.Stop(ctx, *h.info.Load(), s))
-	h.recordClock(sent, r)
-	h.vm.post(stopReplyEvent{session: h, task: s.Task, run: s.Run, reply: r})
+	sent := ws.vm.now()
+	r := ws.checkIncarnation(ws.vm.config.Orders.Stop(ctx, *ws.info.Load(), s))
+	ws.recordClock(sent, r)
+	ws.vm.post(stopReplyEvent{session: ws, task: s.Task, run: s.Run, reply: r})
 }
