--- a/internal/kept/relay/http.go
+++ b/internal/kept/relay/http.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// HTTP makes calls over HTTP/1.1, to the store at an address.
+// HTTP is a Transport that makes calls to the store at an address over HTTP/1.1.
 type HTTP struct {
 	Address string // host:port
 	Client  *http.Client
--- a/internal/kept/relay/relay.go
+++ b/internal/kept/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay carries calls of the platform's store, directly or through a
-// peer.
+// Package relay makes calls of the platform's store, directly or through a peer, which is
+// another entry VM.
 //
-// The store may turn some entry VMs away while it serves the others. A VM that is
-// turned away would lose its key, its shards and all new submissions; through a
-// peer it works on. A call through a peer may be made twice when its first answer
-// is lost: all changes are conditional, so that does no harm.
+// The store may refuse some entry VMs while it serves others. A VM that is refused would
+// lose its key, its shards and all new submissions; through a peer it goes on working.
+// If the answer of one attempt is lost, the call may be carried out twice. This does no
+// harm, as all changes are conditional.
 package relay
 
 import (
@@ -16,22 +16,22 @@
 	"k8s.io/klog/v2"
 )
 
-// Call is one call of the store, as its protocol spells it.
+// Call is one call of the store, as an HTTP request.
 type Call struct {
 	Method string
 	Target string // path and query
 	Body   []byte
-	Wait   time.Duration // that the store may take by the call's own words, as in a watch
+	Wait   time.Duration // that the call asks the store to wait for a change, as in a watch
 }
 
-// Reply is the answer.
+// Reply is the store's answer to a Call.
 type Reply struct {
 	Status int
 	Body   []byte
 }
 
-// Unavailable reports whether the store answered that it does not serve the caller
-// now. Nothing was done.
+// Unavailable reports whether the store refused to serve the caller for now. Such a call was
+// not carried out.
 func (r Reply) Unavailable() bool { return r.Status == 503 || r.Status == 429 }
 
 // Transport makes calls.
@@ -42,25 +42,25 @@
 // Peers makes calls through other entry VMs.
 type Peers interface {
 	Transport
-	// Reach reports whether a peer says that the store answers it.
+	// AnyReachesStore reports whether at least one peer says that the store answers its direct calls.
 	AnyReachesStore() bool
 }
 
 // Times of a Router.
 const (
-	directTimeout  = 450 * time.Millisecond  // a store 60 times slower than usual answers in 250 ms
-	peerTimeout    = 600 * time.Millisecond  // with the hop to the peer
-	probeInterval  = 700 * time.Millisecond  // of the direct way, while calls go through peers
-	answerValidity = 2500 * time.Millisecond // an answer says for so long that the store is reached
-	downThreshold  = 500 * time.Millisecond  // failures all the while say that it is not
+	directTimeout  = 450 * time.Millisecond  // of a direct call; a store 60 times slower than usual answers in 250 ms
+	peerTimeout    = 600 * time.Millisecond  // of a call through a peer, with the hop to the peer
+	probeInterval  = 700 * time.Millisecond  // between direct calls that probe the store while calls go through peers
+	answerValidity = 2500 * time.Millisecond // after a direct answer, how long the store counts as reached
+	downThreshold  = 500 * time.Millisecond  // without any answer, after which the store counts as down
 )
 
-// ErrNotSent says that a call has not left: there is no peer to send it to.
+// ErrNotSent is the error of a call that was not sent, as there is no peer to send it to.
 var ErrNotSent = errors.New("no peer reaches the store")
 
 var errUnreachable = errors.New("neither the store nor a peer that reaches it answers")
 
-// Router picks the way for each call. It is safe for concurrent use.
+// Router makes each call directly or through a peer, whichever works. It is safe for concurrent use.
 type Router struct {
 	direct Transport
 	peers  Peers
@@ -68,56 +68,57 @@
 
 	mu                 sync.Mutex
 	viaPeers           bool
-	directFailingSince time.Duration // since when direct calls fail; 0: they do not
-	probedAt           time.Duration
-	directAnsweredAt   time.Duration // when a direct call was answered last
-	answeredAt         time.Duration // when any call was answered last
-	unansweredAt       time.Duration // when a call was last answered on neither way
-	unansweredSince    time.Duration // since when no call is answered either way; 0: not so
+	directFailingSince time.Duration // 0: direct calls do not fail
+	probedAt           time.Duration // last direct call while calls go through peers
+	directAnsweredAt   time.Duration // last answered direct call
+	answeredAt         time.Duration // last answered call
+	unansweredAt       time.Duration // last call that was answered neither directly nor by a peer
+	unansweredSince    time.Duration // first such call since an answered one; 0: none
 	observe            func(answered bool)
 }
 
-// Count has each call counted by whether it was answered, on either way. It is to be
-// set before the first call.
-func (r *Router) SetCallObserver(count func(answered bool)) { r.observe = count }
+// SetCallObserver sets a function that is called after each call with whether it was answered, directly or
+// by a peer. It must be set before the first call.
+func (r *Router) SetCallObserver(observe func(answered bool)) { r.observe = observe }
 
-// New returns a router that begins with the direct way.
+// New returns a router that makes direct calls until one fails.
 func New(direct Transport, peers Peers, now func() time.Duration) *Router {
 	return &Router{direct: direct, peers: peers, now: now}
 }
 
-// Direct makes a call on the direct way only, for a peer.
+// DoDirect makes a direct call on behalf of a peer.
 func (r *Router) DoDirect(ctx context.Context, c Call) (Reply, error) {
 	return r.tryDirect(ctx, c)
 }
 
-// ReachesStore reports whether direct calls are answered.
+// ReachesStore reports whether the store answers direct calls.
 func (r *Router) ReachesStore() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.directFailingSince == 0 && r.directAnsweredAt > 0 && r.now()-r.directAnsweredAt < answerValidity
 }
 
-// Down reports whether calls have failed on both ways for a while.
+// Down reports whether calls have failed both directly and through peers for longer than downThreshold.
 func (r *Router) Down() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unansweredSince > 0 && r.now()-r.unansweredSince > downThreshold
 }
 
-// Contact says when a call was last answered, and when one was last answered on neither way; 0: never.
+// LastCalls holds the times of the last answered call, and of the last one that was answered neither
+// directly nor by a peer; 0: never.
 type LastCalls struct{ AnsweredAt, UnansweredAt time.Duration }
 
-// Contact returns how calls have fared so far.
+// LastCalls returns the times of the last answered and unanswered calls.
 func (r *Router) LastCalls() LastCalls {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return LastCalls{AnsweredAt: r.answeredAt, UnansweredAt: r.unansweredAt}
 }
 
-// Do makes a call. An answer that turns it away says that nothing was done, so it is
-// returned only if no way was tried without an answer: a call that is turned away on one
-// way may have been carried out on the other.
+// Do makes a call. An Unavailable reply means that the call was not carried out, so it is returned only if
+// each attempt was refused: a call that is refused directly may have been carried out by a peer
+// whose answer was lost, or the other way round.
 func (r *Router) Do(ctx context.Context, c Call) (Reply, error) {
 	var unanswered error
 	if r.startsAtPeer(c) {
@@ -149,7 +150,7 @@
 	return rep, err
 }
 
-// inDoubtError returns the error of a try that may have been carried out, or the earlier one.
+// inDoubtError returns err if it is from an attempt that may have been carried out, otherwise earlier.
 func inDoubtError(err, earlier error) error {
 	if err == nil || errors.Is(err, ErrNotSent) {
 		return earlier
@@ -180,8 +181,9 @@
 	}
 }
 
-// startsAtPeer says which way to try first: a peer's while direct calls fail, but for a probe
-// now and then. A call that waits is no probe: its answer would come late.
+// startsAtPeer reports whether to try a peer before the store. It is so while direct calls fail, except for
+// a probe of the store every probeInterval. Calls that wait for changes are not used as probes, as their
+// answers come late.
 func (r *Router) startsAtPeer(c Call) bool {
 	if !r.peers.AnyReachesStore() {
 		return false
@@ -204,13 +206,13 @@
 	defer cancel()
 	rep, err := r.direct.Do(callCtx, c)
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		return rep, err // the caller has lost interest: that says nothing of the store
+		return rep, err // cancelled by the caller, which says nothing about the store
 	}
 	r.recordDirect(err == nil && !rep.Unavailable(), rep, err)
 	return rep, err
 }
 
-// note keeps whether the direct way works.
+// recordDirect records whether a direct call was answered, and switches to peers or back.
 func (r *Router) recordDirect(ok bool, rep Reply, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,7 +220,7 @@
 	if ok {
 		r.directAnsweredAt = now
 		if r.viaPeers {
-			klog.InfoS("kept: the store answers again", "after", now-r.directFailingSince)
+			klog.InfoS("kept: store answers direct calls again", "after", now-r.directFailingSince)
 		}
 		r.directFailingSince = 0
 		r.viaPeers = false
@@ -226,12 +228,12 @@
 	}
 	if r.directFailingSince == 0 {
 		r.directFailingSince = now
-		klog.InfoS("kept: the store does not answer", "status", rep.Status, "why", err)
+		klog.InfoS("kept: store does not answer direct calls", "status", rep.Status, "why", err)
 	}
 	if !r.viaPeers {
 		r.viaPeers = true
 		r.probedAt = now
-		klog.InfoS("kept: calls of the store go through peers", "a_peer_reaches_it", r.peers.AnyReachesStore())
+		klog.InfoS("kept: sending store calls through peers", "a_peer_reaches_it", r.peers.AnyReachesStore())
 	}
 }
 
--- a/internal/kept/relay/relay_test.go
+++ b/internal/kept/relay/relay_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// way answers as it is told.
-type way struct {
+// transport is a fake Transport and Peers.
+type transport struct {
 	status int
 	silent bool
 	reach  bool
 	calls  int
 }
 
-func (w *way) Do(ctx context.Context, _ Call) (Reply, error) {
+func (w *transport) Do(ctx context.Context, _ Call) (Reply, error) {
 	w.calls++
 	if w.silent {
 		<-ctx.Done()
@@ -25,14 +25,14 @@
 	return Reply{Status: w.status}, nil
 }
 
-func (w *way) AnyReachesStore() bool { return w.reach }
+func (w *transport) AnyReachesStore() bool { return w.reach }
 
-func ways(t *testing.T, play func(r *Router, direct, peers *way)) {
+func withRouter(t *testing.T, test func(r *Router, direct, peers *transport)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		direct, peers := &way{status: 200}, &way{status: 200, reach: true}
-		play(New(direct, peers, func() time.Duration { return time.Hour + time.Since(began) }), direct, peers)
+		direct, peers := &transport{status: 200}, &transport{status: 200, reach: true}
+		test(New(direct, peers, func() time.Duration { return time.Hour + time.Since(began) }), direct, peers)
 	})
 }
 
@@ -41,10 +41,9 @@
 	return rep.Status, err
 }
 
-// Symptom: a VM that the store turns away refuses its callers. Sequence: the store
-// answers 503 to this VM, and serves a peer.
-func TestCallsOfAVMThatIsTurnedAwayGoThroughPeers(t *testing.T) {
-	ways(t, func(r *Router, direct, peers *way) {
+// Guards against a VM that refuses its callers because the store refuses it, although the store serves a peer.
+func TestCallsOfARefusedVMGoThroughPeers(t *testing.T) {
+	withRouter(t, func(r *Router, direct, peers *transport) {
 		direct.status = 503
 		for range 3 {
 			if status, err := do(r); status != 200 || err != nil {
@@ -52,21 +51,21 @@
 			}
 		}
 		if peers.calls != 3 || direct.calls != 1 {
-			t.Errorf("%d calls through peers, %d direct; the direct way is known to fail", peers.calls, direct.calls)
+			t.Errorf("%d calls through peers, %d direct; direct calls are known to fail", peers.calls, direct.calls)
 		}
 		if r.ReachesStore() || r.Down() {
-			t.Error("it tells peers that it reaches the store, or takes the store for down")
+			t.Error("it claims to reach the store directly, or considers it down")
 		}
 		direct.status = 200
 		time.Sleep(probeInterval)
 		if _, err := do(r); err != nil || !r.ReachesStore() {
-			t.Errorf("it does not go back to the direct way (%v)", err)
+			t.Errorf("it does not return to direct calls (%v)", err)
 		}
 	})
 }
 
-func TestSilentStoreIsLeftForAPeerInTime(t *testing.T) {
-	ways(t, func(r *Router, direct, _ *way) {
+func TestSilentStoreIsReplacedByAPeerInTime(t *testing.T) {
+	withRouter(t, func(r *Router, direct, _ *transport) {
 		direct.silent = true
 		began := time.Now()
 		if status, err := do(r); status != 200 || err != nil {
@@ -82,15 +81,15 @@
 	})
 }
 
-func TestStoreIsDownWhenNoWayAnswers(t *testing.T) {
-	ways(t, func(r *Router, direct, peers *way) {
+func TestStoreIsDownWhenNobodyAnswers(t *testing.T) {
+	withRouter(t, func(r *Router, direct, peers *transport) {
 		direct.status, peers.reach = 503, false
 		if status, _ := do(r); status != 503 {
 			t.Errorf("status %d", status)
 		}
 		time.Sleep(downThreshold + 100*time.Millisecond)
 		if _, err := do(r); err != nil || !r.Down() {
-			t.Errorf("it is not taken for down (%v)", err)
+			t.Errorf("it is not considered down (%v)", err)
 		}
 		direct.status = 200
 		if _, err := do(r); err != nil || r.Down() {
@@ -99,10 +98,10 @@
 	})
 }
 
-// Symptom: all calls go through peers for a second after a shard changes hands. Cause:
-// a call that its caller gave up counted against the store.
-func TestCallGivenUpByItsCallerSaysNothingOfTheStore(t *testing.T) {
-	ways(t, func(r *Router, direct, peers *way) {
+// Guards against calls that go through peers for a second after a handover of a shard: a call that its
+// caller cancelled must not count as a failure of the store.
+func TestCancelledCallIsNoFailureOfTheStore(t *testing.T) {
+	withRouter(t, func(r *Router, direct, peers *transport) {
 		direct.silent = true
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, cancel)
@@ -116,17 +115,17 @@
 	})
 }
 
-// Symptom: a submission is refused as not run, and runs. Sequence: the store turns the
-// direct call away; the peer's call is carried out and its answer lost (or the other way
-// round). Cause: the answer of the one way was returned for both.
-func TestCallThatOneWayTurnsAwayMayHaveBeenCarriedOutOnTheOther(t *testing.T) {
+// Guards against a submission that is refused as not run, and runs: the store refuses the direct call, while
+// the peer's call is carried out and its answer lost, or the other way round. The refusal must not
+// be returned for both.
+func TestRefusalIsNotReturnedIfAnotherAttemptIsUnanswered(t *testing.T) {
 	for _, silent := range []string{"peer", "direct"} {
-		ways(t, func(r *Router, direct, peers *way) {
+		withRouter(t, func(r *Router, direct, peers *transport) {
 			direct.status, peers.status = 503, 503
 			direct.silent, peers.silent = silent == "direct", silent == "peer"
 			for range 3 {
 				if status, err := do(r); err == nil {
-					t.Errorf("%s without an answer: status %d says that nothing was done", silent, status)
+					t.Errorf("%s without an answer: status %d means that it was not carried out", silent, status)
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
@@ -134,9 +133,9 @@
 	}
 }
 
-// A call that no peer could be sent is surely not carried out by one.
+// A call that was not sent to any peer cannot have been carried out by one.
 func TestCallThatWasNotSentIsNotInDoubt(t *testing.T) {
-	ways(t, func(r *Router, direct, _ *way) {
+	withRouter(t, func(r *Router, direct, _ *transport) {
 		direct.status = 503
 		r.peers = noPeer{}
 		if status, err := do(r); status != 503 || err != nil {
@@ -145,7 +144,7 @@
 	})
 }
 
-// noPeer loses its last peer between the look and the call.
+// noPeer is Peers whose last peer is lost between AnyReachesStore and Do.
 type noPeer struct{}
 
 func (noPeer) AnyReachesStore() bool                   { return true }
--- a/internal/kept/store/kvcall/kvcall.go
+++ b/internal/kept/store/kvcall/kvcall.go
@@ -1,9 +1,13 @@
-// Package kvcall carries the calls of a store as JSON over any way of making calls. It
-// is the project's own protocol for a store; its stand-in speaks it.
+// Package kvcall implements store.Store as JSON calls over any relay.Transport. It is the
+// project's own store protocol, which the stand-in for the platform's store serves.
 //
-// Each call is a POST to a path with a body. Answers: 200 with a body; 409 with the
-// items of a transaction's conditions; 410 for a history that is gone; 404 for a lease
-// that has ended; 503 when nothing was done.
+// Each call is a POST to a path with a JSON body. The answers are:
+//
+//   - 200 with a JSON body: the call was carried out
+//   - 409 with the items of the conditions: a transaction's conditions do not hold
+//   - 410: the history that a watch asked for is no longer available
+//   - 404: the lease has ended
+//   - 503 or 429: the call was refused and not carried out
 package kvcall
 
 import (
@@ -49,15 +53,17 @@
 	TTL   time.Duration // nanoseconds
 }
 
-// Client is a store behind a way of making calls.
+// Client is a store that is called through a transport.
 type Client struct{ Calls relay.Transport }
 
 var _ store.Store = (*Client)(nil)
 
-// StatusError is an answer that the protocol does not know.
+// StatusError is an answer with a status that the protocol does not define.
 type StatusError struct{ Status int }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("the store answered %d", e.Status) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("store answered with unexpected status %d", e.Status)
+}
 
 func (c *Client) call(ctx context.Context, path string, wait time.Duration, in, out any) error {
 	body, err := json.Marshal(in)
@@ -136,9 +142,9 @@
 	return c.call(ctx, pathRevoke, 0, leaseBody{Lease: lease}, nil)
 }
 
-var errUnknownCall = errors.New("kvcall: no such call")
+var errUnknownCall = errors.New("kvcall: unknown path")
 
-// Answer makes a call on a store, for a server.
+// Answer carries out a call on a store, for a server.
 func Answer(ctx context.Context, s store.Store, c relay.Call) relay.Reply {
 	out, err := dispatch(ctx, s, c)
 	var conflict *store.ConflictError
--- a/internal/kept/store/store.go
+++ b/internal/kept/store/store.go
@@ -1,5 +1,5 @@
-// Package store says what kept submissions ask of the platform's store: a
-// key-value service with conditional transactions, leased keys and watches.
+// Package store defines the interface of the platform's store: a key-value service with
+// conditional transactions, keys bound to leases, and watches.
 package store
 
 import (
@@ -16,30 +16,30 @@
 	Revision uint64 // of its last change; 0: the key does not exist
 }
 
-// Condition says at which revision a key must be; 0: it must not exist.
+// Condition is the revision that a key must be at; 0: the key must not exist.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Put writes a value, bound to a lease unless that is 0.
+// Put writes a value. If Lease is not 0, the key is deleted when the lease ends.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease uint64
 }
 
-// Txn is a change that is made as a whole, or not at all.
+// Txn is a transaction: if all conditions in Expect hold, all its changes are made, otherwise none.
 type Txn struct {
 	Expect []Condition
 	Put    []Put
 	Delete []string
 }
 
-// MaxEntries is the most conditions, puts and deletes of one transaction.
+// MaxEntries is the maximum number of conditions, puts and deletes in one transaction.
 const MaxEntries = 32
 
-// Entries counts conditions, puts and deletes.
+// Entries returns the number of conditions, puts and deletes.
 func (t *Txn) Entries() int { return len(t.Expect) + len(t.Put) + len(t.Delete) }
 
 // Event is a change of a key.
@@ -48,25 +48,28 @@
 	Deleted bool
 }
 
-// Page is a part of a range of keys.
+// Page is a part of the keys under a prefix.
 type Page struct {
 	Items    []Item
-	More     bool   // the next page begins after the last item's key
-	Revision uint64 // of the store
+	More     bool   // another page follows, after the last item's key
+	Revision uint64 // of the store at the time of reading
 }
 
-// Changes are the events after a revision.
+// Changes are the events that a watch returns.
 type Changes struct {
 	Events   []Event
-	Revision uint64 // to go on from
+	Revision uint64 // to continue the watch from
 }
 
-// Store is the platform's store. Errors are those of this package; any other
-// error says that the answer could not be had, and a change may have been made
-// or may still be made later if its conditions hold then.
+// Store is the platform's store. The errors of this package have definite meanings. After any other
+// error the outcome is unknown: a change may have been made, or may still be made later if
+// its conditions hold then.
 type Store interface {
-	Get(ctx context.Context, key string) (Item, error) // Revision 0: no such key
+	// Get returns a key's item; its Revision is 0 if the key does not exist.
+	Get(ctx context.Context, key string) (Item, error)
+	// Range returns the keys under a prefix that sort after the given key. A stale read may be out of date.
 	Range(ctx context.Context, prefix, after string, stale bool) (Page, error)
+	// Watch returns the changes under a prefix after a revision, and waits for one for at most the given time.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error)
 	Commit(ctx context.Context, txn Txn) (revision uint64, err error)
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
@@ -75,22 +78,22 @@
 }
 
 var (
-	// ErrCompacted says that the history a watch asked for is gone.
+	// ErrCompacted is the error of a watch from a revision whose history is no longer available.
 	ErrCompacted = errors.New("store: history is no longer available")
-	// ErrNoLease says that a lease has ended.
+	// ErrNoLease is the error of a call with a lease that has ended.
 	ErrNoLease = errors.New("store: no such lease")
 )
 
-// RefusedError says that the store did nothing.
+// RefusedError is the error of a call that the store refused and certainly did not carry out.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return "store refused: " + e.Reason }
 
-// ConflictError says that a transaction's conditions do not hold.
+// ConflictError is the error of a transaction whose conditions do not hold.
 type ConflictError struct {
-	Items []Item // the keys of the conditions as they are
+	Items []Item // the current items of the conditions' keys
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("store: a condition does not hold (%d keys)", len(e.Items))
+	return fmt.Sprintf("store: transaction conflict on one of %d keys", len(e.Items))
 }
