--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -14,39 +14,41 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// The holder of a failure domain's first shard reads the list of workers, and tells the other holders
-// of the domain when it changes. Workers rewrite their entries at each heartbeat: on a site of 1,100
-// workers a reader gets 730 entries a second, of which one or none has changed, and on a link of 2
-// Mbit/s the list of 120 takes a fifth of it. A holder that has no word from the reader reads the list
-// itself, so the loss of the reader delays what is new for some time, and nothing else.
+// The holder of a failure domain's first shard is the domain's list reader: it reads the list of workers
+// from the store and sends it to the other holders of the domain when it changes. Workers rewrite their
+// entries at each heartbeat: on a site of 1,100 workers a reader receives 730 entries a second, of which
+// at most one has changed, and on a link of 2 Mbit/s the list of 120 workers takes a fifth of the
+// bandwidth. A holder that hears nothing from the reader reads the list itself, so the loss of the reader
+// only delays changes for a while.
 //
-// A worker that gives notice must get nothing new within a bound that the operators set. So a list has
-// an age, which runs from when the store was asked for it, and nothing starts on one that is missing or
-// too old while the store answers: this VM may have just taken a shard over, or the reader may be slow.
+// A worker that announces that it leaves must get no new tasks within a time that the operators set. So
+// each list has an age, counted from when the store was asked for it, and while the store answers nothing
+// starts on workers of a list that is missing or too old: this VM may have just acquired the shard, or the
+// reader may be slow.
 
-// Times of the lists of workers.
+// Intervals of the lists of workers.
 const (
-	fullListInterval    = 2 * time.Second        // between two words with the whole list
-	changedListInterval = 150 * time.Millisecond // the same while it changes
-	firstListTimeout    = 400 * time.Millisecond // without a first word for longer, a new holder reads it itself
+	fullListInterval    = 2 * time.Second        // between sends of the full list
+	changedListInterval = 150 * time.Millisecond // the same while the list changes
+	firstListTimeout    = 400 * time.Millisecond // a new holder that got no list for this long reads it itself
 )
 
-// Times of the lists of workers, as shares of Config.MaxLeaveNoticeDelay.
+// Times of the lists of workers, as fractions of Config.MaxLeaveNoticeDelay.
 const (
-	listWatchShare   = 0.2   // for a change, before the store says that there is none
-	listConfirmShare = 0.125 // between two words that the list stands
-	listRereadShare  = 0.6   // a holder reads the list itself if the one that it was told is older
-	listExpiryShare  = 0.9   // nothing starts on an older one
+	listWatchShare   = 0.2   // longest wait of the store for a change before it answers that there is none
+	listConfirmShare = 0.125 // between messages that the list has not changed
+	listRereadShare  = 0.6   // a holder whose list from the reader is older reads the list itself
+	listExpiryShare  = 0.9   // nothing starts on an older list
 )
 
-// storeSteadyPeriod is for how long all calls of the store must have been answered before an old list keeps
-// tasks from starting. Around an outage, or in a domain that is cut off, it is all there is.
+// storeSteadyPeriod is how long all calls of the store must have been answered before an old list keeps
+// tasks from starting. Around an outage, or in a domain that is cut off, an old list is all there is.
 const storeSteadyPeriod = 2500 * time.Millisecond
 
-// defaultLeaveNoticeDelay is Config.MaxLeaveNoticeDelay where the settings do not say.
+// defaultLeaveNoticeDelay replaces a Config.MaxLeaveNoticeDelay of 0.
 const defaultLeaveNoticeDelay = 2 * time.Second
 
-// leaveNoticeShare is a part of the time within which a notice must be in force.
+// leaveNoticeShare returns a fraction of the time within which an announcement to leave must take effect.
 func (c *Config) leaveNoticeShare(share float64) time.Duration {
 	return time.Duration(share * float64(cmp.Or(c.MaxLeaveNoticeDelay, defaultLeaveNoticeDelay)))
 }
@@ -54,24 +56,24 @@
 // workerList is the list of the workers of a failure domain.
 type workerList struct {
 	workers []worker.Info // by ID
-	askedAt time.Duration // when the store was asked for it, here or by who told of it
-	version uint64        // at this VM, or at the one that told of it
-	sender  string        // who told of it; "": it was read here
+	askedAt time.Duration // when this VM, or the sender, asked the store for it
+	version uint64        // as numbered by this VM, or by the sender
+	sender  string        // the VM that sent it; "": this VM read it from the store
 
-	layout         site.ShardLayout         // that the workers are divided by
+	layout         site.ShardLayout         // that byShard follows
 	shardByAddress map[string]string        // of the workers, by address
-	byShard        map[string][]worker.Info // nil: they are not divided yet
+	byShard        map[string][]worker.Info // nil: not computed yet
 
-	sentTo      map[string]bool // other holders that were told the list
-	sentVersion uint64          // that all of them were told
-	sentAt      time.Duration   // when they were told anything
-	fullSentAt  time.Duration   // when all of them were told the whole list
+	sentTo      map[string]bool // other holders that have the list
+	sentVersion uint64          // the last version that was sent to all of them
+	sentAt      time.Duration   // when anything about the list was last sent to them
+	fullSentAt  time.Duration   // when the full list was last sent to all of them
 }
 
-// own reports whether this VM has read it itself.
+// readHere reports whether this VM read the list from the store.
 func (l *workerList) readHere() bool { return l.sender == "" }
 
-// reads reports whether this VM reads the list of workers for the holders of a domain.
+// isListReader reports whether this VM reads the list of workers for all holders of a domain.
 func (e *engine) isListReader(domain string) bool {
 	return e.shards[site.ShardName(domain, 0)] != nil
 }
@@ -85,10 +87,11 @@
 	return out
 }
 
-// updateLists has the list of workers read here while nobody tells of it, and tells the other holders.
+// updateLists decides whether this VM reads the list of workers from the store, and sends it to the other
+// holders of the domains whose list reader this VM is.
 func (e *engine) updateLists() {
 	reading := false
-	contact := e.vm.router.LastCalls()
+	calls := e.vm.router.LastCalls()
 	for name, h := range e.shards {
 		domain := site.DomainOf(name)
 		l := e.workerLists[domain]
@@ -103,7 +106,7 @@
 		default:
 			reading = reading || l.readHere() || e.isListStale(l)
 		}
-		h.core.SetListOutdated(e.isListOutdated(l, contact))
+		h.core.SetListOutdated(e.isListOutdated(l, calls))
 	}
 	e.holdersChanged = false
 	if reading != e.readingWorkers {
@@ -113,13 +116,14 @@
 	}
 }
 
-// isListStale reports whether a list that this VM was told is so old that it reads the list itself.
+// isListStale reports whether a list from the reader is so old that this VM reads the list itself.
 func (e *engine) isListStale(l *workerList) bool {
 	return e.now-l.askedAt > e.vm.config.leaveNoticeShare(listRereadShare)
 }
 
-// isListOutdated reports whether nothing may start on a list as a newer one can be had; nil: there is none
-// yet. While the store does not answer, the list, or what the earlier holder has stored, is all there is.
+// isListOutdated reports whether nothing may start on a list because it is too old, or missing (nil), and
+// the store can provide a newer one. While the store does not answer, the list, or the workers that the
+// previous holder stored, are all there is.
 func (e *engine) isListOutdated(l *workerList, c relay.LastCalls) bool {
 	if l == nil {
 		return c.AnsweredAt >= c.UnansweredAt
@@ -127,20 +131,21 @@
 	return e.now-c.UnansweredAt > storeSteadyPeriod && c.AnsweredAt-l.askedAt > e.vm.config.leaveNoticeShare(listExpiryShare)
 }
 
-// sendWorkers tells the other holders of a domain of its workers: the whole list if it has changed, to a
-// holder that is new, and now and then; else that it stands.
+// sendWorkers sends the list of a domain's workers to the other holders of the domain. The full list goes to
+// all when it has changed and every fullListInterval, and to each new holder; otherwise a message says that
+// it has not changed.
 func (e *engine) sendWorkers(domain string, l *workerList) {
 	changed := l.version != l.sentVersion
-	pace := e.vm.config.leaveNoticeShare(listConfirmShare)
+	interval := e.vm.config.leaveNoticeShare(listConfirmShare)
 	if changed {
-		pace = changedListInterval
+		interval = changedListInterval
 	}
-	due := e.now-l.sentAt >= pace
+	due := e.now-l.sentAt >= interval
 	if !due && !e.holdersChanged {
 		return
 	}
 	all := due && (changed || e.now-l.fullSentAt >= fullListInterval)
-	told := make(map[string]bool)
+	sentTo := make(map[string]bool)
 	var list []byte
 	for _, holder := range e.site.HoldersIn(domain) {
 		if holder == e.vm.config.Name || e.links[holder] == nil {
@@ -154,14 +159,14 @@
 			}
 			w.List = list
 		case !due:
-			told[holder] = true
+			sentTo[holder] = true
 			continue
 		}
-		told[holder] = true
+		sentTo[holder] = true
 		f := e.frame(holder)
 		f.Workers = append(f.Workers, w)
 	}
-	l.sentTo = told
+	l.sentTo = sentTo
 	if due {
 		l.sentAt = e.now
 	}
@@ -170,7 +175,7 @@
 	}
 }
 
-// resendLists has a peer told the whole lists again: its process or its link is new.
+// resendLists has the full lists sent to a peer again, as its process or its link is new.
 func (e *engine) resendLists(peer string) {
 	for _, l := range e.workerLists {
 		delete(l.sentTo, peer)
@@ -178,15 +183,15 @@
 	e.holdersChanged = true
 }
 
-// dropUnusedList forgets the list of a domain of which nothing is held any more: it will be out of date when
-// the next shard is taken.
+// dropUnusedList removes the list of a domain in which this VM holds no more shards: it would be out of date
+// by the time it acquires another.
 func (e *engine) dropUnusedList(domain string) {
 	if !e.heldDomains()[domain] {
 		delete(e.workerLists, domain)
 	}
 }
 
-// handleWorkers takes the reader's word.
+// handleWorkers applies a list, or the message that it has not changed, from a domain's list reader.
 func (e *engine) handleWorkers(from string, w *pb.KeptWorkers) {
 	if !e.heldDomains()[w.Domain] {
 		return // this VM has just lost its shard there
@@ -194,7 +199,7 @@
 	at := e.now - time.Duration(w.AgeNs)
 	l := e.workerLists[w.Domain]
 	if l != nil && at < l.askedAt {
-		return // an older list than the one here: of an earlier reader, or one that the store does not answer
+		return // older than the list here: from a previous reader, or one that the store does not answer
 	}
 	if len(w.List) == 0 {
 		if l != nil && l.sender == from && l.version == w.Version {
@@ -204,25 +209,25 @@
 	}
 	var infos []worker.Info
 	if err := json.Unmarshal(w.List, &infos); err != nil {
-		klog.ErrorS(err, "kept: a peer's list of workers cannot be read", "peer", from, "domain", w.Domain)
+		klog.ErrorS(err, "kept: list of workers from a peer cannot be decoded", "peer", from, "domain", w.Domain)
 		return
 	}
 	e.setList(w.Domain, infos, at, from, w.Version)
 }
 
-// encodeWorkers is a list of workers as it is told; a worker's entry always has a JSON form.
+// encodeWorkers encodes a list of workers for peers. Encoding an entry cannot fail.
 func encodeWorkers(infos []worker.Info) []byte {
 	list, err := json.Marshal(infos)
 	if err != nil {
-		panic("vm: the workers of a domain have no JSON form: " + err.Error())
+		panic("vm: list of workers cannot be encoded as JSON: " + err.Error())
 	}
 	return list
 }
 
-// apply takes what this VM has read.
+// apply uses a list that this VM has read from the store.
 func (ev workersEvent) apply(e *engine) {
 	if !e.readingWorkers {
-		return // it was under way when the reader's word came
+		return // the read was in flight when a list from the reader arrived
 	}
 	e.lastWorkersRead = ev
 	for domain := range e.heldDomains() {
@@ -230,7 +235,8 @@
 	}
 }
 
-// useLastRead takes the list of a domain as this VM has read it last, unless its reader tells of it.
+// useLastRead replaces the list of a domain by the one that this VM read last, unless it has a newer one or
+// a fresh one from the domain's list reader.
 func (e *engine) useLastRead(domain string) {
 	l := e.workerLists[domain]
 	switch {
@@ -247,8 +253,8 @@
 	}
 }
 
-// setList takes the list of a domain's workers from this VM's own reading, or from who told of it, and
-// holds those of the shards here if it has changed.
+// setList replaces the list of a domain's workers and, if it has changed, updates the workers of the shards
+// held here. from is the VM that sent it; "": this VM read it.
 func (e *engine) setList(domain string, infos []worker.Info, at time.Duration, from string, version uint64) {
 	slices.SortFunc(infos, func(a, b worker.Info) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Revision, b.Revision))
@@ -268,7 +274,7 @@
 	l.workers, l.askedAt, l.sender = infos, at, from
 	if changed {
 		l.byShard = nil
-		klog.InfoS("kept: workers of a domain", "domain", domain, "workers", len(infos), "leaving", countLeaving(infos),
+		klog.InfoS("kept: list of workers changed", "domain", domain, "workers", len(infos), "leaving", countLeaving(infos),
 			"told_by", from, "age", e.now-at)
 	}
 	for name, h := range e.shards {
@@ -282,8 +288,8 @@
 	}
 }
 
-// divide returns the workers of a list by shard. The shard of an address is worked out once: each is hashed
-// with each shard of the domain.
+// workersByShard groups the workers by shard. The shard of an address is computed only once, as that hashes
+// the address with each shard of the domain.
 func (l *workerList) workersByShard(d site.ShardLayout) map[string][]worker.Info {
 	if l.layout != d {
 		l.layout, l.shardByAddress, l.byShard = d, nil, nil
@@ -305,14 +311,15 @@
 	return l.byShard
 }
 
-// nextListVersion numbers the lists that this VM tells; no other process tells the same number.
+// nextListVersion returns the version of a list that this VM has read; no other process uses the same
+// number.
 func (e *engine) nextListVersion() uint64 {
 	e.lastListVersion++
 	return e.vm.config.Incarnation + e.lastListVersion
 }
 
-// listAge is how long ago the store was asked for the list that a shard's workers are of; -1: there is
-// none.
+// listAge returns how long ago the store was asked for the list that a shard's workers come from; -1: there
+// is no list.
 func (e *engine) listAge(shard string) time.Duration {
 	if l := e.workerLists[site.DomainOf(shard)]; l != nil {
 		return e.now - l.askedAt
@@ -320,7 +327,7 @@
 	return -1
 }
 
-// countLeaving is the number of workers that take nothing new.
+// countLeaving counts the workers that have announced that they leave.
 func countLeaving(infos []worker.Info) int {
 	n := 0
 	for i := range infos {
@@ -331,7 +338,8 @@
 	return n
 }
 
-// sameWorker reports whether two entries say the same of a worker. A heartbeat changes the revision.
+// sameWorker reports whether two entries describe the same worker in the same state. The revision is left
+// out, as each heartbeat changes it.
 func sameWorker(a, b worker.Info) bool {
 	return slices.Equal(a.Labels, b.Labels) && a.Incarnation() == b.Incarnation() && a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain &&
 		a.Rack == b.Rack && a.CPUMilli == b.CPUMilli && a.MemMB == b.MemMB && a.GPU == b.GPU && a.Leaving == b.Leaving && a.Cold == b.Cold
