--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -10,62 +10,62 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// Shard is the state of a shard at its holder.
+// Shard is the state of a shard as its holder knows it.
 type Shard struct {
 	settings Settings
 	token    uint64
 
-	recordsLoaded bool          // the records in the store are known
-	barrierUntil  time.Duration // when the leases that an earlier holder gave are certainly over
-	barrierUp     bool          // tasks whose place is unknown may not start
+	recordsLoaded bool          // the records in the store have been read
+	barrierUntil  time.Duration // when the leases that earlier holders granted have certainly expired
+	barrierUp     bool          // tasks that an earlier holder may have started must not start
 	evacuated     bool          // nothing may start in the failure domain
-	listOutdated  bool          // a newer list of workers can be had
+	listOutdated  bool          // the store has a newer list of workers
 
 	jobs                  map[submission.ID]*job
 	workers               map[string]*host
-	recentlyEnded         map[submission.ID]endedJob   // that ended here lately
-	replacedWorkers       map[string]replacedWorker    // workers that another incarnation has replaced, by ID
-	leftoverStarts        map[string]unlistedStarts    // of workers that are known no more, by ID
-	earlyListings         map[string]earlyListing      // listings that came before the records
-	earlyEnds             map[submission.ID][]earlyEnd // ends of runs of submissions not known yet
-	transientBarrierUntil time.Duration                // when runs of transient submissions that nobody lists are over
-	paceByQueue           map[string]*policy.Pace      // by queue
-	recentLosses          []lostWorker                 // lately
-	hasLosses             bool                         // a worker was lost under a task that is here
-	actions               Actions
+	recentlyEnded         map[submission.ID]endedJob   // submissions that ended or left within endedRetention
+	replacedWorkers       map[string]replacedWorker    // incarnations that another one has replaced, by worker ID
+	leftoverStarts        map[string]unlistedStarts    // of workers that have been removed, by worker ID
+	earlyListings         map[string]earlyListing      // listings that arrived before the records, by worker ID
+	earlyEnds             map[submission.ID][]earlyEnd // ended runs of submissions that are not known yet
+	transientBarrierUntil time.Duration                // when unlisted runs of transient submissions have ended
+	paceByQueue           map[string]*policy.Pace
+	recentLosses          []lostWorker // within endedRetention
+	hasLosses             bool         // some unfinished task here had a worker that was lost
+	actions               Actions      // since the last TakeActions
 	nextPruneAt           time.Duration
-	nextSweepAt           time.Duration // when all submissions are looked through next
-	placementDue          bool          // something may start
+	nextSweepAt           time.Duration
+	placementDue          bool // an event may have made a task startable
 }
 
-// endedJob is what is remembered of a submission that has ended here. A message
-// or an answer of the store that left before its end would start it again.
+// endedJob is what is remembered of a submission that has ended or left this shard. Without it, a
+// message or an answer of the store that was sent before the end would start the submission again.
 type endedJob struct {
 	state              submission.State // Unknown: it was stored under another shard
 	part               extent
 	serial             uint64
 	returned           []ReturnedTask
-	reassignedRevision uint64 // revision of the record that names another shard; 0: it ended here
+	reassignedRevision uint64 // of the record that names another shard; 0: it ended here
 	at                 time.Duration
 }
 
-// replacedWorker is the newest incarnation of a worker that another has replaced.
+// replacedWorker is the newest replaced incarnation under a worker ID.
 type replacedWorker struct {
 	born int64 // 0: not known
 	at   time.Duration
 }
 
-// endedRetention is how long ended submissions are remembered. Calls of the store that
-// had no answer may be carried out some seconds later.
+// endedRetention is how long ended submissions are remembered. Calls to the store without an answer
+// may still be carried out some seconds later.
 const endedRetention = time.Minute
 
 type earlyListing struct {
-	sent    time.Duration
+	sent    time.Duration // when the hold that it answers was sent
 	listing worker.Listing
 }
 
-// New returns a shard under a token that its holder has just acquired. Runs that
-// an earlier holder has started are over by barrierUntil, unless a worker lists them.
+// New returns a shard under a token that its holder has just acquired. Runs that an earlier holder
+// started and that no worker lists have ended by barrierAt.
 func New(now time.Duration, s Settings, token uint64, barrierAt time.Duration) *Shard {
 	return &Shard{
 		transientBarrierUntil: min(now+transientBarrier, barrierAt),
@@ -84,18 +84,18 @@
 	}
 }
 
-// Token is the fencing token of all orders.
+// Token returns the fencing token of all orders.
 func (s *Shard) Token() uint64 { return s.token }
 
-// Take returns the actions since the last call.
+// TakeActions returns the actions since the last call.
 func (s *Shard) TakeActions() Actions {
 	out := s.actions
 	s.actions = Actions{}
 	return out
 }
 
-// Records takes the unfinished submissions of the shard as the store has them.
-// Those that are known already stay as they are.
+// AddRecords adopts the unfinished submissions of the shard that were read from the store.
+// Submissions that are already known are left as they are.
 func (s *Shard) AddRecords(now time.Duration, records []StoredRecord) {
 	first := !s.recordsLoaded
 	s.recordsLoaded = true
@@ -114,7 +114,7 @@
 	s.placementDue = true
 }
 
-// adopt takes over a submission that may have runs somewhere.
+// adopt adds a submission of which an earlier holder may have started runs.
 func (s *Shard) adopt(now time.Duration, r StoredRecord) {
 	j := newJob(now, r, s.runBase(r.Record))
 	s.add(j)
@@ -130,18 +130,19 @@
 	s.reportState(j)
 }
 
-// Remembers reports whether a stored submission is one that is known here, or that has left this
-// shard for good: what was read before it left must not bring it back.
+// IsKnown reports whether a stored submission is known here or has left this shard for good. A record
+// that was read before it left must not bring it back.
 func (s *Shard) IsKnown(r StoredRecord) bool {
 	if _, open := s.jobs[r.Record.ID]; open {
 		return true
 	}
-	p, known := s.recentlyEnded[r.Record.ID]
-	return known && (p.reassignedRevision == 0 || r.Revision <= p.reassignedRevision)
+	past, known := s.recentlyEnded[r.Record.ID]
+	return known && (past.reassignedRevision == 0 || r.Revision <= past.reassignedRevision)
 }
 
-// runBase keeps run numbers above those of earlier holders, also of runs that no
-// worker lists: a worker refuses a run that is not higher than one that ended there.
+// runBase returns the number above which run numbers begin, so that they are higher than those of
+// earlier holders, including runs that no worker lists. A worker refuses a run whose number is not
+// higher than that of a run of the same task that ended there.
 func (s *Shard) runBase(r *submission.Record) uint64 {
 	if s.token <= r.Token {
 		return 0
@@ -149,13 +150,13 @@
 	return (s.token - r.Token) * runsPerToken
 }
 
-// runsPerToken is the most runs of one task under one token that run numbers
-// leave room for. Runs that are stopped or lapse are not counted against the
-// attempts; 64 of them take longer than any submission waits.
+// runsPerToken is how many run numbers are reserved for one task under one token. Runs that are
+// stopped or whose lease expires do not count as attempts, but 64 of them take longer than any
+// submission waits.
 const runsPerToken = 64
 
-// Assign takes a submission of which nothing has run yet. It reports false if the
-// submission was known already.
+// Assign adds a submission of which nothing has run yet. It reports false if the submission was
+// already known.
 func (s *Shard) Assign(now time.Duration, r StoredRecord) bool {
 	if !r.Record.Transient && s.IsKnown(r) {
 		return false
@@ -168,28 +169,28 @@
 	return true
 }
 
-// add takes a submission among the open ones.
 func (s *Shard) add(j *job) {
 	s.jobs[j.rec.ID] = j
 	s.hasLosses = s.hasLosses || len(j.rec.Progress.Losses) > 0
 }
 
-// Knows returns the state of a submission here.
+// State returns the state of a submission here and whether it is known.
 func (s *Shard) State(id submission.ID) (submission.State, bool) {
 	if j, open := s.jobs[id]; open {
 		return j.state, true
 	}
-	p, known := s.recentlyEnded[id]
-	return p.state, known
+	past, known := s.recentlyEnded[id]
+	return past.state, known
 }
 
-// Report returns what its home is told of a submission; known is false if there is none here.
-func (s *Shard) Report(id submission.ID) (a StateAction, known bool) {
+// Report returns the state report of a submission for its home VM, without the home if the submission
+// has ended here. known is false if there is no such submission.
+func (s *Shard) Report(id submission.ID) (report StateAction, known bool) {
 	if j, open := s.jobs[id]; open {
 		return StateAction{ID: id, Home: j.rec.Home, State: j.state, Serial: j.rec.Serial, Returned: j.returned}, true
 	}
-	p, known := s.recentlyEnded[id]
-	return StateAction{ID: id, State: p.state, Serial: p.serial, Returned: p.returned}, known
+	past, known := s.recentlyEnded[id]
+	return StateAction{ID: id, State: past.state, Serial: past.serial, Returned: past.returned}, known
 }
 
 // Cancel stops the runs of a submission whose cancellation has been stored.
@@ -206,15 +207,15 @@
 	s.settle(now, j)
 }
 
-// FinalStored says that the end of a submission is in the store.
+// FinalStored records that the final state of a submission has been stored.
 func (s *Shard) FinalStored(now time.Duration, id submission.ID) {
 	if j, known := s.jobs[id]; known {
 		s.settle(now, j)
 	}
 }
 
-// settled acknowledges a submission's ends, and forgets it once nothing of it takes
-// room any more.
+// settle acknowledges the ended runs of a submission whose end is stored, or need not be, and removes
+// the submission once none of its runs occupies a worker.
 func (s *Shard) settle(now time.Duration, j *job) {
 	j.endStored = true
 	s.recentlyEnded[j.rec.ID] = endedJob{state: j.state, part: extentOf(j.rec), serial: j.rec.Serial, returned: j.returned, at: now}
@@ -229,7 +230,7 @@
 	}
 }
 
-// Saved says that the progress of a submission is in the store.
+// ProgressSaved records that the progress of a submission has been stored.
 func (s *Shard) ProgressSaved(now time.Duration, id submission.ID, revision uint64) {
 	j, known := s.jobs[id]
 	if !known {
@@ -246,12 +247,12 @@
 	}
 	s.acknowledge()
 	if j.state.Final() {
-		s.endSubmission(now, j, j.state, j.endReason) // its end waited for the new revision
+		s.endSubmission(now, j, j.state, j.endReason) // storing its final state had to wait for the new revision
 	}
 }
 
-// Lost says that a record could not be changed as it is no longer what it was:
-// the submission was cancelled, or ended by another holder.
+// RecordConflict handles a write that the store refused because the record has changed in the
+// store: the submission was cancelled, or ended by another holder.
 func (s *Shard) RecordConflict(now time.Duration, id submission.ID) {
 	j, known := s.jobs[id]
 	if !known {
@@ -260,35 +261,35 @@
 	s.stopAllRuns(j, "its record has changed")
 	s.settle(now, j)
 	if !j.state.Final() {
-		delete(s.recentlyEnded, id) // what became of it stands in the store
+		delete(s.recentlyEnded, id) // its state is not known here, only in the store
 	}
 }
 
-// acknowledge passes the ends whose effect is in the store.
+// acknowledge acknowledges the ended runs whose effect is stored, in the order of their numbers.
 func (s *Shard) acknowledge() {
 	if !s.recordsLoaded {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
-		seen := h.ackedEnd
+		acked := h.ackedEnd
 		for len(h.unackedEnds) > 0 && h.unackedEnds[0].canBeAcked() {
-			seen = h.unackedEnds[0].n
+			acked = h.unackedEnds[0].n
 			h.unackedEnds = h.unackedEnds[1:]
 		}
-		if seen != h.ackedEnd {
-			h.ackedEnd = seen
-			s.actions.Acks = append(s.actions.Acks, AckAction{Worker: id, UpTo: seen})
+		if acked != h.ackedEnd {
+			h.ackedEnd = acked
+			s.actions.Acks = append(s.actions.Acks, AckAction{Worker: id, UpTo: acked})
 		}
 	}
 }
 
-// end brings a submission to its final state.
-func (s *Shard) endSubmission(now time.Duration, j *job, state submission.State, why string) {
+// endSubmission gives a submission a final state, stops its runs and has the state stored.
+func (s *Shard) endSubmission(now time.Duration, j *job, state submission.State, reason string) {
 	if j.state != state {
 		j.state = state
-		j.endReason = why
-		s.stopAllRuns(j, why)
+		j.endReason = reason
+		s.stopAllRuns(j, reason)
 		s.reportState(j)
 	}
 	if j.rec.Transient {
@@ -296,17 +297,17 @@
 		return
 	}
 	if j.saving {
-		return // its record is being written; the end follows with the new revision
+		return // its record is being written: ProgressSaved stores the final state at the new revision
 	}
-	s.actions.Finals = append(s.actions.Finals, FinalAction{ID: j.rec.ID, Revision: j.revision, State: state, Reason: why})
+	s.actions.Finals = append(s.actions.Finals, FinalAction{ID: j.rec.ID, Revision: j.revision, State: state, Reason: reason})
 }
 
-// halt stops all runs of a submission.
-func (s *Shard) stopAllRuns(j *job, why string) {
+// stopAllRuns stops all runs of a submission for good.
+func (s *Shard) stopAllRuns(j *job, reason string) {
 	for _, t := range j.tasks {
 		switch t.state {
 		case taskStarting, taskRunning, taskUnconfirmed:
-			s.orderStop(t, why)
+			s.orderStop(t, reason)
 			t.state = taskStoppingForGood
 			t.stopAckClock = 0
 		case taskStoppingToRestart:
@@ -317,12 +318,12 @@
 	}
 }
 
-func (s *Shard) orderStop(t *task, why string) {
+func (s *Shard) orderStop(t *task, reason string) {
 	s.actions.Stops = append(s.actions.Stops, StopAction{
 		Worker: t.host.info,
 		Task:   t.ref,
 		Run:    t.newestRun,
-		Reason: why,
+		Reason: reason,
 	})
 }
 
@@ -330,7 +331,7 @@
 	s.actions.States = append(s.actions.States, StateAction{ID: j.rec.ID, Home: j.rec.Home, State: j.state, Serial: j.rec.Serial, Returned: j.returned})
 }
 
-// finish ends a submission that has no task left here.
+// finish ends a submission that has no unfinished task left in this shard.
 func (s *Shard) finish(now time.Duration, j *job) {
 	if len(j.returned) > 0 {
 		s.endSubmission(now, j, submission.Returned, "what was left of it was given back")
@@ -339,7 +340,7 @@
 	s.endSubmission(now, j, submission.Done, "all tasks have completed")
 }
 
-// Unfinished returns the submissions that have not ended, in order.
+// Unfinished returns the IDs of the submissions that have not ended, sorted.
 func (s *Shard) Unfinished() []submission.ID {
 	var out []submission.ID
 	for id, j := range s.jobs {
@@ -351,7 +352,7 @@
 	return out
 }
 
-// HasStored reports whether an unfinished submission here is a stored one.
+// HasStored reports whether any submission here is a stored one.
 func (s *Shard) HasStored() bool {
 	for _, j := range s.jobs {
 		if !j.rec.Transient {
@@ -361,5 +362,6 @@
 	return false
 }
 
-// Size is the number of submissions that are known and not yet settled.
+// Size returns the number of submissions that have not ended, whose end is not stored yet, or whose
+// runs are still being stopped.
 func (s *Shard) Size() int { return len(s.jobs) }
--- a/internal/kept/shard/types.go
+++ b/internal/kept/shard/types.go
@@ -175,7 +175,7 @@
 // Settings are the settings of a shard.
 type Settings struct {
 	Policy policy.Settings
-	// SaveDelay is how long after a run of an unfinished submission has ended its progress is stored.
+	// SaveDelay is how long after a run of an unfinished stored submission has ended its progress is saved.
 	// Only then is the end acknowledged to the worker.
 	SaveDelay time.Duration
 	// EnforcesCapacity reports whether the workers of a service refuse tasks that exceed their free
