--- a/internal/kept/journal/journal.go
+++ b/internal/kept/journal/journal.go
@@ -1,10 +1,10 @@
-// Package journal groups changes of the store into transactions.
+// Package journal batches writes to the store.
 //
-// Each change is a row with conditions of its own. Rows that wait together go
-// into one transaction; a row whose conditions do not hold leaves it and the
-// others go on. A transaction without an answer is repeated as it is: its
-// conditions make a second execution impossible, and a row whose key holds the
-// row's own value was written by the first.
+// Each write is a Row with its own conditions. Queued rows are sent together in one
+// transaction. If the conditions of some rows do not hold, these rows end with a
+// conflict, and the others are sent again. A transaction without an answer is retried
+// unchanged: its conditions prevent a second execution, and a row whose key already
+// holds the row's value was written by an earlier attempt.
 package journal
 
 import (
@@ -21,53 +21,53 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/ring"
 )
 
-// Outcome is what became of a row.
+// Outcome is how a row ended.
 type Outcome uint8
 
 // The outcomes of a row.
 const (
 	Stored   Outcome = iota
 	Conflict         // a condition does not hold; nothing was written
-	Refused          // nothing was written
-	Unknown          // no answer in time: it may have been written, or be written later
+	Refused          // the store refused each attempt; nothing was written
+	Unknown          // no answer in time: it may have been written, or may still be written
 )
 
-// Result is the outcome of a row.
+// Result is the outcome of a row with its details.
 type Result struct {
 	Outcome  Outcome
-	Revision uint64       // if stored
-	Items    []store.Item // if in conflict: the row's conditions as they are
-	Attempts int          // transactions that carried the row
+	Revision uint64       // of the write; only if Stored
+	Items    []store.Item // current items of the row's conditions; only if Conflict
+	Attempts int          // transactions that contained the row
 }
 
-// Row is a change.
+// Row is one write with its conditions.
 type Row struct {
 	Txn         store.Txn
-	Guards      []store.Condition // shared by many rows, each counted once a transaction
-	GiveUpAfter time.Duration     // after which an unanswered row is given up
-	Done        func(Result)
+	Guards      []store.Condition // conditions that many rows share; sent once per transaction
+	GiveUpAfter time.Duration     // since Add; then the row ends as Refused or Unknown
+	Done        func(Result)      // called when the row ends, unless Run's context ends before
 
 	addedAt         time.Time
 	attempts        int
-	surelyUnwritten bool // no transaction with this row may be under way
+	surelyUnwritten bool // no transaction with this row was left unanswered
 }
 
-// Settings of a journal.
+// Settings are the limits of a journal.
 type Settings struct {
 	Name        string
-	BatchDelay  time.Duration // that a row may wait for others
-	Capacity    int           // rows that may wait
-	MaxInFlight int           // transactions under way at once
+	BatchDelay  time.Duration // how long a row waits for others to share a transaction with
+	Capacity    int           // rows that may be queued
+	MaxInFlight int           // concurrent transactions
 }
 
-// Bounds of a transaction and of repetition.
+// Limits of transactions and retries.
 const (
 	commitTimeout    = 1500 * time.Millisecond // a store 60 times slower than usual answers in 250 ms
-	retryBackoffStep = 40 * time.Millisecond   // after a refusal, with the number of tries
+	retryBackoffStep = 40 * time.Millisecond   // the backoff grows by this with each failed attempt
 	maxRetryBackoff  = 400 * time.Millisecond
 )
 
-// Journal writes rows. It is safe for concurrent use.
+// Journal writes rows to a store. It is safe for concurrent use.
 type Journal struct {
 	settings Settings
 	store    store.Store
@@ -75,7 +75,7 @@
 	inFlight chan struct{}
 }
 
-// New returns a journal; Run writes.
+// New returns a journal; Run writes its rows.
 func New(s Settings, st store.Store) *Journal {
 	return &Journal{
 		settings: s,
@@ -85,17 +85,17 @@
 	}
 }
 
-// Add queues a row and reports false if there is no room for it.
+// Add queues a row and reports false if the queue is full.
 func (j *Journal) Add(r *Row) bool {
 	r.addedAt = time.Now()
 	r.surelyUnwritten = true
 	return j.queue.TryPush(r)
 }
 
-// Waiting is the number of rows that no transaction carries yet.
+// QueueLength returns the number of rows that are in no transaction yet.
 func (j *Journal) QueueLength() int { return j.queue.Len() }
 
-// Run writes until ctx ends.
+// Run writes queued rows until ctx ends.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		select {
@@ -120,7 +120,7 @@
 	}
 }
 
-// batches splits rows so that each part fits into a transaction.
+// splitIntoBatches splits rows so that each part fits into a transaction.
 func splitIntoBatches(rows []*Row) [][]*Row {
 	var out [][]*Row
 	var part []*Row
@@ -140,7 +140,7 @@
 	return out
 }
 
-// write brings a batch to an end. It goes on while the context lasts.
+// write retries a batch until all its rows have ended or ctx ends.
 func (j *Journal) write(ctx context.Context, batch []*Row) {
 	for try := 1; len(batch) > 0; try++ {
 		var err error
@@ -148,7 +148,7 @@
 		if err == nil {
 			continue
 		}
-		klog.V(1).InfoS("kept: a write has to wait", "journal", j.settings.Name, "rows", len(batch), "try", try, "why", err)
+		klog.V(1).InfoS("kept: write failed, retrying", "journal", j.settings.Name, "rows", len(batch), "try", try, "why", err)
 		batch = endExpired(batch)
 		if len(batch) == 0 {
 			return
@@ -159,7 +159,7 @@
 	}
 }
 
-// endExpired ends the rows whose time is over and returns the others.
+// endExpired ends the rows whose GiveUpAfter has passed and returns the others.
 func endExpired(batch []*Row) []*Row {
 	rest := batch[:0:0]
 	for _, r := range batch {
@@ -175,8 +175,8 @@
 	return rest
 }
 
-// attempt makes one transaction and returns the rows that are still open, with
-// an error if they have to wait.
+// attempt makes one transaction and returns the rows to send again, with an error if the caller must
+// back off first.
 func (j *Journal) attempt(ctx context.Context, batch []*Row) ([]*Row, error) {
 	for _, r := range batch {
 		r.attempts++
@@ -204,6 +204,7 @@
 	}
 }
 
+// mergeRows returns one transaction for a batch; a guard that several rows share is in it once.
 func mergeRows(batch []*Row) store.Txn {
 	var t store.Txn
 	guards := make(map[string]bool)
@@ -221,7 +222,8 @@
 	return t
 }
 
-// settle ends the rows in conflict and returns the others.
+// resolveConflict ends the rows that are in conflict or already written and returns the others. items are the
+// current items of the transaction's conditions.
 func resolveConflict(batch []*Row, items []store.Item) []*Row {
 	now := make(map[string]store.Item, len(items))
 	for _, it := range items {
@@ -239,7 +241,7 @@
 		}
 	}
 	if len(rest) == len(batch) {
-		// The answer names no row: repeating it would go on for ever.
+		// The conflict concerns none of the rows: retrying would never end.
 		for _, r := range rest {
 			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, now), Attempts: r.attempts})
 		}
@@ -248,12 +250,13 @@
 	return rest
 }
 
-// writtenRevision reports whether an earlier, unanswered transaction has written the
-// row: the key that it puts under a condition holds the row's own value.
+// writtenRevision reports whether an earlier, unanswered call has written the row, and at which revision:
+// a key that the row puts holds the row's own value.
 //
-// It may be the first one, as far as this journal knows: a call without an answer is made
-// again by way of a peer. Taken for somebody else's change, a stored progress would make
-// its holder drop the submission and acknowledge its ends, and the next holder repeat them.
+// This is checked on the first attempt too, as a call without an answer is repeated through a peer
+// unknown to the journal (see package relay). If the value were taken for somebody else's change, the
+// holder of a submission would drop it after storing its progress and acknowledge all ends
+// of its tasks, and the next holder would run them again.
 func writtenRevision(r *Row, now map[string]store.Item) (uint64, bool) {
 	for _, p := range r.Txn.Put {
 		it, known := now[p.Key]
@@ -267,6 +270,7 @@
 
 func (r *Row) conditions() []store.Condition { return slices.Concat(r.Guards, r.Txn.Expect) }
 
+// conditionsHold reports whether all conditions of a row hold for the current items.
 func conditionsHold(r *Row, now map[string]store.Item) bool {
 	for _, c := range r.conditions() {
 		if now[c.Key].Revision != c.Revision {
@@ -276,6 +280,7 @@
 	return true
 }
 
+// conditionItems returns the current items of a row's conditions.
 func conditionItems(r *Row, now map[string]store.Item) []store.Item {
 	var out []store.Item
 	for _, c := range r.conditions() {
--- a/internal/kept/journal/journal_test.go
+++ b/internal/kept/journal/journal_test.go
@@ -13,7 +13,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/kvstore"
 )
 
-// world is a journal with a store behind a door that can fail.
+// world is a journal with a store whose calls can be made to fail.
 type world struct {
 	t       *testing.T
 	store   *kvstore.Store
@@ -23,7 +23,7 @@
 	done    chan string
 }
 
-func journalWorld(t *testing.T, play func(w *world)) {
+func withJournal(t *testing.T, test func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := kvstore.New()
@@ -32,12 +32,12 @@
 		w.journal = New(Settings{Name: "test", BatchDelay: time.Millisecond, Capacity: 1000, MaxInFlight: 1}, &kvcall.Client{Calls: calls})
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.journal.Run(ctx)
-		play(w)
+		test(w)
 		cancel()
 	})
 }
 
-// create adds a row that creates a key.
+// create adds a row that creates a key with the value "mine".
 func (w *world) create(key string, within time.Duration) {
 	ok := w.journal.Add(&Row{
 		Txn:         store.Txn{Expect: []store.Condition{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("mine")}}},
@@ -52,14 +52,15 @@
 	}
 }
 
+// await waits until n rows have ended.
 func (w *world) await(n int) {
 	for range n {
 		<-w.done
 	}
 }
 
-func TestRowsThatWaitShareTransactions(t *testing.T) {
-	journalWorld(t, func(w *world) {
+func TestQueuedRowsShareTransactions(t *testing.T) {
+	withJournal(t, func(w *world) {
 		for i := range 64 {
 			w.create(fmt.Sprint("k", i), time.Second)
 		}
@@ -70,17 +71,16 @@
 	})
 }
 
-// Symptom: submissions are refused with a neighbour that is known already. Cause would
-// be: one transaction for all, and one answer.
-func TestRowInConflictLeavesItsNeighbours(t *testing.T) {
-	journalWorld(t, func(w *world) {
+// Guards against submissions that are refused because another one in the same transaction is a duplicate.
+func TestConflictEndsOnlyTheRowConcerned(t *testing.T) {
+	withJournal(t, func(w *world) {
 		w.store.Put("taken", []byte("theirs"))
 		for _, key := range []string{"a", "taken", "b"} {
 			w.create(key, time.Second)
 		}
 		w.await(3)
 		if w.results["a"].Outcome != Stored || w.results["b"].Outcome != Stored {
-			t.Errorf("the neighbours: %+v, %+v", w.results["a"], w.results["b"])
+			t.Errorf("the other rows: %+v, %+v", w.results["a"], w.results["b"])
 		}
 		r := w.results["taken"]
 		if r.Outcome != Conflict || len(r.Items) != 1 || string(r.Items[0].Value) != "theirs" {
@@ -89,11 +89,10 @@
 	})
 }
 
-// Symptom: a submission that was stored is refused as known already. Sequence: the
-// store makes a change and its answer is lost; the change is repeated. Cause would be:
-// taking the own value for somebody else's.
-func TestRepeatedRowKnowsItsOwnValue(t *testing.T) {
-	journalWorld(t, func(w *world) {
+// Guards against a stored submission that is refused as a duplicate: the store makes a change, its answer is
+// lost, and on the retry the journal must recognize the row's own value.
+func TestRetriedRowRecognizesItsOwnValue(t *testing.T) {
+	withJournal(t, func(w *world) {
 		w.door.Set(kvstore.LosesReply)
 		w.create("a", 10*time.Second)
 		time.Sleep(time.Second)
@@ -105,11 +104,11 @@
 	})
 }
 
-// Symptom: "not run" is said of what the store may have taken. What was refused each
-// time is surely not stored; what had no answer may be.
-func TestOnlyWhatWasRefusedEachTimeIsSurelyNotStored(t *testing.T) {
+// Guards against callers that are told "not run" of a submission that the store may have taken: a row is
+// Refused only if each attempt was refused, and Unknown if one had no answer.
+func TestOnlyRowsRefusedEachTimeAreRefused(t *testing.T) {
 	for fault, want := range map[kvstore.Fault]Outcome{kvstore.Refuses: Refused, kvstore.LosesReply: Unknown, kvstore.Silent: Unknown} {
-		journalWorld(t, func(w *world) {
+		withJournal(t, func(w *world) {
 			w.door.Set(fault)
 			w.create("a", time.Second)
 			w.await(1)
@@ -120,26 +119,25 @@
 	}
 }
 
-// twice makes each call two times and returns the second answer, as a router does whose
-// direct call was carried out without an answer and which then asked a peer.
-type twice struct{ door relay.Transport }
+// doubledCalls makes each call twice and returns the second answer, like a relay.Router whose direct call was
+// carried out without an answer and which then asked a peer.
+type doubledCalls struct{ door relay.Transport }
 
-func (w twice) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
+func (w doubledCalls) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
 	if _, err := w.door.Do(ctx, c); err != nil {
 		return relay.Reply{}, err
 	}
 	return w.door.Do(ctx, c)
 }
 
-// Symptom: tasks that were done run a second time after a takeover, some seconds after the
-// store lost answers. Sequence: a holder stores the progress of a submission; the direct
-// call is carried out and its answer lost; the same call through a peer finds the record
-// changed. Cause: the change was taken for somebody else's, as this was the first
-// transaction that the journal knew of; the holder dropped the submission and acknowledged
-// all its ends, of which the record has only the first.
-func TestFirstAnswerMayBeOfASecondCall(t *testing.T) {
-	journalWorld(t, func(w *world) {
-		w.journal.store = &kvcall.Client{Calls: twice{w.door}}
+// Guards against completed tasks that run again after a takeover. A holder stores the progress of a submission;
+// the direct call is carried out and its answer lost, and the same call through a peer finds the record
+// changed. The journal must recognize its own value even on what it knows as the first attempt.
+// Otherwise the holder drops the submission and acknowledges all ends of its tasks, although the record
+// has only the first of them.
+func TestFirstAttemptRecognizesItsOwnValue(t *testing.T) {
+	withJournal(t, func(w *world) {
+		w.journal.store = &kvcall.Client{Calls: doubledCalls{w.door}}
 		w.create("a", time.Second)
 		w.await(1)
 		if r := w.results["a"]; r.Outcome != Stored || r.Revision == 0 {
