--- a/internal/kept/oplog/oplog.go
+++ b/internal/kept/oplog/oplog.go
@@ -1,9 +1,9 @@
-// Package oplog writes the log of decisions to an output that may be slow, or stuck,
-// without ever waiting for it.
+// Package oplog writes the klog output to a destination that may be slow or stuck, without
+// ever blocking the caller.
 //
-// Lines go through a bounded ring to one goroutine, which writes all that waits in one
-// call. When the ring is full, lines are dropped and counted, and a line with their
-// number follows as soon as there is room.
+// Lines go through a bounded queue to one goroutine, which writes all queued lines in
+// one call. If the queue is full, lines are dropped and counted, and a line with their
+// number is written as soon as the output takes lines again.
 package oplog
 
 import (
@@ -20,15 +20,15 @@
 )
 
 const (
-	// MaxQueuedLines is how many lines may wait: at peak a busy holder writes some 600 a
-	// second, so they bridge several seconds of a stuck reader.
+	// MaxQueuedLines is the size of the queue. A busy holder writes some 600 lines a second at
+	// peak, so the queue bridges several seconds of a stuck reader.
 	MaxQueuedLines = 8192
-	maxWriteBytes  = 64 << 10              // bytes of one write
-	batchDelay     = 20 * time.Millisecond // that lines wait for others, to share a write
-	stopTimeout    = 300 * time.Millisecond
+	maxWriteBytes  = 64 << 10               // a write ends with the line that reaches this size
+	batchDelay     = 20 * time.Millisecond  // how long lines wait for others to share a write
+	stopTimeout    = 300 * time.Millisecond // for the output to take the queued lines
 )
 
-// Log is a running writer.
+// Log is a running log writer.
 type Log struct {
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Uint64
@@ -39,7 +39,7 @@
 	once    sync.Once
 }
 
-// Start makes klog write to out from now on.
+// Start redirects klog to out.
 func Start(out io.Writer, verbosity int) *Log {
 	l := &Log{
 		lines: ring.New[[]byte](MaxQueuedLines),
@@ -53,7 +53,7 @@
 	return l
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks and never fails.
 func (l *Log) Write(line []byte) (int, error) {
 	if !l.lines.TryPush(append([]byte(nil), line...)) {
 		l.dropped.Add(1)
@@ -61,13 +61,13 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines that were not written for want of room.
+// Dropped returns the number of lines that were dropped because the queue was full.
 func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// Written is the number of lines handed to the output.
+// Written returns the number of lines passed to the output.
 func (l *Log) Written() uint64 { return l.written.Load() }
 
-// Stop writes what waits, if the output takes it in time.
+// Stop writes the queued lines, if the output takes them in time.
 func (l *Log) Stop() {
 	l.once.Do(func() { close(l.stop) })
 	select {
@@ -115,7 +115,7 @@
 	l.writeOut(batch)
 }
 
-// put hands lines to the output. There is nowhere to say that it does not take them.
+// writeOut writes to the output. Errors are ignored, as there is nowhere to report them.
 func (l *Log) writeOut(batch []byte) {
 	if len(batch) > 0 {
 		_, _ = l.out.Write(batch)
--- a/internal/kept/oplog/oplog_test.go
+++ b/internal/kept/oplog/oplog_test.go
@@ -11,24 +11,24 @@
 	"k8s.io/klog/v2"
 )
 
-type stuck struct {
+// stuckWriter blocks until released.
+type stuckWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *stuckWriter) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(b)
 }
 
-// Symptom: a VM serves nobody. Sequence: whoever reads its log stops reading. Cause
-// would be: a decision that waits until its line is written.
+// Guards against a VM that stops serving because the reader of its log has stopped reading.
 func TestStuckOutputBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &stuckWriter{release: make(chan struct{})}
 		l := Start(out, 0)
 		defer klog.ClearLogger()
 		began := time.Now()
@@ -49,7 +49,7 @@
 		defer out.mu.Unlock()
 		text := out.got.String()
 		if !strings.Contains(text, "lines dropped") || !strings.Contains(text, `id="a"`) {
-			t.Errorf("the output lacks lines or their loss: %.200s", text)
+			t.Errorf("the output lacks lines or the count of dropped ones: %.200s", text)
 		}
 	})
 }
--- a/internal/kept/serve/serve.go
+++ b/internal/kept/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve runs an entry VM's listeners for the life of a process, and stops it
-// without cutting off a request.
+// Package serve runs an entry VM's HTTP servers until the process is stopped, and shuts
+// down gracefully: requests in flight are completed.
 package serve
 
 import (
@@ -17,31 +17,31 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/vm"
 )
 
-// Times of a stop.
+// StopTimes are the time limits of a graceful stop.
 type StopTimes struct {
-	Timeout         time.Duration // for all of it
-	HandoverTimeout time.Duration // for the shards to be handed over
-	AcceptFor       time.Duration // requests are still taken so long, until callers go elsewhere
+	Timeout         time.Duration // of the whole stop
+	HandoverTimeout time.Duration // of handing over the shards
+	AcceptFor       time.Duration // from the start of the stop, how long new requests are accepted while callers move to other VMs
 }
 
-// Entry is an entry VM with its listeners.
+// Entry is an entry VM with its HTTP servers.
 type Entry struct {
 	VM           *vm.VM
 	CallerServer *http.Server
-	OtherServers []*http.Server // readiness and metrics, if they have listeners of their own
+	OtherServers []*http.Server // for readiness and metrics, if they have listeners of their own
 }
 
-// Listen serves until the server is shut down.
+// ServeInBackground serves on a listener in a new goroutine until the server is shut down.
 func ServeInBackground(s *http.Server, l net.Listener) {
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "kept: a listener ended", "address", l.Addr().String())
+			klog.ErrorS(err, "kept: HTTP server failed", "address", l.Addr().String())
 		}
 	}()
 }
 
-// Stop hands the shards over, takes submissions for some time more, answers those under
-// way and ends. It returns an error if requests were still under way when the time was over.
+// Stop hands over the shards, goes on accepting requests until AcceptFor has passed, completes those in flight
+// and stops the VM. It returns an error if requests were still in flight at the timeout.
 func (e *Entry) Stop(ctx context.Context, t StopTimes) error {
 	ctx, cancel := context.WithTimeout(ctx, t.Timeout)
 	defer cancel()
@@ -61,12 +61,12 @@
 	return err
 }
 
-// StopFunc ends what was started.
+// StopFunc stops what was started.
 type StopFunc func(context.Context) error
 
-// RunUntilSignal starts something and stops it at SIGTERM, SIGINT or the end of ctx. SIGHUP
-// has reload called. Signals are caught before the start: one that came during it would
-// end the process at once.
+// RunUntilSignal calls start, and stops what it started on SIGTERM, SIGINT or the end of ctx. It calls reload
+// on SIGHUP. Signals are caught before the start, as one that arrives during it would otherwise kill
+// the process at once.
 func RunUntilSignal(ctx context.Context, start func() (StopFunc, error), reload func()) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
--- a/internal/kept/serve/serve_test.go
+++ b/internal/kept/serve/serve_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// Symptom: a process ends at a planned stop without handing anything over. Sequence: the
-// signal comes while it starts. Cause would be: signals are caught after the start only.
-func TestSignalDuringTheStartStopsInOrder(t *testing.T) {
+// Guards against a process that ends without a handover because the signal to stop arrives while it starts.
+func TestSignalDuringTheStartStopsGracefully(t *testing.T) {
 	reloaded := make(chan struct{}, 1)
 	stopped := errors.New("stopped in order")
 	start := func() (StopFunc, error) {
@@ -26,7 +25,7 @@
 	}
 }
 
-// The end of the context stops as a signal does, with a context that still lives.
+// The end of the context stops like a signal does; stop gets a context that has not ended.
 func TestEndOfTheContextStops(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
