--- a/internal/kept/daemon/daemon.go
+++ b/internal/kept/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs an entry VM for kept and transient submissions on the project's
-// own protocols, by settings of its own.
+// Package daemon runs an entry VM for stored (kept) and transient submissions with the
+// project's own protocols for callers, workers and the store, from a settings file.
 package daemon
 
 import (
@@ -31,19 +31,19 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/setting"
 )
 
-// Settings are what one entry VM is told at its start.
+// Settings are the contents of one entry VM's settings file.
 type Settings struct {
 	Name         string   `json:"name"`          // unique among the site's entry VMs
 	Domain       string   `json:"domain"`        // failure domain of this VM
 	Domains      []string `json:"domains"`       // all failure domains of the site
-	CallerListen string   `json:"caller_listen"` // host:port; also ready and metrics
+	CallerListen string   `json:"caller_listen"` // host:port; also serves /ready and /metrics
 	PeerListen   string   `json:"peer_listen"`   // host:port
-	// PeerAddress is what peers dial; empty: the peer listener's.
+	// PeerAddress is the address that peers dial; empty: the address of the peer listener.
 	PeerAddress string `json:"peer_address,omitempty"`
 	Store       string `json:"store"`        // host:port of the platform's store
-	LeaseMillis uint32 `json:"lease_millis"` // longest lease of runs at a worker
-	StopMillis  uint32 `json:"stop_millis"`  // a planned stop takes submissions so long
-	// Policy are the thresholds of decisions; what is absent has its default.
+	LeaseMillis uint32 `json:"lease_millis"` // maximum lease of runs at a worker
+	StopMillis  uint32 `json:"stop_millis"`  // how long submissions are still accepted during a planned stop
+	// Policy has the thresholds of decisions; absent ones have their defaults.
 	Policy policy.Settings `json:"policy,omitzero"`
 }
 
@@ -51,7 +51,7 @@
 const (
 	DefaultLeaseMillis = 1000
 	DefaultStopMillis  = 2000
-	stopTimeout        = 30 * time.Second // for requests under way
+	stopTimeout        = 30 * time.Second // for requests in flight
 	handoverTimeout    = 2 * time.Second  // for shards to be handed over
 )
 
@@ -93,25 +93,25 @@
 	return s.Policy.Validate()
 }
 
-// Where the lists lie in the store.
+// Keys in the store.
 const (
 	WorkerPrefix  = "pumiceyard/list/worker/"
 	CatalogPrefix = "pumiceyard/catalog/"
 	CatalogKey    = CatalogPrefix + "current"
-	// EvacuationPrefix begins the keys by which operators evacuate failure domains.
+	// EvacuationPrefix is the prefix of the keys with which operators evacuate failure domains.
 	EvacuationPrefix = CatalogPrefix + "evacuated/"
 )
 
-// Catalog is the configuration of queues as operators write it.
+// Catalog is the stored configuration of queues, which operators write.
 type Catalog struct {
-	Version uint64  `json:"version"` // higher than that before
+	Version uint64  `json:"version"` // must be higher than that of the catalog before
 	Queues  []Queue `json:"queues"`
 }
 
-// Queue is one kind of work.
+// Queue is the configuration of one queue.
 type Queue struct {
 	Name         string  `json:"name"`
-	Service      string  `json:"service"` // of the workers that run it
+	Service      string  `json:"service"` // of the workers that run its tasks
 	Priority     int     `json:"priority"`
 	Attempts     int     `json:"attempts"`
 	Stretch      float64 `json:"stretch"`
@@ -151,7 +151,7 @@
 	return info, nil
 }
 
-// Daemon is a running entry VM with its listeners.
+// Daemon is a running entry VM with its HTTP server.
 type Daemon struct {
 	VM        *vm.VM
 	settings  *Settings
@@ -210,8 +210,8 @@
 	return r
 }
 
-// Stop hands the shards over, takes submissions for some time more, answers those
-// under way and ends.
+// Stop hands over the shards, goes on accepting submissions for StopMillis, completes those in flight
+// and stops the VM.
 func (d *Daemon) Stop(ctx context.Context) error {
 	defer d.runClient.Close()
 	entry := serve.Entry{VM: d.VM, CallerServer: d.http}
@@ -222,7 +222,7 @@
 	})
 }
 
-// Kill ends the VM as if its process had died: nothing is handed over or answered.
+// Kill stops the VM as if its process had died: without handing over shards or answering requests.
 func (d *Daemon) Kill() {
 	_ = d.http.Close()
 	d.VM.Stop()
--- a/internal/kept/daemon/entries_test.go
+++ b/internal/kept/daemon/entries_test.go
@@ -8,11 +8,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// Symptom: room is told that no submission can use. Sequence: another writer puts an entry
-// into the list of workers that lacks a field. Cause: it was taken as it was read.
-func TestEntriesThatNameNoWorkerAreRefused(t *testing.T) {
-	whole := `{"ID":"w","Service":"s","Address":"127.0.0.1:1","Domain":"d","CPUMilli":1000,"MemMB":64}`
-	if info, err := decodeWorker(store.Item{Key: "k", Value: []byte(whole), Revision: 4}); err != nil || info.Revision != 4 {
+// Guards against reported capacity that no submission can use: an entry of the worker list that lacks a field or
+// has an invalid one must be refused.
+func TestInvalidWorkerEntriesAreRefused(t *testing.T) {
+	valid := `{"ID":"w","Service":"s","Address":"127.0.0.1:1","Domain":"d","CPUMilli":1000,"MemMB":64}`
+	if info, err := decodeWorker(store.Item{Key: "k", Value: []byte(valid), Revision: 4}); err != nil || info.Revision != 4 {
 		t.Errorf("%+v, %v", info, err)
 	}
 	for _, value := range []string{
--- a/internal/kept/doc.go
+++ b/internal/kept/doc.go
@@ -1,17 +1,18 @@
-// Package kept groups what serves kept submissions: jobs under an identity that
-// the caller chose, which are stored before they are accepted and which end, or
-// fail with a reason, whatever entry VMs are lost meanwhile.
+// Package kept groups the packages that serve kept submissions: jobs with an ID chosen by
+// the caller, which are stored before they are accepted. They complete, or fail with a
+// reason, even if entry VMs are lost meanwhile.
 //
-// The packages by life span:
+// The main packages, by the lifetime of what they handle:
 //
 //   - a request: submission (types and the stored record)
-//   - a connection: link (between entry VMs)
-//   - a process: store (what is asked of the platform's store), journal (grouped
-//     writes), site (who lives, who holds which shard), shard (the jobs and
-//     workers of one failure domain), vm (the entry VM that joins them)
+//   - a connection: link (streams between entry VMs)
+//   - a process: store (interface of the platform's store), relay (calls of the store,
+//     also through peers), journal (batched writes), site (membership, and which VM
+//     holds which shard), shard (jobs and workers of one shard), vm (the entry VM,
+//     which combines them), serve and daemon (the process)
 //
-// site and shard are deterministic cores: events and a time go in, typed actions
+// site and shard are deterministic cores: events with a time go in, typed actions
 // come out, without I/O, clock or goroutine.
 //
-// docs/design/platform.md says why it is built so.
+// docs/design/platform.md explains the design.
 package kept
