--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -219,4 +219,4 @@
 }
 
 // used is the processor that is taken, in thousandths of a core.
-func (r *candidate) usedCPUMilli() int64 { return r.host.info.CPUMilli - r.cpu }
+func (r *candidate) usedCPUMilli() int64 { return r.host.info.CPUMilli - r.freeCPUMilli }
--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -19,7 +19,7 @@
 	firstAnswerAt       time.Duration // when it did first
 	missingSince        time.Duration // since when it is not in the list of workers; 0: it is there
 	newestListingSentAt time.Duration // when its newest listing was asked for
-	clock               time.Duration // the worker's clock at its newest listing
+	newestClock         time.Duration // the worker's clock at its newest listing
 	ackedEnd            uint64        // ends acknowledged
 	newestEnd           uint64        // ends taken into account
 	unackedEnds         []unackedEnd  // taken into account and not acknowledged, by number
@@ -27,7 +27,7 @@
 	unavailableUntil    time.Duration // it refused a run as it is not in order
 	leaseExpired        bool          // it did not answer until its lease was over, and has not answered since
 	health              policy.WorkerHealth
-	strays              map[submission.TaskRef]strayRun
+	strayRuns           map[submission.TaskRef]strayRun
 	unlistedStarts      unlistedStarts
 	revokedRuns         map[submission.TaskRef]revokedRun
 }
@@ -37,7 +37,7 @@
 		info:           info,
 		incarnation:    info.Incarnation().String(),
 		origin:         origin,
-		strays:         make(map[submission.TaskRef]strayRun),
+		strayRuns:      make(map[submission.TaskRef]strayRun),
 		unlistedStarts: make(unlistedStarts),
 		revokedRuns:    make(map[submission.TaskRef]revokedRun),
 	}
@@ -301,7 +301,7 @@
 	for _, t := range tasks {
 		s.release(now, t)
 	}
-	clear(h.strays)
+	clear(h.strayRuns)
 	s.placementDue = true
 	s.giveUpTasks(now, tasks)
 }
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -34,9 +34,9 @@
 
 // revokedRun is a run that must not start any more. The stop is repeated until it is acknowledged.
 type revokedRun struct {
-	run   uint64
-	since time.Duration // when it was learnt that the order may come here
-	sent  time.Duration // when the stop left last
+	run    uint64
+	since  time.Duration // when it was learnt that the order may come here
+	sentAt time.Duration // when the stop left last
 }
 
 func (u unlistedStarts) has(r runRef) bool {
@@ -138,7 +138,7 @@
 
 func (s *Shard) sendRevocation(now time.Duration, h *host, ref submission.TaskRef) {
 	v := h.revokedRuns[ref]
-	v.sent = now
+	v.sentAt = now
 	h.revokedRuns[ref] = v
 	s.actions.Stops = append(s.actions.Stops, StopAction{Worker: h.info, Task: ref, Run: v.run, Reason: "its order may reach the next incarnation"})
 }
@@ -146,7 +146,7 @@
 // repeatRevocations repeats the stops of such runs that had no answer.
 func (s *Shard) repeatRevocations(now time.Duration, h *host) {
 	for _, ref := range slices.SortedFunc(maps.Keys(h.revokedRuns), submission.TaskRef.Compare) {
-		if v := h.revokedRuns[ref]; now-v.sent >= stopRetryInterval {
+		if v := h.revokedRuns[ref]; now-v.sentAt >= stopRetryInterval {
 			s.sendRevocation(now, h, ref)
 		}
 	}
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	if !s.recordsLoaded {
-		s.earlyListings[id] = earlyListing{sent: sent, listing: l}
+		s.earlyListings[id] = earlyListing{sentAt: sent, listing: l}
 		return nil
 	}
 	if !h.hasAnswered {
@@ -33,8 +33,8 @@
 			s.handleEnd(now, h, e)
 		}
 	}
-	if l.Clock >= h.clock { // answers overtake each other
-		h.clock = l.Clock
+	if l.Clock >= h.newestClock { // answers overtake each other
+		h.newestClock = l.Clock
 		s.reconcile(now, h, sent, l)
 	}
 	s.acknowledge()
@@ -45,7 +45,7 @@
 // ended takes the end of a run.
 func (s *Shard) handleEnd(now time.Duration, h *host, e worker.Ended) {
 	h.fullUntil = 0
-	delete(h.strays, e.Task)
+	delete(h.strayRuns, e.Task)
 	h.clearStart(e.Task, e.Run)
 	j, open := s.jobs[e.Task.ID]
 	if !open {
@@ -154,11 +154,11 @@
 	for _, r := range l.Running {
 		listed[r.Task] = true
 		s.handleListedRun(now, h, r)
-		s.watchProgress(now, h, sent, r)
+		s.checkProgress(now, h, sent, r)
 	}
-	for ref := range h.strays {
+	for ref := range h.strayRuns {
 		if !listed[ref] {
-			delete(h.strays, ref)
+			delete(h.strayRuns, ref)
 		}
 	}
 	for _, t := range s.tasksOn(h) {
@@ -218,7 +218,7 @@
 // stray stops a run that nobody wants. Soon after the worker was first reached the run
 // may be of a transient submission whose home has not handed it over yet.
 func (s *Shard) handleStrayRun(now time.Duration, h *host, r worker.Running) {
-	st, known := h.strays[r.Task]
+	st, known := h.strayRuns[r.Task]
 	if !known || st.run != r.Run {
 		st = strayRun{run: r.Run}
 	}
@@ -226,18 +226,18 @@
 		st.stopSent = true
 		s.actions.Stops = append(s.actions.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "no such run is wanted"})
 	}
-	h.strays[r.Task] = st
+	h.strayRuns[r.Task] = st
 }
 
 // resume makes the stray runs of a submission its own. One that is being stopped
 // still runs for some time: the task must not start before it is gone.
 func (h *host) adoptStrayRuns(now time.Duration, s *Shard, j *job) {
-	for ref, st := range h.strays {
+	for ref, st := range h.strayRuns {
 		t := j.task(ref.Task)
 		if ref.ID != j.rec.ID || t == nil || t.occupies() || t.state == taskCompleted {
 			continue
 		}
-		delete(h.strays, ref)
+		delete(h.strayRuns, ref)
 		t.newestRun = st.run
 		if st.stopSent {
 			t.host = h
--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -10,7 +10,7 @@
 
 // Load is what the shard could take.
 func (s *Shard) Load(now time.Duration) Load {
-	l := Load{Ready: s.recordsLoaded && s.anyListed() && !s.listOutdated, UnstartedByQueue: make(map[string]int)}
+	l := Load{Ready: s.recordsLoaded && s.anyAnswered() && !s.listOutdated, UnstartedByQueue: make(map[string]int)}
 	for _, h := range s.workers {
 		if s.isUsable(now, h) || h.hasAnswered && now < h.fullUntil && !s.isClosed() {
 			l.CapacityMilli += int64(float64(h.info.CPUMilli) * h.health.UsableShare())
@@ -19,7 +19,7 @@
 	open, _ := s.divideCandidates(s.candidates(now))
 	for _, r := range open {
 		if r.host.health.CanAccept(now, s.runCount(r)) {
-			l.FreeMilli = append(l.FreeMilli, r.cpu)
+			l.FreeMilli = append(l.FreeMilli, r.freeCPUMilli)
 		}
 	}
 	for _, j := range s.jobs {
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -65,7 +65,7 @@
 	if !s.barrierUp || !s.recordsLoaded {
 		return
 	}
-	all := now >= s.barrierUntil || s.allListed()
+	all := now >= s.barrierUntil || s.allAnswered()
 	if !all && now < s.transientBarrierUntil {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *Shard) allListed() bool {
+func (s *Shard) allAnswered() bool {
 	for _, h := range s.workers {
 		if !h.hasAnswered {
 			return false
@@ -92,7 +92,7 @@
 	return len(s.workers) > 0
 }
 
-func (s *Shard) anyListed() bool {
+func (s *Shard) anyAnswered() bool {
 	for _, h := range s.workers {
 		if h.hasAnswered {
 			return true
@@ -201,7 +201,7 @@
 
 // work is a submission as the policy sees it, but for what is left of it.
 func (s *Shard) policyWork(j *job) *policy.Work {
-	takes := s.remaining(j)
+	takes := s.estimatedRunTime(j)
 	return &policy.Work{
 		ID:            j.rec.ID,
 		Priority:      j.rec.Terms.Priority,
@@ -238,17 +238,17 @@
 func (j *job) hasStartable() bool { return slices.ContainsFunc(j.tasks, j.isStartable) }
 
 // remaining is the time a submission takes if all its tasks start now.
-func (s *Shard) remaining(j *job) time.Duration {
+func (s *Shard) estimatedRunTime(j *job) time.Duration {
 	return time.Duration(float64(j.criticalPath) * s.durationFactor(j.rec.Queue))
 }
 
 // room is what is free at a worker.
 type candidate struct {
-	host        *host
-	cpu         int64
-	mem         int64
-	gpu         int64
-	tasksByStep map[stepKey]int
+	host         *host
+	freeCPUMilli int64
+	freeMemMB    int64
+	freeGPU      int64
+	tasksByStep  map[stepKey]int
 
 	suspect *job // a submission with a task there that must run alone
 }
@@ -265,10 +265,10 @@
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
 		// How much room a run takes whose submission is not known here is not known either.
-		if !s.isUsable(now, h) || len(h.strays) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
+		if !s.isUsable(now, h) || len(h.strayRuns) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
 			continue
 		}
-		r := &candidate{host: h, cpu: h.info.CPUMilli, mem: h.info.MemMB, gpu: h.info.GPU, tasksByStep: make(map[stepKey]int)}
+		r := &candidate{host: h, freeCPUMilli: h.info.CPUMilli, freeMemMB: h.info.MemMB, freeGPU: h.info.GPU, tasksByStep: make(map[stepKey]int)}
 		byHost[h] = r
 		out = append(out, r)
 	}
@@ -278,20 +278,20 @@
 				continue
 			}
 			if r := byHost[t.host]; r != nil {
-				r.take(t)
+				r.reserve(t)
 				if s.isSuspect(t) {
 					r.suspect = j
 				}
 			}
 		}
 	}
-	return slices.DeleteFunc(out, func(r *candidate) bool { return r.cpu <= 0 })
+	return slices.DeleteFunc(out, func(r *candidate) bool { return r.freeCPUMilli <= 0 })
 }
 
-func (r *candidate) take(t *task) {
-	r.cpu -= t.step.CPUMilli
-	r.mem -= t.step.MemMB
-	r.gpu -= t.step.GPU
+func (r *candidate) reserve(t *task) {
+	r.freeCPUMilli -= t.step.CPUMilli
+	r.freeMemMB -= t.step.MemMB
+	r.freeGPU -= t.step.GPU
 	r.tasksByStep[stepKey{t.ref.ID, t.ref.Step}]++
 }
 
@@ -327,7 +327,7 @@
 			DataElsewhere: t.step.DataRack != "" && t.step.DataRack != r.host.info.Rack,
 			FailedBefore:  t.avoidHost == r.host,
 		})
-		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.HasBetterFit(r.cpu, best.cpu) {
+		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.HasBetterFit(r.freeCPUMilli, best.freeCPUMilli) {
 			best, bestCost = r, cost
 		}
 	}
@@ -340,7 +340,7 @@
 	switch {
 	case info.Service != t.job.rec.Terms.Service, !info.HasLabel(step.RequiredLabel):
 		return false
-	case step.CPUMilli > r.cpu, step.MemMB > r.mem, step.GPU > r.gpu:
+	case step.CPUMilli > r.freeCPUMilli, step.MemMB > r.freeMemMB, step.GPU > r.freeGPU:
 		return false
 	case step.MaxPerWorker > 0 && r.tasksByStep[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
 		return false
@@ -387,7 +387,7 @@
 	t.acceptClock = 0
 	t.stopAckClock = 0
 	t.progress = policy.Progress{}
-	r.take(t)
+	r.reserve(t)
 	if t.startedAlone = s.isSuspect(t); t.startedAlone {
 		r.suspect = t.job
 	}
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -12,12 +12,12 @@
 // two in a row say that the fault is the task's own.
 const maxMoves = 2
 
-// watchProgress takes how far a worker says that a run is, and starts the task elsewhere if
+// checkProgress takes how far a worker says that a run is, and starts the task elsewhere if
 // the worker holds it up.
 //
 // A worker may hang or turn slow while it answers calls: what it has does not end in time,
 // and one slow task is enough to make its submission late.
-func (s *Shard) watchProgress(now time.Duration, h *host, sent time.Duration, r worker.Running) {
+func (s *Shard) checkProgress(now time.Duration, h *host, sent time.Duration, r worker.Running) {
 	j, open := s.jobs[r.Task.ID]
 	if !open || j.state.Final() {
 		return
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -64,9 +64,9 @@
 	}
 	_, t := s.orderedTask(id, ref, run)
 	if t == nil || t.state != taskStoppingToRestart && t.state != taskStoppingForGood {
-		if st := h.strays[ref]; r.Verdict != worker.Accepted && st.run == run {
+		if st := h.strayRuns[ref]; r.Verdict != worker.Accepted && st.run == run {
 			st.stopSent = false // the next listing repeats it
-			h.strays[ref] = st
+			h.strayRuns[ref] = st
 		}
 		return
 	}
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -60,7 +60,7 @@
 const endedRetention = time.Minute
 
 type earlyListing struct {
-	sent    time.Duration // when the hold that it answers was sent
+	sentAt  time.Duration // when the hold that it answers was sent
 	listing worker.Listing
 }
 
@@ -107,7 +107,7 @@
 	if first {
 		for _, id := range slices.Sorted(maps.Keys(s.earlyListings)) {
 			e := s.earlyListings[id]
-			s.HandleListing(now, id, e.sent, e.listing)
+			s.HandleListing(now, id, e.sentAt, e.listing)
 		}
 		s.earlyListings = nil
 	}
