--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -86,7 +86,7 @@
 	retrySchedule     policy.RetrySchedule // for callers that this VM refuses
 	links             map[string]*link.Link
 	linkUp            map[string]bool          // by peer: the link is established
-	linkWantedBy      sync.Map                 // by peer: whether it needs the link from this VM (bool)
+	linkNeededBy      sync.Map                 // by peer: whether it needs the link from this VM (bool)
 	linkNeededAt      map[string]time.Duration // by peer: when the link was last needed
 	linksOutdated     bool                     // VMs or holders have changed since the links were updated
 	linksUpdatedAt    time.Duration
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// handleWorkers applies a list, or the message that it has not changed, from a domain's list reader.
-func (e *engine) handleWorkers(from string, w *pb.KeptWorkers) {
+// receiveWorkers applies a list, or the message that it has not changed, from a domain's list reader.
+func (e *engine) receiveWorkers(from string, w *pb.KeptWorkers) {
 	if !e.heldDomains()[w.Domain] {
 		return // this VM has just lost its shard there
 	}
--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -13,40 +13,40 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// PeerUp, PeerLost and Frame implement link.Events.
+// PeerUp, PeerLost, Frame and InboundStreamEnded implement link.Events.
 
-// PeerUp says that a link stands.
+// PeerUp is called when a link is established.
 func (e *engine) PeerUp(name string, incarnation uint64) {
 	e.vm.post(peerUpEvent{name: name, incarnation: incarnation})
 }
 
-// PeerLost says that a link could not be had back.
+// PeerLost is called when a broken link could not be re-established.
 func (e *engine) PeerLost(name, why string) { e.vm.post(peerLostEvent{name: name, why: why}) }
 
-// Frame takes what a peer says.
+// Frame is called for each frame from a peer.
 func (e *engine) Frame(from string, f *pb.KeptFrame) {
 	for _, r := range f.Replies {
 		e.vm.calls.deliver(r)
 	}
 	e.vm.calls.setReachesStore(from, f.ReachesStore)
-	e.setLinkWanted(from, f.Wanted)
-	f.Replies = nil // they have been handed over
+	e.setLinkNeeded(from, f.Wanted)
+	f.Replies = nil // they have been delivered
 	if link.CarriesMessages(f) {
 		e.vm.post(frameEvent{from: from, frame: f})
 	}
 }
 
-// unusedLinkTTL is for how long a link is kept that neither end needs: holders change hands and
-// back within seconds, and a link that is closed takes what waits in it along.
+// unusedLinkTTL is how long a link is kept that neither end needs: shards may change hands and
+// back within seconds, and closing a link drops the frames in its queue.
 const unusedLinkTTL = 3 * time.Second
 
-// InboundStreamEnded says that a stream from a peer has ended.
-func (e *engine) InboundStreamEnded(from string) { e.setLinkWanted(from, false) }
+// InboundStreamEnded is called when a stream from a peer has ended.
+func (e *engine) InboundStreamEnded(from string) { e.setLinkNeeded(from, false) }
 
-// setLinkWanted takes whether a peer needs the link from here.
-func (e *engine) setLinkWanted(from string, wanted bool) {
-	before, _ := e.linkWantedBy.Swap(from, wanted)
-	if was, _ := before.(bool); was != wanted {
+// setLinkNeeded records whether a peer needs the link from this VM to it.
+func (e *engine) setLinkNeeded(from string, needed bool) {
+	before, _ := e.linkNeededBy.Swap(from, needed)
+	if was, _ := before.(bool); was != needed {
 		e.vm.post(linkNeedEvent{})
 	}
 }
@@ -54,23 +54,23 @@
 func (ev linkNeedEvent) apply(e *engine) { e.linksOutdated = true }
 
 // updateLinks opens and closes links as VMs and holders come and go. A link is kept while this
-// VM needs it, its peer does, or something of this VM is under way there.
+// VM or its peer needs it, and while submissions of one of them are in flight at the other.
 func (e *engine) updateLinks() {
 	wanted := make(map[string]site.Peer)
-	own := make(map[string]bool)
+	needed := make(map[string]bool)
 	for _, p := range e.site.Peers(e.now) {
 		wanted[p.Name] = p
-		own[p.Name] = true
+		needed[p.Name] = true
 	}
-	e.linkWantedBy.Range(func(name, is any) bool {
-		if m, there := e.site.Member(name.(string)); there && is.(bool) && !own[m.Name] {
+	e.linkNeededBy.Range(func(name, byPeer any) bool {
+		if m, there := e.site.Member(name.(string)); there && byPeer.(bool) && !needed[m.Name] {
 			wanted[m.Name] = site.Peer{Member: m}
 		}
 		return true
 	})
 	for name, l := range e.links {
 		if p, still := wanted[name]; still && p.Address == l.Address() {
-			l.SetNeeded(own[name])
+			l.SetNeeded(needed[name])
 			e.linkNeededAt[name] = e.now
 			continue
 		}
@@ -88,13 +88,14 @@
 	}
 	for name, p := range wanted {
 		if e.links[name] == nil {
-			e.openLink(p, own[name])
+			e.openLink(p, needed[name])
 		}
 	}
 	e.linksUpdatedAt = e.now
 }
 
-func (e *engine) openLink(p site.Peer, own bool) {
+// openLink opens a link to a peer. needed: this VM needs it, not only the peer.
+func (e *engine) openLink(p site.Peer, needed bool) {
 	settings := link.DefaultSettings()
 	if !p.FastDetection {
 		settings = link.RelaxedSettings(settings)
@@ -102,14 +103,14 @@
 	settings.Now = e.vm.now
 	settings.ReachesStore = e.vm.router.ReachesStore
 	l := link.Open(e.ctx, settings, e.vm.heartbeat(), p.Name, p.Address, e.vm.config.PeerDial, e)
-	l.SetNeeded(own)
+	l.SetNeeded(needed)
 	e.links[p.Name] = l
 	e.linkNeededAt[p.Name] = e.now
 	e.vm.calls.setLink(p.Name, l)
 }
 
-// linkTo returns the link to a peer that there is something to say to. One that was not needed
-// so far is opened; nil: there is no such VM.
+// linkTo returns the link to a peer, and opens it if there is none yet; nil: there is no such
+// VM.
 func (e *engine) linkTo(peer string) *link.Link {
 	if e.links[peer] == nil {
 		m, there := e.site.Member(peer)
@@ -121,8 +122,8 @@
 	return e.links[peer]
 }
 
-// hasWorkWith reports whether a peer holds parts of submissions of this VM, or this VM's shards
-// hold some of the peer's: what is said of them goes over the link.
+// hasWorkWith reports whether a peer's shards hold unfinished parts of submissions of this VM, or
+// this VM's shards hold some of the peer's: messages about them use the link.
 func (e *engine) hasWorkWith(name string) bool {
 	for _, t := range e.transients {
 		for _, p := range t.parts {
@@ -139,12 +140,12 @@
 	return false
 }
 
-// linkUpdateInterval is between two looks at which links are needed on a large site. While it starts, each VM
-// hears of hundreds of VMs and holders within a second.
+// linkUpdateInterval is the shortest time between updates of the links on a large site: while it starts, each
+// VM learns of hundreds of VMs and holders within a second.
 const linkUpdateInterval = 50 * time.Millisecond
 
-// maintainLinks opens and closes links when VMs or holders have changed, and looks now and then whether
-// links are kept that nobody needs any more.
+// maintainLinks updates the links when VMs or holders have changed, and every unusedLinkTTL to close those
+// that nobody needs any more.
 func (e *engine) maintainLinks() {
 	due := e.linksOutdated && (len(e.links) <= site.MaxFullMeshPeers || e.now-e.linksUpdatedAt >= linkUpdateInterval)
 	if due || e.now-e.linksUpdatedAt >= unusedLinkTTL {
@@ -153,13 +154,14 @@
 	}
 }
 
+// apply brings a peer that can be reached again up to date.
 func (ev peerUpEvent) apply(e *engine) {
 	if !e.linkUp[ev.name] {
 		klog.InfoS("kept: peer reached", "peer", ev.name, "incarnation", ev.incarnation)
 	}
 	e.linkUp[ev.name] = true
 	if old := e.peerIncarnations[ev.name]; old != 0 && old != ev.incarnation {
-		e.dropLostHome(ev.name) // its earlier process ended without being missed
+		e.dropLostHome(ev.name) // its previous process ended unnoticed
 	}
 	e.peerIncarnations[ev.name] = ev.incarnation
 	e.requeryHolder(ev.name)
@@ -167,11 +169,12 @@
 	e.resendLists(ev.name)
 	e.site.SetLinkLost(ev.name, false)
 	for _, h := range e.shards {
-		h.loadSentAt = e.now - loadInterval // the peer may have missed the last word
+		h.loadSentAt = e.now - loadInterval // the peer may have missed the last report
 	}
 }
 
-// doubt has a holder asked anew: what was under way on an earlier stream may be lost.
+// requeryHolder has a holder asked again about all submissions that it has: messages in flight on an
+// earlier stream may be lost.
 func (e *engine) requeryHolder(holder string) {
 	for _, h := range e.tracked {
 		if h.holder == holder {
@@ -187,6 +190,7 @@
 	}
 }
 
+// apply marks a peer as unreachable.
 func (ev peerLostEvent) apply(e *engine) {
 	if e.linkUp[ev.name] {
 		e.vm.metrics.peersLost.Inc(1)
@@ -200,15 +204,17 @@
 	e.dropLostHome(ev.name)
 }
 
-// dropLostHome ends the transient submissions of a VM that cannot be reached.
+// dropLostHome cancels, in the shards held here, the transient submissions whose home, the VM that
+// accepted them, cannot be reached.
 func (e *engine) dropLostHome(peer string) {
 	for name, h := range e.shards {
 		if n := h.core.HomeLost(e.now, peer); n > 0 {
-			klog.InfoS("kept: submissions ended, their home is lost", "home", peer, "shard", name, "submissions", n)
+			klog.InfoS("kept: transient submissions cancelled, their home is lost", "home", peer, "shard", name, "submissions", n)
 		}
 	}
 }
 
+// apply handles all messages of a frame.
 func (ev frameEvent) apply(e *engine) {
 	f := ev.frame
 	for _, a := range f.Assign {
@@ -246,7 +252,7 @@
 		e.waiting.setUnplaced(ev.from, f.Unplaced.ByQueue)
 	}
 	for _, w := range f.Workers {
-		e.handleWorkers(ev.from, w)
+		e.receiveWorkers(ev.from, w)
 	}
 	e.receiveEvacuations(ev.from, f.Evacuations)
 	for _, w := range f.Elsewhere {
@@ -257,7 +263,7 @@
 	}
 }
 
-// relay makes a call of the store for a peer.
+// relayCall calls the store for a peer and sends back the reply.
 func (e *engine) relayCall(from string, c *pb.KeptCall) {
 	l := e.links[from]
 	if l == nil {
@@ -269,6 +275,7 @@
 	})
 }
 
+// decodeLoad converts a load report.
 func decodeLoad(l *pb.KeptLoad) shard.Load {
 	out := shard.Load{
 		Ready:            l.Ready,
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -202,7 +202,7 @@
 		}
 	}
 	word := func(age time.Duration) {
-		e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), AgeNs: uint64(age)})
+		e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), AgeNs: uint64(age)})
 	}
 	wants(false, "just after the shard was taken")
 	now += firstListTimeout + time.Millisecond
@@ -227,14 +227,14 @@
 	e.now = now
 	e.shards["a/1"] = &heldShard{core: shard.New(now, shard.DefaultSettings(), 1, now), acquiredAt: now, storingWorkers: true}
 	for version := range uint64(2) {
-		e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), Version: version + 1})
+		e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), Version: version + 1})
 	}
 	e.now += time.Second
-	e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 1})
+	e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 1})
 	if e.listAge("a/1") != time.Second {
 		t.Error("a word of an earlier version counts")
 	}
-	e.handleWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 2})
+	e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 2})
 	if age := e.listAge("a/1"); age != 0 {
 		t.Errorf("the list is %v old after a word that it stands", age)
 	}
