--- a/internal/connection/submissions/submissions.go
+++ b/internal/connection/submissions/submissions.go
@@ -67,9 +67,9 @@
 	case vm.Ended:
 		return connect.NewResponse(&pb.SubmitWorkResponse{State: stateOf(o.State)}), nil
 	case vm.Refused:
-		return nil, refusal(errors.New("not run: "+o.Why), o.RetryAfter)
+		return nil, refusal(errors.New("not run: "+o.Reason), o.RetryAfter)
 	default:
-		return nil, connect.NewError(connect.CodeUnknown, errors.New("it may have run: "+o.Why))
+		return nil, connect.NewError(connect.CodeUnknown, errors.New("it may have run: "+o.Reason))
 	}
 }
 
--- a/internal/connection/submissions/submissions_test.go
+++ b/internal/connection/submissions/submissions_test.go
@@ -105,7 +105,7 @@
 // has run, and when to come back.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	e := newEntry()
-	e.outcome = vm.Outcome{Kind: vm.Refused, RetryAfter: 1500 * time.Millisecond, Why: "no room"}
+	e.outcome = vm.Outcome{Kind: vm.Refused, RetryAfter: 1500 * time.Millisecond, Reason: "no room"}
 	k, err := client.NewKept(serve(t, e))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// maxHandovers is how often a task is started elsewhere as its worker holds it up. More than
+// maxResends is how often a task is started elsewhere as its worker holds it up. More than
 // two in a row say that the fault is the task's own.
 const maxMoves = 2
 
--- a/internal/kept/vm/callers.go
+++ b/internal/kept/vm/callers.go
@@ -25,7 +25,7 @@
 	Kind       OutcomeKind
 	State      submission.State // if Ended: submission.Done or submission.Failed
 	RetryAfter time.Duration    // if Refused: after which time to retry
-	Why        string
+	Reason     string
 }
 
 // RetryAfterSeconds formats the value of a Retry-After header: whole seconds, rounded up, at least 1.
@@ -49,14 +49,14 @@
 func (v *VM) Submit(ctx context.Context, r *submission.Record) Outcome {
 	reply := make(chan Outcome, 1)
 	if !v.post(submitEvent{record: r, reply: reply}) {
-		return Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "this entry VM is overloaded"}
+		return Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "this entry VM is overloaded"}
 	}
 	select {
 	case o := <-reply:
 		return o
 	case <-ctx.Done():
 		v.post(abandonEvent{id: r.ID, reply: reply})
-		return Outcome{Kind: Indeterminate, Why: "no answer in time"}
+		return Outcome{Kind: Indeterminate, Reason: "no answer in time"}
 	}
 }
 
--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -269,7 +269,7 @@
 		case a.end == nil:
 			return fmt.Errorf("%s has no answer after %d tries", a.id, a.tries)
 		case a.end.Kind == Refused && a.tries == 1 && p.fleet.Starts(a.id) > 0:
-			return fmt.Errorf("%s was refused as not run (%s), and has run", a.id, a.end.Why)
+			return fmt.Errorf("%s was refused as not run (%s), and has run", a.id, a.end.Reason)
 		case a.end.Kind == Ended && !p.whole(a.id):
 			return fmt.Errorf("%s was answered as %s, and not all of its tasks have completed", a.id, a.end.State)
 		}
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -82,7 +82,7 @@
 	rec := h.record
 	shards, refusal := e.candidates(rec, h.receivedAt)
 	if refusal == nil && e.vm.router.Down() {
-		refusal = &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "the store does not answer"}
+		refusal = &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "the store does not answer"}
 	}
 	if refusal != nil {
 		e.refuse(h, *refusal)
@@ -111,7 +111,7 @@
 		Done:        func(r journal.Result) { e.vm.post(recordStoredEvent{record: rec, result: r}) },
 	})
 	if !added {
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "too many submissions wait to be stored"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "too many submissions wait to be stored"})
 	}
 }
 
@@ -120,7 +120,7 @@
 		delete(e.tracked, h.record.ID)
 	}
 	e.vm.metrics.queue(h.record.Queue).countEnd("refused", e.now-h.receivedAt)
-	klog.InfoS("kept: refused", "id", h.record.ID, "queue", h.record.Queue, "why", o.Why, "tries", h.storeAttempts, "waited", e.now-h.receivedAt)
+	klog.InfoS("kept: refused", "id", h.record.ID, "queue", h.record.Queue, "why", o.Reason, "tries", h.storeAttempts, "waited", e.now-h.receivedAt)
 	e.replyOutcome(h, o)
 }
 
@@ -168,11 +168,11 @@
 	case journal.Conflict:
 		e.handleStoreConflict(h, ev.result)
 	case journal.Refused:
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "the store refused the write"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "the store refused the write"})
 	case journal.Unknown:
 		klog.InfoS("kept: store did not answer, the submission may have been stored", "id", ev.record.ID, "took", e.now-h.receivedAt)
 		delete(e.tracked, ev.record.ID)
-		e.replyOutcome(h, Outcome{Kind: Indeterminate, Why: "the store did not answer"})
+		e.replyOutcome(h, Outcome{Kind: Indeterminate, Reason: "the store did not answer"})
 	}
 }
 
@@ -195,7 +195,7 @@
 		}
 	}
 	if h.storeAttempts >= maxIntakeAttempts || e.now-h.receivedAt > intakeTimeout {
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: "its shard keeps changing its holder"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "its shard keeps changing its holder"})
 		return
 	}
 	e.placeAndStore(h)
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -20,10 +20,10 @@
 		if len(e.evacuations.Domains()) > 0 {
 			why = policy.AllDomainsEvacuated
 		}
-		return nil, &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Why: string(why)}
+		return nil, &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: string(why)}
 	}
 	if reason := policy.Admit(e.now, e.policyWork(r, came), shards); reason.Refused() {
-		return nil, &Outcome{Kind: Refused, RetryAfter: e.retryDelay(r, shards), Why: string(reason)}
+		return nil, &Outcome{Kind: Refused, RetryAfter: e.retryDelay(r, shards), Reason: string(reason)}
 	}
 	return shards, nil
 }
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -45,7 +45,7 @@
 
 func (t *transientSubmission) anyStarted() bool {
 	return t.started || slices.ContainsFunc(t.parts, func(p *part) bool {
-		return p.handovers > 0 || p.state == submission.Running || p.state == submission.Done
+		return p.resends > 0 || p.state == submission.Running || p.state == submission.Done
 	})
 }
 
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -28,7 +28,7 @@
 	// A holder that was killed is replaced within some 50 ms, one that fell silent
 	// within a second.
 	holderUnreachableTimeout = 1100 * time.Millisecond
-	maxHandovers             = 5                // holders that a part is given to one after the other
+	maxResends               = 5                // holders that a part is given to one after the other
 	resultRetention          = 10 * time.Second // an end is kept for callers whose answer was lost
 )
 
@@ -53,7 +53,7 @@
 	holderToken      uint64        // under which a holder was told of it; 0: none was
 	holder           string        // that was told of it
 	unreachableSince time.Duration // since when that holder cannot be reached; 0: it can
-	handovers        int
+	resends          int
 	updatedAt        time.Duration
 	queriedAt        time.Duration
 	state            submission.State
@@ -72,7 +72,7 @@
 	parts, refusal := e.splitIntoParts(ev.record, ev.receivedAt)
 	if refusal != nil {
 		e.vm.metrics.queue(ev.record.Queue).countEnd("refused", e.now-ev.receivedAt)
-		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Why, "after", e.now-ev.receivedAt, "retry_after", refusal.RetryAfter)
+		klog.InfoS("kept: refused", "id", id, "queue", ev.record.Queue, "why", refusal.Reason, "after", e.now-ev.receivedAt, "retry_after", refusal.RetryAfter)
 		ev.reply <- *refusal
 		return
 	}
@@ -185,7 +185,7 @@
 			}
 			l := e.loads[p.shard]
 			if l.token > p.holderToken && e.reachable(p.shard) {
-				e.handOverPart(t, p, l)
+				e.resendPart(t, p, l)
 				continue
 			}
 			e.checkHolder(t, p)
@@ -198,9 +198,9 @@
 	}
 }
 
-func (e *engine) handOverPart(t *transientSubmission, p *part, l *knownLoad) {
-	p.handovers++
-	if p.handovers > maxHandovers {
+func (e *engine) resendPart(t *transientSubmission, p *part, l *knownLoad) {
+	p.resends++
+	if p.resends > maxResends {
 		e.giveUp(t, "a shard of it changes hands again and again")
 		return
 	}
@@ -242,7 +242,7 @@
 func (e *engine) giveUp(t *transientSubmission, why string) {
 	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.receivedAt)
 	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.receivedAt, "parts", len(t.parts))
-	e.dropTransient(t, Outcome{Kind: Indeterminate, Why: why})
+	e.dropTransient(t, Outcome{Kind: Indeterminate, Reason: why})
 }
 
 // dropTransient ends all parts, answers the callers, and keeps nothing.
@@ -334,7 +334,7 @@
 		// The holder never got it, or it is the holder no more. In the first case it
 		// can be given once more; in the second the next holder comes by itself.
 		if l := e.loads[p.shard]; l.token == p.holderToken && e.reachable(p.shard) {
-			e.handOverPart(t, p, l)
+			e.resendPart(t, p, l)
 		}
 	case submission.Cancelled:
 		p.state = state
@@ -372,7 +372,7 @@
 	after := e.retryDelay(t.record, e.eligibleShards(t.record))
 	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.receivedAt)
 	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.receivedAt, "retry_after", after, "parts", len(t.parts))
-	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Why: string(why)})
+	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Reason: string(why)})
 }
 
 // completeIfDone ends a submission of which each task has completed, and gives out what waited for the
