--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -12,47 +12,44 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// A transient submission lives at its home, where the caller waits for its end, and at
-// the holders of one shard or several, which each have a part of its tasks. Nothing of
-// it is stored: if its home is lost, so is the caller's connection, and the caller sends
-// it again some time later. Two things keep a task from running twice at once:
+// A transient submission is kept at its home VM, where the caller waits for the result, and at the holders of
+// one or more shards, each of which has a part of its tasks. Nothing of it is stored: if the home VM is lost,
+// so is the caller's connection, and the caller submits again some time later. Two rules keep a task from
+// running twice at once:
 //
-//   - A holder that loses the home ends the submission's runs at once. The caller's
-//     next try comes more than a second later.
-//   - A home that loses a holder gives the part only to the next holder of the same
-//     shard, which finds the runs at the workers. If there is none soon, the caller is
-//     told to try again.
+//   - A holder that loses its link to the home VM ends the submission's runs at once. The caller's next
+//     attempt comes more than a second later.
+//   - A home VM that loses a holder sends the part only to the next holder of the same shard, which finds the
+//     runs at the workers. If there is no next holder soon, the caller is told to submit again.
 
-// Times of transient submissions.
+// Limits of transient submissions.
 const (
-	// A holder that was killed is replaced within some 50 ms, one that fell silent
-	// within a second.
+	// A holder that was killed is replaced within some 50 ms, one that stops answering within a second.
 	holderUnreachableTimeout = 1100 * time.Millisecond
-	maxResends               = 5                // holders that a part is given to one after the other
-	resultRetention          = 10 * time.Second // an end is kept for callers whose answer was lost
+	maxResends               = 5                // times that a part is sent again, to its holder or the next one
+	resultRetention          = 10 * time.Second // a result is kept for callers whose answer was lost
 )
 
-// transient is a submission at its home.
+// transientSubmission is a transient submission at its home VM.
 type transientSubmission struct {
-	record         *submission.Record // the whole
+	record         *submission.Record // with the tasks of all parts
 	parts          []*part
 	state          submission.State
 	receivedAt     time.Duration
 	endedAt        time.Duration
 	outcomeWaiters []chan Outcome
-	// recalledAt is when its parts were taken back, while that is not decided; 0: it is.
-	recalledAt time.Duration
-	started    bool // though no part here says so
-	unassigned []unassignedTasks
+	recalledAt     time.Duration     // when its parts were recalled; 0: no recall is in progress
+	started        bool              // tasks have started that none of the parts accounts for
+	unassigned     []unassignedTasks // tasks that no shard has
 }
 
-// part is what one shard has of it.
+// part is the tasks of a transient submission that one shard has.
 type part struct {
 	record           *submission.Record
 	shard            string
-	holderToken      uint64        // under which a holder was told of it; 0: none was
-	holder           string        // that was told of it
-	unreachableSince time.Duration // since when that holder cannot be reached; 0: it can
+	holderToken      uint64        // fencing token of the holder that the part was sent to; 0: it was not sent
+	holder           string        // that the part was sent to
+	unreachableSince time.Duration // since when the holder cannot be reached; 0: it can
 	resends          int
 	updatedAt        time.Duration
 	queriedAt        time.Duration
@@ -63,7 +60,7 @@
 	id := ev.record.ID
 	if t := e.transients[id]; t != nil {
 		if t.state.Final() {
-			ev.reply <- Outcome{Kind: Ended, State: t.state} // its first answer was lost
+			ev.reply <- Outcome{Kind: Ended, State: t.state} // the answer to the first request was lost
 			return
 		}
 		t.outcomeWaiters = append(t.outcomeWaiters, ev.reply)
@@ -99,16 +96,18 @@
 	}
 }
 
-// nextSerial names a hand-in of a transient submission.
+// nextSerial returns the number of an attempt to run a transient submission or some of its tasks. A part
+// that is resent keeps its number.
 func (e *engine) nextSerial() uint64 {
 	e.transientSerial++
 	return e.vm.config.Incarnation + e.transientSerial
 }
 
-// divide makes the parts of a submission. Steps that wait for each other stay together.
-func (e *engine) splitIntoParts(r *submission.Record, came time.Duration) ([]*part, *Outcome) {
+// splitIntoParts chooses shards for a submission and makes a part for each. Only submissions of a single
+// step are split: steps that depend on each other stay together.
+func (e *engine) splitIntoParts(r *submission.Record, receivedAt time.Duration) ([]*part, *Outcome) {
 	r.Home = e.vm.config.Name
-	shards, refusal := e.candidates(r, came)
+	shards, refusal := e.candidates(r, receivedAt)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -132,17 +131,17 @@
 	return parts, nil
 }
 
-// divisible reports whether several shards can have parts of a submission.
+// isDivisible reports whether the tasks of a submission may be split over several shards.
 func isDivisible(r *submission.Record) bool { return len(r.Steps) == 1 && r.Steps[0].MaxPerWorker == 0 }
 
-// give hands a part to the holder of its shard.
+// sendPart sends a part to the holder of its shard.
 func (e *engine) sendPart(t *transientSubmission, p *part, l *knownLoad) {
 	p.record.Age = e.now - t.receivedAt
 	if p.holderToken == 0 {
 		p.record.Token = l.token
 	}
-	// Whoever is not the first holder has to look for runs of the first one, also when
-	// it is told for the second time as the first message was lost.
+	// Any holder but the first has to look for runs that an earlier one started, also when the part is sent
+	// to it again because the first message was lost.
 	resumed := p.record.Token != l.token
 	p.holderToken = l.token
 	p.holder = l.holder
@@ -160,7 +159,7 @@
 	f.Assign = append(f.Assign, &pb.KeptAssign{Id: string(p.record.ID), Record: p.record.Encode(), Resumed: resumed})
 }
 
-// receiveTransient takes a part that its home hands over.
+// receiveTransient adds a part that its home VM assigns to a shard of this VM.
 func (e *engine) receiveTransient(from string, r *submission.Record, resumed bool) {
 	h := e.shards[r.Shard]
 	switch {
@@ -175,8 +174,8 @@
 	}
 }
 
-// driveTransients gives parts whose shard has a new holder to that one, and gives up
-// submissions of which a holder is away for too long.
+// driveTransients sends parts to the new holders of their shards, gives up submissions whose holders are
+// unreachable for too long, and drops results that were kept long enough.
 func (e *engine) driveTransients() {
 	for _, t := range e.transients {
 		for _, p := range t.parts {
@@ -201,22 +200,22 @@
 func (e *engine) resendPart(t *transientSubmission, p *part, l *knownLoad) {
 	p.resends++
 	if p.resends > maxResends {
-		e.giveUp(t, "a shard of it changes hands again and again")
+		e.giveUp(t, "a shard of it keeps changing its holder")
 		return
 	}
-	klog.InfoS("kept: given to a new holder", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "from", p.holder)
+	klog.InfoS("kept: part sent again, or to a new holder", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "from", p.holder)
 	e.sendPart(t, p, l)
 }
 
-// checkHolder asks a holder that has said nothing for a while, and gives up on one that
-// cannot be reached.
+// checkHolder queries a holder that has not reported for a while, and gives the submission up if the holder
+// cannot be reached for too long.
 func (e *engine) checkHolder(t *transientSubmission, p *part) {
 	if p.holder != e.vm.config.Name && !e.linkUp[p.holder] {
 		if p.unreachableSince == 0 {
 			p.unreachableSince = e.now
 		}
 		if e.now-p.unreachableSince > holderUnreachableTimeout {
-			e.giveUp(t, "the holder of a shard is away")
+			e.giveUp(t, "the holder of a shard cannot be reached")
 		}
 		return
 	}
@@ -226,7 +225,7 @@
 	}
 }
 
-// queryPart asks a holder how far a part is.
+// queryPart asks a holder for the state of a part.
 func (e *engine) queryPart(t *transientSubmission, p *part) {
 	p.queriedAt = e.now
 	if own := e.shards[p.shard]; own != nil {
@@ -238,14 +237,14 @@
 	f.Queries = append(f.Queries, &pb.KeptRef{Id: string(t.record.ID), Shard: p.shard})
 }
 
-// endExpired tells the callers to send the submission again.
+// giveUp cancels all parts of a submission and tells the callers that it may have run.
 func (e *engine) giveUp(t *transientSubmission, why string) {
 	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.receivedAt)
 	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.receivedAt, "parts", len(t.parts))
 	e.dropTransient(t, Outcome{Kind: Indeterminate, Reason: why})
 }
 
-// dropTransient ends all parts, answers the callers, and keeps nothing.
+// dropTransient cancels all parts, answers the callers, and keeps no result.
 func (e *engine) dropTransient(t *transientSubmission, o Outcome) {
 	e.cancelParts(t)
 	t.replyOutcome(o)
@@ -259,15 +258,15 @@
 	t.outcomeWaiters = nil
 }
 
-// withdraw tells the holders of unfinished parts that nobody waits for them.
+// cancelParts tells the holders of unfinished parts to cancel them.
 func (e *engine) cancelParts(t *transientSubmission) {
 	e.notifyPartHolders(t,
 		func(own *shard.Shard) { own.Cancel(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.Cancelled = append(f.Cancelled, part) })
 }
 
-// notifyPartHolders says something of each unfinished part to the shard that has it, if it is one
-// of this VM's, or else to its holder.
+// notifyPartHolders calls here for each unfinished part whose shard this VM holds, and there with the frame
+// to the holder of each other unfinished part.
 func (e *engine) notifyPartHolders(t *transientSubmission, here func(*shard.Shard), there func(*pb.KeptFrame, *pb.KeptRef)) {
 	for _, p := range t.parts {
 		if p.state.Final() {
@@ -283,7 +282,7 @@
 	}
 }
 
-// all reports whether each part is in a state.
+// allPartsIn reports whether all parts are in a state.
 func (t *transientSubmission) allPartsIn(state submission.State) bool {
 	return !slices.ContainsFunc(t.parts, func(p *part) bool { return p.state != state })
 }
@@ -297,17 +296,17 @@
 	return nil
 }
 
-// applyPartReport takes a holder's word about a part.
+// applyPartReport applies a holder's report of the state of a part.
 //
-// An earlier holder that does not know yet that it was replaced may reject what it has in
-// its queue, while the next one, which has been given the part, starts it: the caller
-// would be told that it has not run. What such a holder says counts only if it says that
-// the part has ended.
+// A previous holder that does not know yet that it was replaced may reject the part in its queue while the
+// new holder, which has the part too, starts it: the caller would be told that it has not run. A report under
+// another fencing token than that of the part therefore counts only if it says that the part is done or has
+// failed.
 //
-// A holder remembers what has ended. Asked before the next hand-in of the part has come, or
-// before another part that it is given later, it answers of the one before: the caller would be
-// told that it has not run while it does, or that it is done while a part of it is not. Such an
-// answer says that the holder does not have the part.
+// A holder remembers ended parts. If it is queried before the next attempt of the part, or another part for
+// the same shard, has arrived, it reports the earlier one: the caller would be told that the submission has
+// not run while it does, or that it is done while a part of it is not. A final state with another serial is
+// therefore taken to mean that the holder does not have the part.
 func (e *engine) applyPartReport(t *transientSubmission, p *part, w stateReport) {
 	if t.state.Final() || p.state.Final() {
 		return
@@ -325,20 +324,20 @@
 		e.reassignReturned(t, p, w.returned)
 	}
 	if e.transients[t.record.ID] != t {
-		return // nobody could take what was given back
+		return // no shard could take the returned tasks
 	}
 	switch state {
 	case submission.Returned:
 		e.completeReturned(t, p)
 	case submission.Unknown:
-		// The holder never got it, or it is the holder no more. In the first case it
-		// can be given once more; in the second the next holder comes by itself.
+		// The holder never got the part, or does not hold the shard any more. In the first case the part is
+		// sent again; in the second the next holder gets it once its load report arrives.
 		if l := e.loads[p.shard]; l.token == p.holderToken && e.reachable(p.shard) {
 			e.resendPart(t, p, l)
 		}
 	case submission.Cancelled:
 		p.state = state
-		e.giveUp(t, "a holder has ended it")
+		e.giveUp(t, "a holder has cancelled it")
 	case submission.Rejected:
 		p.state = state
 		if t.allPartsIn(submission.Rejected) && len(t.unassigned) == 0 {
@@ -356,8 +355,8 @@
 	}
 }
 
-// endRejected ends a submission of which all that is left was rejected. A task that was given back
-// may have run, and failed.
+// endRejected ends a submission whose parts were all rejected. If a returned task may have run and failed,
+// the callers are told that the submission may have run.
 func (e *engine) endRejected(t *transientSubmission) {
 	if t.started {
 		e.giveUp(t, "what is left of it cannot be done in time")
@@ -366,8 +365,7 @@
 	e.refuseTransient(t, policy.TooLateByNow)
 }
 
-// refuseTransient tells the callers of a submission, of which nothing has begun, when to come
-// again.
+// refuseTransient refuses a submission of which no task has started, and tells the callers when to retry.
 func (e *engine) refuseTransient(t *transientSubmission, why policy.Reason) {
 	after := e.retryDelay(t.record, e.eligibleShards(t.record))
 	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.receivedAt)
@@ -375,8 +373,8 @@
 	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Reason: string(why)})
 }
 
-// completeIfDone ends a submission of which each task has completed, and gives out what waited for the
-// end of a part.
+// completeIfDone ends a submission whose tasks have all completed. Unassigned tasks that waited for the end
+// of a part are placed first.
 func (e *engine) completeIfDone(t *transientSubmission) {
 	if len(t.unassigned) > 0 {
 		e.placeUnassigned(t)
@@ -395,7 +393,8 @@
 	t.replyOutcome(Outcome{Kind: Ended, State: state})
 }
 
-// reportTaskOutcome tells a submission's home what has become of a task.
+// reportTaskOutcome tells the home VM of a submission that a task has completed, or how many of its runs
+// have failed.
 func (e *engine) reportTaskOutcome(n shard.OutcomeAction) {
 	if n.Home == e.vm.config.Name {
 		e.applyTaskOutcome(n.Task, n.FailedRuns)
@@ -410,12 +409,12 @@
 	})
 }
 
-// applyTaskOutcome keeps what has become of a task, for the next holder.
+// applyTaskOutcome records a task's completion or failed runs, for the next holder.
 func (e *engine) applyTaskOutcome(ref submission.TaskRef, fails int) {
 	e.updateProgress(ref, func(p *submission.Progress) { p.RecordOutcome(ref.Task, fails) })
 }
 
-// updateProgress takes a holder's word of a task into the record of the part that has it.
+// updateProgress changes the progress in the record of the part that has a task.
 func (e *engine) updateProgress(ref submission.TaskRef, note func(*submission.Progress)) {
 	t := e.transients[ref.ID]
 	if t == nil || t.state.Final() {
@@ -429,10 +428,10 @@
 	}
 }
 
-// apply ends a transient submission that no caller waits for any more.
+// apply cancels a transient submission when its last waiting caller has gone.
 func (ev abandonEvent) apply(e *engine) {
 	if e.dropDeferred(ev.reply) {
-		klog.InfoS("kept: abandoned", "id", ev.id, "why", "its caller has gone before a shard was known")
+		klog.InfoS("kept: abandoned", "id", ev.id, "why", "its caller left while the submission was deferred")
 		return
 	}
 	t := e.transients[ev.id]
@@ -444,7 +443,7 @@
 		return
 	}
 	e.vm.metrics.queue(t.record.Queue).countEnd("abandoned", e.now-t.receivedAt)
-	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.now-t.receivedAt, "why", "its caller has gone")
+	klog.InfoS("kept: abandoned", "id", ev.id, "after", e.now-t.receivedAt, "why", "its caller left")
 	e.cancelParts(t)
 	delete(e.transients, ev.id)
 }
