--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -9,14 +9,14 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// Times after which an order is looked at again.
+// Intervals at which orders without an answer are repeated.
 const (
 	stopRetryInterval  = 150 * time.Millisecond
 	probeRetryInterval = 300 * time.Millisecond
 )
 
-// Tick does what is due by time, and starts what can start. It is to be called
-// after each round of events, and every 50 ms without any.
+// Tick carries out what has become due and starts the tasks that can start. The caller calls it after
+// each batch of events, and every 50 ms without any.
 func (s *Shard) Tick(now time.Duration) {
 	s.liftBarrier(now)
 	if now >= s.nextSweepAt {
@@ -26,17 +26,17 @@
 	s.place(now)
 }
 
-// sweepInterval is how often all submissions are looked through for what is due by time. The shortest
-// of those times is 40 ms.
+// sweepInterval is how often all submissions are checked for retries and time-outs that are due. The
+// shortest of these is 40 ms.
 const sweepInterval = 5 * time.Millisecond
 
-// sweep does what is due by time.
+// sweep carries out the retries and time-outs that are due.
 func (s *Shard) sweep(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		s.repeatOrders(now, j)
 		s.saveProgress(now, j)
-		s.rejectIfTooLate(now, j)
+		s.rejectIfWaitTooLong(now, j)
 		s.giveAwayIfEvacuated(now, j)
 	}
 	for _, h := range s.workers {
@@ -46,7 +46,8 @@
 	s.pruneExpired(now)
 }
 
-// pruneExpired drops ended submissions that no late message can name any more.
+// pruneExpired removes what is remembered of ended submissions, lost workers and replaced incarnations
+// once no delayed message can refer to it any more.
 func (s *Shard) pruneExpired(now time.Duration) {
 	if now < s.nextPruneAt {
 		return
@@ -59,8 +60,8 @@
 	maps.DeleteFunc(s.recentlyEnded, func(_ submission.ID, p endedJob) bool { return now-p.at > endedRetention })
 }
 
-// liftBarrier frees the tasks that an earlier holder may have started, once none
-// of its runs can be left that no worker lists.
+// liftBarrier lets the tasks start that an earlier holder may have started, once no run of an earlier
+// holder can be left that no worker lists. For transient submissions that is the case earlier.
 func (s *Shard) liftBarrier(now time.Duration) {
 	if !s.barrierUp || !s.recordsLoaded {
 		return
@@ -101,7 +102,7 @@
 	return false
 }
 
-// repeatOrders repeats stops and looks that had no answer.
+// repeatOrders repeats the stop orders and probes of a submission that had no answer.
 func (s *Shard) repeatOrders(now time.Duration, j *job) {
 	for _, t := range j.tasks {
 		switch t.state {
@@ -119,8 +120,9 @@
 	}
 }
 
-// saveProgress stores the ends of a submission that goes on. Without it a worker
-// would list all its later ends again in each answer.
+// saveProgress stores the progress of a submission that goes on, so that its ended runs can be
+// acknowledged. Ends are acknowledged in order, so the worker would otherwise list all its later ends
+// in each answer.
 func (s *Shard) saveProgress(now time.Duration, j *job) {
 	if j.rec.Transient || j.saving || j.reassigning || j.unsavedSince == 0 || j.state.Final() || now-j.unsavedSince < s.settings.SaveDelay {
 		return
@@ -139,7 +141,7 @@
 	s.actions.Saves = append(s.actions.Saves, SaveAction{Record: &rec, Revision: j.revision})
 }
 
-// forget drops workers that have left the list and do not answer any more.
+// forgetMissingWorkers removes workers that have left the list and no longer answer.
 func (s *Shard) forgetMissingWorkers(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
@@ -149,15 +151,15 @@
 	}
 }
 
-// place starts tasks: the most pressing submission first, each task on the worker
-// where it ends soonest.
+// place starts tasks, those of the most urgent submission first, each on the worker where it should
+// complete soonest.
 func (s *Shard) place(now time.Duration) {
 	if !s.placementDue || !s.recordsLoaded {
 		return
 	}
 	s.placementDue = false
-	open, alone := s.divideCandidates(s.candidates(now))
-	if len(open)+len(alone) == 0 {
+	shared, exclusive := s.divideCandidates(s.candidates(now))
+	if len(shared)+len(exclusive) == 0 {
 		return
 	}
 	for _, j := range s.byUrgency(now) {
@@ -165,18 +167,18 @@
 			if !j.isStartable(t) || !s.lossOutcomeKnown(now, t) {
 				continue
 			}
-			rooms := open
+			candidates := shared
 			if s.isSuspect(t) {
-				rooms = exclusiveCandidatesFor(j, alone)
+				candidates = exclusiveCandidatesFor(j, exclusive)
 			}
-			if r := s.chooseWorker(now, t, rooms); r != nil {
-				s.start(now, t, r)
+			if c := s.chooseWorker(now, t, candidates); c != nil {
+				s.start(now, t, c)
 			}
 		}
 	}
 }
 
-// byUrgency returns the submissions with tasks that may start, the most pressing first.
+// byUrgency returns the submissions with startable tasks, the most urgent first.
 func (s *Shard) byUrgency(now time.Duration) []*job {
 	type ranked struct {
 		job     *job
@@ -199,21 +201,21 @@
 	return out
 }
 
-// work is a submission as the policy sees it, but for what is left of it.
+// policyWork returns a submission in the form that the policy needs, without its RemainingWork.
 func (s *Shard) policyWork(j *job) *policy.Work {
-	takes := s.estimatedRunTime(j)
+	runTime := s.estimatedRunTime(j)
 	return &policy.Work{
 		ID:            j.rec.ID,
 		Priority:      j.rec.Terms.Priority,
 		ReceivedAt:    j.submittedAt,
-		Objective:     j.rec.Terms.Objective(takes),
-		RunTime:       takes,
+		Objective:     j.rec.Terms.Objective(runTime),
+		RunTime:       runTime,
 		CallerTimeout: j.rec.CallerTimeout,
 		Started:       j.startSent,
 	}
 }
 
-// startableWork is the work of the tasks that may start and have not, cores times seconds.
+// startableWork returns the estimated work of the startable tasks, in core-seconds.
 func (j *job) startableWork() float64 {
 	sum := 0.0
 	for _, t := range j.tasks {
@@ -224,9 +226,9 @@
 	return sum
 }
 
-// rejectIfTooLate ends a transient submission of which nothing has run and that is not worth
-// waiting for any more. The caller learns at once that it has not run.
-func (s *Shard) rejectIfTooLate(now time.Duration, j *job) {
+// rejectIfWaitTooLong rejects a transient submission that has not begun once the policy says that waiting longer
+// is of no use. Its caller learns at once that it has not run.
+func (s *Shard) rejectIfWaitTooLong(now time.Duration, j *job) {
 	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.hasBegun() {
 		return
 	}
@@ -237,12 +239,12 @@
 
 func (j *job) hasStartable() bool { return slices.ContainsFunc(j.tasks, j.isStartable) }
 
-// remaining is the time a submission takes if all its tasks start now.
+// estimatedRunTime returns how long a submission takes if no task has to wait for a worker.
 func (s *Shard) estimatedRunTime(j *job) time.Duration {
 	return time.Duration(float64(j.criticalPath) * s.durationFactor(j.rec.Queue))
 }
 
-// room is what is free at a worker.
+// candidate is a usable worker with its free capacity.
 type candidate struct {
 	host         *host
 	freeCPUMilli int64
@@ -250,55 +252,57 @@
 	freeGPU      int64
 	tasksByStep  map[stepKey]int
 
-	suspect *job // a submission with a task there that must run alone
+	suspect *job // the submission of a suspect task that runs there; nil: none
 }
 
+// stepKey identifies a step of a submission.
 type stepKey struct {
 	id   submission.ID
 	step int
 }
 
-// rooms returns the usable workers with what is free there.
+// candidates returns the usable workers that have free CPU.
 func (s *Shard) candidates(now time.Duration) []*candidate {
 	byHost := make(map[*host]*candidate, len(s.workers))
 	var out []*candidate
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
-		// How much room a run takes whose submission is not known here is not known either.
+		// The resources that a stray run uses are not known. Only the worker itself can tell what is free.
 		if !s.isUsable(now, h) || len(h.strayRuns) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
 			continue
 		}
-		r := &candidate{host: h, freeCPUMilli: h.info.CPUMilli, freeMemMB: h.info.MemMB, freeGPU: h.info.GPU, tasksByStep: make(map[stepKey]int)}
-		byHost[h] = r
-		out = append(out, r)
+		c := &candidate{host: h, freeCPUMilli: h.info.CPUMilli, freeMemMB: h.info.MemMB, freeGPU: h.info.GPU, tasksByStep: make(map[stepKey]int)}
+		byHost[h] = c
+		out = append(out, c)
 	}
 	for _, j := range s.jobs {
 		for _, t := range j.tasks {
 			if !t.occupies() {
 				continue
 			}
-			if r := byHost[t.host]; r != nil {
-				r.reserve(t)
+			if c := byHost[t.host]; c != nil {
+				c.reserve(t)
 				if s.isSuspect(t) {
-					r.suspect = j
+					c.suspect = j
 				}
 			}
 		}
 	}
-	return slices.DeleteFunc(out, func(r *candidate) bool { return r.freeCPUMilli <= 0 })
+	return slices.DeleteFunc(out, func(c *candidate) bool { return c.freeCPUMilli <= 0 })
 }
 
-func (r *candidate) reserve(t *task) {
-	r.freeCPUMilli -= t.step.CPUMilli
-	r.freeMemMB -= t.step.MemMB
-	r.freeGPU -= t.step.GPU
-	r.tasksByStep[stepKey{t.ref.ID, t.ref.Step}]++
+// reserve takes the resources of a task from the free capacity.
+func (c *candidate) reserve(t *task) {
+	c.freeCPUMilli -= t.step.CPUMilli
+	c.freeMemMB -= t.step.MemMB
+	c.freeGPU -= t.step.GPU
+	c.tasksByStep[stepKey{t.ref.ID, t.ref.Step}]++
 }
 
-// closed reports whether nothing may start at any worker here.
+// isClosed reports whether no task may start in the whole shard.
 func (s *Shard) isClosed() bool { return s.evacuated || s.listOutdated }
 
-// usable reports whether a worker may get something new.
+// isUsable reports whether new tasks may be started on a worker.
 func (s *Shard) isUsable(now time.Duration, h *host) bool {
 	switch {
 	case s.isClosed(), !h.hasAnswered, h.info.Leaving, now < h.fullUntil, now < h.unavailableUntil:
@@ -312,54 +316,56 @@
 	}
 }
 
-// choose finds the worker on which a task ends soonest; nil if it fits nowhere.
-// Of equally fast ones it takes the one that it fills best, so that wide rooms
-// stay for wide tasks.
-func (s *Shard) chooseWorker(now time.Duration, t *task, rooms []*candidate) *candidate {
+// chooseWorker returns the worker on which a task should complete soonest, or nil if it fits on none.
+// Of equally fast ones it prefers the best fit if the policy is set so, which keeps large free capacity
+// for large tasks.
+func (s *Shard) chooseWorker(now time.Duration, t *task, candidates []*candidate) *candidate {
 	var best *candidate
 	var bestCost float64
-	for _, r := range rooms {
-		if !s.fits(now, t, r) {
+	for _, c := range candidates {
+		if !s.fits(now, t, c) {
 			continue
 		}
 		cost := s.settings.Policy.Cost(policy.Placement{
-			Health:        &r.host.health,
-			DataElsewhere: t.step.DataRack != "" && t.step.DataRack != r.host.info.Rack,
-			FailedBefore:  t.avoidHost == r.host,
+			Health:        &c.host.health,
+			DataElsewhere: t.step.DataRack != "" && t.step.DataRack != c.host.info.Rack,
+			FailedBefore:  t.avoidHost == c.host,
 		})
-		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.HasBetterFit(r.freeCPUMilli, best.freeCPUMilli) {
-			best, bestCost = r, cost
+		if best == nil || cost < bestCost || cost == bestCost && s.settings.Policy.HasBetterFit(c.freeCPUMilli, best.freeCPUMilli) {
+			best, bestCost = c, cost
 		}
 	}
 	return best
 }
 
-func (s *Shard) fits(now time.Duration, t *task, r *candidate) bool {
-	info := &r.host.info
+// fits reports whether a task may be started on a candidate.
+func (s *Shard) fits(now time.Duration, t *task, c *candidate) bool {
+	info := &c.host.info
 	step := t.step
 	switch {
 	case info.Service != t.job.rec.Terms.Service, !info.HasLabel(step.RequiredLabel):
 		return false
-	case step.CPUMilli > r.freeCPUMilli, step.MemMB > r.freeMemMB, step.GPU > r.freeGPU:
+	case step.CPUMilli > c.freeCPUMilli, step.MemMB > c.freeMemMB, step.GPU > c.freeGPU:
 		return false
-	case step.MaxPerWorker > 0 && r.tasksByStep[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
+	case step.MaxPerWorker > 0 && c.tasksByStep[stepKey{t.ref.ID, t.ref.Step}] >= step.MaxPerWorker:
 		return false
 	default:
-		return r.host.health.CanAccept(now, s.runCount(r))
+		return c.host.health.CanAccept(now, s.runCount(c))
 	}
 }
 
-func (s *Shard) runCount(r *candidate) int {
+func (s *Shard) runCount(c *candidate) int {
 	n := 0
-	for _, c := range r.tasksByStep {
-		n += c
+	for _, count := range c.tasksByStep {
+		n += count
 	}
 	return n
 }
 
+// durationFactor returns how many times its estimate a run of a queue usually takes.
 func (s *Shard) durationFactor(queue string) float64 { return s.paceByQueue[queue].Factor() }
 
-// learn takes the time of a run that has completed.
+// recordDuration updates the pace of the queue and the worker's health from a completed run.
 func (s *Shard) recordDuration(now time.Duration, h *host, t *task) {
 	if t.startedAt == 0 || t.step.Estimate <= 0 {
 		return
@@ -373,26 +379,27 @@
 	h.health.RecordCompletion(s.settings.Policy.Learn(p, float64(now-t.startedAt)/float64(t.step.Estimate)))
 }
 
-func (s *Shard) start(now time.Duration, t *task, r *candidate) {
+// start orders a run of a task on a candidate.
+func (s *Shard) start(now time.Duration, t *task, c *candidate) {
 	first := !t.job.startSent
 	t.job.startSent = true
 	t.state = taskStarting
 	t.hasBegun = false
 	t.newestRun = max(t.newestRun, t.job.runBase) + 1
-	t.host = r.host
-	t.startedRuns = append(t.startedRuns, startedRun{t.newestRun, r.host})
-	r.host.recordStart(now, t.ref, t.newestRun)
+	t.host = c.host
+	t.startedRuns = append(t.startedRuns, startedRun{t.newestRun, c.host})
+	c.host.recordStart(now, t.ref, t.newestRun)
 	t.stateSince = now
 	t.startedAt = now
 	t.acceptClock = 0
 	t.stopAckClock = 0
 	t.progress = policy.Progress{}
-	r.reserve(t)
+	c.reserve(t)
 	if t.startedAlone = s.isSuspect(t); t.startedAlone {
-		r.suspect = t.job
+		c.suspect = t.job
 	}
 	s.actions.Starts = append(s.actions.Starts, StartAction{
-		Worker:     r.host.info,
+		Worker:     c.host.info,
 		Task:       t.ref,
 		Run:        t.newestRun,
 		Spec:       t.job.rec.Spec,
@@ -400,6 +407,6 @@
 		Waited:     now - t.job.submittedAt,
 		Queue:      t.job.rec.Queue,
 		IsFirst:    first,
-		Origin:     r.host.origin,
+		Origin:     c.host.origin,
 	})
 }
