--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -16,14 +16,14 @@
 func finalState(it store.Item) submission.State {
 	state, ok := submission.ParseState(string(it.Value))
 	if !ok || !state.Final() {
-		klog.InfoS("kept: a stored state cannot be read", "key", it.Key, "value", string(it.Value))
+		klog.InfoS("kept: cannot decode a stored final state", "key", it.Key, "value", string(it.Value))
 		return submission.Unknown
 	}
 	return state
 }
 
-// queryOverdueStates asks holders about submissions that they have not told of for a
-// while: a message may have been lost with a link.
+// queryOverdueStates asks holders for the states of submissions that they have not reported for a while: a
+// message may have been lost with a link.
 func (e *engine) queryOverdueStates() {
 	for _, h := range e.tracked {
 		if h.stored && !h.state.Final() && e.now-max(h.queriedAt, h.updatedAt) > stateQueryInterval {
@@ -48,7 +48,8 @@
 	f.Queries = append(f.Queries, &pb.KeptRef{Id: string(h.id), Shard: h.shard})
 }
 
-// checkOwnShard takes the state of a submission from a shard that this VM holds itself.
+// checkOwnShard gets the state of a submission from a shard that this VM holds, or from the store if the
+// shard does not know it.
 func (e *engine) checkOwnShard(id submission.ID, own *heldShard) {
 	state, known := own.core.State(id)
 	if known {
@@ -60,7 +61,7 @@
 	}
 }
 
-// receiveQuery answers a peer that asks how far a submission is.
+// receiveQuery answers a peer that asks for the state of a submission.
 func (e *engine) receiveQuery(from string, ref *pb.KeptRef) {
 	id := submission.ID(ref.Id)
 	report := stateReport{shard: ref.Shard}
@@ -79,21 +80,21 @@
 		e.sendState(from, id, report)
 		return
 	}
-	// The peer finds the answer in the store: this VM does not drive it (any more).
+	// The state is Unknown, as this VM does not run the submission (any more): the peer reads the store.
 	e.sendState(from, id, report)
 }
 
-// stateReport is what a VM says of a submission, or of the part of it that a shard has.
+// stateReport is a VM's report of the state of a submission, or of the part of it that a shard has.
 type stateReport struct {
 	shard  string
-	token  uint64 // under which the speaker holds the shard; 0: it does not
+	token  uint64 // fencing token under which the reporting VM holds the shard; 0: it does not
 	state  submission.State
-	serial uint64 // of the hand-in that a rejection is of
-	// returned are tasks that the speaker does not start any more.
+	serial uint64 // of the attempt that the report is about
+	// returned are tasks that the shard will not start any more.
 	returned []shard.ReturnedTask
 }
 
-// report is what the holder of a shard says of a submission.
+// report makes the report of a shard's holder from an action of the shard.
 func (h *heldShard) report(a shard.StateAction) stateReport {
 	return stateReport{shard: h.holding.Shard, token: h.holding.Token, state: a.State, serial: a.Serial, returned: a.Returned}
 }
@@ -110,7 +111,7 @@
 	})
 }
 
-// reportState tells a submission's home how far it is.
+// reportState tells a VM the state of a submission: its home VM or one that asked.
 func (e *engine) reportState(id submission.ID, homeVM string, w stateReport) {
 	if homeVM == e.vm.config.Name {
 		e.applyStateReport(id, w)
@@ -119,8 +120,8 @@
 	e.sendState(homeVM, id, w)
 }
 
-// applyStateReport takes a word about a submission. Unknown says that the peer that was
-// asked does not drive it.
+// applyStateReport applies a report of a submission's state. Unknown means that the queried peer does not run
+// the submission.
 func (e *engine) applyStateReport(id submission.ID, w stateReport) {
 	if t := e.transients[id]; t != nil {
 		if p := t.part(w.shard); p != nil {
@@ -141,14 +142,14 @@
 		return
 	}
 	if state != submission.Unknown {
-		e.replyOutcome(h, Outcome{Kind: Accepted}) // its holder can only know it from the store
+		e.replyOutcome(h, Outcome{Kind: Accepted}) // the holder knows it, so it is stored
 	}
 	if state == submission.Unknown {
 		e.lookUpInStore(id)
 		return
 	}
 	if state < h.state {
-		return // an older word that was overtaken
+		return // an outdated report
 	}
 	h.state = state
 	h.updatedAt = e.now
@@ -157,7 +158,7 @@
 		e.vm.metrics.queue(h.record.Queue).countEnd(state.String(), e.now-h.receivedAt)
 	}
 	if state.Final() {
-		h.record = nil // only its state is asked for from now on
+		h.record = nil // from now on only the state is needed
 		for _, ended := range h.endWaiters {
 			close(ended)
 		}
@@ -165,14 +166,14 @@
 	}
 }
 
-// lookup is what the store says of a submission.
+// storeLookup is what the store has of a submission.
 type storeLookup struct {
 	state    submission.State // Unknown: there is no such submission
 	record   *submission.Record
 	revision uint64
 }
 
-// lookUpInStore reads a submission's state from the store.
+// lookUpInStore starts to read a submission's state from the store.
 func (e *engine) lookUpInStore(id submission.ID) {
 	h := e.tracked[id]
 	if h != nil {
@@ -187,8 +188,9 @@
 	})
 }
 
-// readSubmission reads the record first: it is replaced by the final state in one
-// transaction, so one of the two is there at any time.
+// readSubmission reads a submission's record, or else its final state. The order matters: one transaction
+// replaces the record by the final state, so a submission without a record has a final state or does not
+// exist.
 func (v *VM) readSubmission(ctx context.Context, id submission.ID) (storeLookup, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -223,7 +225,7 @@
 	h.stateWaiters = nil
 	switch {
 	case ev.err != nil:
-		klog.InfoS("kept: a submission's state could not be read", "id", ev.id, "why", ev.err)
+		klog.InfoS("kept: could not read a submission's state from the store", "id", ev.id, "why", ev.err)
 		replyAll(askers, StateAnswer{Err: ErrUnavailable})
 		if !h.stored && len(h.outcomeWaiters) == 0 {
 			delete(e.tracked, ev.id)
@@ -244,7 +246,7 @@
 		replyAll(askers, StateAnswer{State: h.state})
 	default:
 		if h.stored {
-			klog.ErrorS(nil, "kept: a submission that was stored is not in the store", "id", ev.id, "shard", h.shard)
+			klog.ErrorS(nil, "kept: an accepted submission is missing in the store", "id", ev.id, "shard", h.shard)
 		}
 		if len(h.outcomeWaiters) == 0 {
 			delete(e.tracked, ev.id)
@@ -259,8 +261,8 @@
 	}
 }
 
-// watchOwnShard keeps a caller that waits for the end of a submission whose home is another
-// VM, and that a shard of this one has.
+// watchOwnShard registers a caller that waits for the end of a submission whose home VM is another one and
+// which a shard of this VM runs.
 func (e *engine) watchOwnShard(ev stateEvent, own *heldShard, state submission.State) {
 	if state.Final() {
 		return
@@ -271,15 +273,15 @@
 	own.addAsker(ev.id, e.vm.config.Name)
 }
 
-// asks notes a VM that asked for a submission which has not ended: it is told of the end
-// as the home is, since callers ask at other VMs than the one that they handed it in at.
+// addAsker registers an entry VM that asked for an unfinished submission. It is told of the end like the home
+// VM, since callers may ask any entry VM and not only the one that they submitted to.
 func (h *heldShard) addAsker(id submission.ID, entryVM string) {
 	if asked := h.askers[id]; len(asked) < maxEndWaiters && !slices.Contains(asked, entryVM) {
 		h.askers[id] = append(asked, entryVM)
 	}
 }
 
-// notifyAskers tells the VMs that asked for a submission of its end.
+// notifyAskers reports the end of a submission to the VMs that asked for it.
 func (e *engine) notifyAskers(h *heldShard, s shard.StateAction, w stateReport) {
 	if !s.State.Final() {
 		return
@@ -292,7 +294,7 @@
 	delete(h.askers, s.ID)
 }
 
-// pruneAskers drops what no end will be told of any more.
+// pruneAskers forgets the askers of submissions that have ended or are not known to the shard any more.
 func (h *heldShard) pruneAskers() {
 	maps.DeleteFunc(h.askers, func(id submission.ID, _ []string) bool {
 		state, known := h.core.State(id)
@@ -300,8 +302,8 @@
 	})
 }
 
-// watch keeps a caller that waits for the end. Beyond maxEndWaiters the oldest waits in
-// vain until its time is over, and is answered with the state as it was.
+// addEndWaiter registers a caller that waits for the end. Beyond maxEndWaiters the oldest one is dropped: it
+// waits for its whole time and then gets the state of that moment.
 func (h *trackedSubmission) addEndWaiter(ended chan struct{}) {
 	if ended == nil || h.state.Final() {
 		return
@@ -312,9 +314,8 @@
 	h.endWaiters = append(h.endWaiters, ended)
 }
 
-// maxEndWaiters bounds the callers that wait for the end of one submission, and the VMs that
-// are told of it. A caller asks a few times a second at most; one that has gone is not
-// taken off the list before the end.
+// maxEndWaiters limits, per submission, the callers that wait for its end and the VMs that are told of it. A
+// caller asks at most a few times a second; one that has gone stays registered until the end.
 const maxEndWaiters = 8
 
 func (ev stateEvent) apply(e *engine) {
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -12,28 +12,28 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// A submission that is divided over shards is refused as a whole or not at all, and only
-// its home knows all parts. When no part of it has begun and it is not worth waiting for
-// any more, its home takes the parts back. Each holder answers for certain: the part is
-// rejected, or has begun. Either all parts are rejected, and the caller is refused, or some
-// have begun, and the others are given out anew.
+// A transient submission that is split over several shards must be refused as a whole or not at all, and only
+// its home VM knows all parts. When no part has started and it is too late to go on waiting, the home VM
+// recalls the parts. Each holder then reports definitely that its part is rejected or that it has started. If
+// all parts are rejected, the caller is refused; if some have started, the rejected ones are assigned to
+// shards again.
 //
-// Without it such a submission waits to the end of its caller's time: under overload two in
-// a hundred submissions ended so, and none of their callers learnt that nothing had run.
+// Without this, such a submission waits until its caller's time-out: under overload that happened to two in a
+// hundred submissions, and none of their callers learnt that nothing had run.
 
-// recallTimeout is up to when the holders answer. A message that was lost is not waited
-// for: the parts that came back are given out again.
+// recallTimeout limits the wait for the holders' reports: after it the rejected parts are assigned again even
+// if a report is missing, as the message may be lost.
 const recallTimeout = 250 * time.Millisecond
 
-// reconsider takes a divided submission back when its time is over, and gives parts that
-// came back out again when others have begun.
+// recallOrReassign recalls the parts of a split submission when it has waited too long, and assigns rejected
+// parts again when other parts have started.
 func (e *engine) recallOrReassign(t *transientSubmission) {
 	if !e.vm.config.Policy.TakeBack || len(t.parts) < 2 || t.state.Final() {
 		return
 	}
 	switch {
 	case t.recalledAt == 0 && t.anyRejected():
-		t.recalledAt = e.now // a holder has rejected its part by itself
+		t.recalledAt = e.now // a holder has rejected its part without a recall
 	case t.recalledAt == 0 && !t.anyStarted():
 		if reason := e.vm.config.Policy.KeepWaiting(e.now, e.policyWork(t.record, t.receivedAt)); reason.Refused() {
 			e.recall(t, reason)
@@ -55,14 +55,14 @@
 
 func (e *engine) recall(t *transientSubmission, reason policy.Reason) {
 	t.recalledAt = e.now
-	klog.InfoS("kept: taken back", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.receivedAt)
+	klog.InfoS("kept: parts recalled", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.receivedAt)
 	e.notifyPartHolders(t,
 		func(own *shard.Shard) { own.TakeBack(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.TakenBack = append(f.TakenBack, part) })
 }
 
-// reassignRejected hands the parts that came back to the shards that do them soonest. A shard
-// has one part of a submission at most.
+// reassignRejected sends rejected parts to the shards that would finish them first. A shard has at most one
+// part of a submission.
 func (e *engine) reassignRejected(t *transientSubmission) {
 	for _, p := range t.parts {
 		if p.state != submission.Rejected {
@@ -70,7 +70,7 @@
 		}
 		l := e.selectShard(t, p)
 		if l == nil {
-			e.giveUp(t, "a part of it came back and no shard can be reached")
+			e.giveUp(t, "one of its parts was rejected and no shard can take it")
 			return
 		}
 		p.record.Serial = e.nextSerial()
@@ -78,13 +78,13 @@
 		p.state = submission.Queued
 		p.holderToken = 0
 		p.updatedAt = e.now
-		klog.InfoS("kept: given out again", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "tasks", p.record.TaskCount())
+		klog.InfoS("kept: rejected part assigned again", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "tasks", p.record.TaskCount())
 		e.sendPart(t, p, l)
 	}
 	t.recalledAt = 0
 }
 
-// selectShard chooses the shard that a part is given to next; nil if there is none.
+// selectShard chooses another shard for a part and returns its load; nil if there is none.
 func (e *engine) selectShard(t *transientSubmission, p *part) *knownLoad {
 	shards := e.eligibleShards(p.record)
 	shards = slices.DeleteFunc(shards, func(c policy.Candidate) bool {
@@ -99,7 +99,7 @@
 	return e.loads[p.shard]
 }
 
-// receiveRecall answers a home that takes a part back.
+// receiveRecall handles the recall of a part by its home VM.
 func (e *engine) receiveRecall(ref *pb.KeptRef) {
 	if h := e.shards[ref.Shard]; h != nil {
 		h.core.TakeBack(e.now, submission.ID(ref.Id))
