--- a/internal/kept/relay/relay.go
+++ b/internal/kept/relay/relay.go
@@ -72,13 +72,13 @@
 	probedAt           time.Duration // last direct call while calls go through peers
 	directAnsweredAt   time.Duration // last answered direct call
 	answeredAt         time.Duration // last answered call
-	unansweredAt       time.Duration // last call that was answered neither directly nor by a peer
+	unansweredAt       time.Duration // last call that neither the store nor a peer answered
 	unansweredSince    time.Duration // first such call since an answered one; 0: none
 	observe            func(answered bool)
 }
 
-// SetCallObserver sets a function that is called after each call with whether it was answered, directly or
-// by a peer. It must be set before the first call.
+// SetCallObserver sets a function that is called after each call with whether the store or a peer answered
+// it. It must be set before the first call.
 func (r *Router) SetCallObserver(observe func(answered bool)) { r.observe = observe }
 
 // New returns a router that makes direct calls until one fails.
@@ -105,8 +105,8 @@
 	return r.unansweredSince > 0 && r.now()-r.unansweredSince > downThreshold
 }
 
-// LastCalls holds the times of the last answered call, and of the last one that was answered neither
-// directly nor by a peer; 0: never.
+// LastCalls holds the times of the last answered call, and of the last one that neither the store nor a peer
+// answered; 0: never. A refusal (Reply.Unavailable) does not count as an answer.
 type LastCalls struct{ AnsweredAt, UnansweredAt time.Duration }
 
 // LastCalls returns the times of the last answered and unanswered calls.
@@ -220,7 +220,7 @@
 	if ok {
 		r.directAnsweredAt = now
 		if r.viaPeers {
-			klog.InfoS("kept: store answers direct calls again", "after", now-r.directFailingSince)
+			klog.InfoS("kept: direct store calls succeed again", "after", now-r.directFailingSince)
 		}
 		r.directFailingSince = 0
 		r.viaPeers = false
@@ -228,7 +228,7 @@
 	}
 	if r.directFailingSince == 0 {
 		r.directFailingSince = now
-		klog.InfoS("kept: store does not answer direct calls", "status", rep.Status, "why", err)
+		klog.InfoS("kept: direct store calls fail", "status", rep.Status, "why", err)
 	}
 	if !r.viaPeers {
 		r.viaPeers = true
--- a/internal/kept/site/decide.go
+++ b/internal/kept/site/decide.go
@@ -102,16 +102,16 @@
 	if h.Holder == "" {
 		return "it has no holder", true
 	}
-	m, there := s.members[h.Holder]
+	m, isMember := s.members[h.Holder]
 	switch {
 	case s.HolderRestarted(h):
 		return "its holder has restarted", true
-	case !there && (s.linkUp[h.Holder] || s.inGrace(now, h)):
+	case !isMember && (s.linkUp[h.Holder] || s.inGrace(now, h)):
 		return "", false
 	case now-s.contactSince < s.settings.MinStoreUptime:
 		// This VM was cut off itself: its links may still be down although the peers are alive.
 		return "", false
-	case !there:
+	case !isMember:
 		return "its holder's key has lapsed", true
 	case s.linkLost[m.Name]:
 		return "the link to its holder is lost", true
@@ -133,11 +133,11 @@
 // shards gives both to a VM with none, which gives both back some seconds later, and so on: with 18
 // VMs and three shards per domain, a shard changed hands 333 times in a minute of restarts, and each
 // time all its submissions were handed over again.
-func (s *Site) giveBack(now time.Duration, v *shardState, held map[string]int) (Claim, bool) {
-	successor, found := s.successor(v.holding.Shard, held)
+func (s *Site) giveBack(now time.Duration, v *shardState, shardCounts map[string]int) (Claim, bool) {
+	successor, found := s.successor(v.holding.Shard, shardCounts)
 	why, better := "", false
 	if found {
-		why, better = s.handbackReason(successor, v.holding.Shard, held)
+		why, better = s.handbackReason(successor, v.holding.Shard, shardCounts)
 	}
 	if !better {
 		v.betterSince = 0
@@ -149,20 +149,20 @@
 	if now-v.betterSince < s.settings.HandbackDelay || now-v.claimedAt < s.settings.ClaimCooldown {
 		return Claim{}, false
 	}
-	held[successor.Name]++
-	held[s.self.Name]--
+	shardCounts[successor.Name]++
+	shardCounts[s.self.Name]--
 	return s.newClaim(v.holding, successor, why), true
 }
 
 // handbackReason reports whether a successor is a better holder of a shard than this VM, and why.
-func (s *Site) handbackReason(successor Member, shard string, held map[string]int) (why string, better bool) {
+func (s *Site) handbackReason(successor Member, shard string, shardCounts map[string]int) (why string, better bool) {
 	domain := DomainOf(shard)
 	switch {
 	case successor.Domain == domain && s.self.Domain != domain:
 		return "a VM of its own domain is available", true
 	case successor.Domain != domain:
 		return "", false
-	case load(successor, held[successor.Name]+1) < load(s.self, held[s.self.Name]):
+	case load(successor, shardCounts[successor.Name]+1) < load(s.self, shardCounts[s.self.Name]):
 		return "another VM of its domain has a lower load", true
 	default:
 		return "", false
@@ -188,12 +188,12 @@
 }
 
 // successor returns the entry VM, other than this one, that should hold a shard, given the shards held by each VM.
-func (s *Site) successor(shard string, held map[string]int) (Member, bool) {
+func (s *Site) successor(shard string, shardCounts map[string]int) (Member, bool) {
 	eligible := s.eligible(shard, s.self.Name)
 	if len(eligible) == 0 {
 		return Member{}, false
 	}
-	return slices.MinFunc(eligible, func(a, b Member) int { return compareCandidates(shard, held, a, b) }), true
+	return slices.MinFunc(eligible, func(a, b Member) int { return compareCandidates(shard, shardCounts, a, b) }), true
 }
 
 // HandOver returns the claims that give all shards of this VM to other VMs, for a planned stop.
@@ -212,6 +212,7 @@
 	return out
 }
 
+// newClaim returns the claim that makes to the next holder, under the next fencing token.
 func (s *Site) newClaim(from Holding, to Member, why string) Claim {
 	return Claim{
 		From: from,
@@ -274,7 +275,7 @@
 	self := load(s.self, p.shardCounts()[s.self.Name]+1)
 	eligible = s.heldByEarlierProcess(shard, except)
 	for _, c := range candidates() {
-		sameDomain := c.Domain == DomainOf(shard)
+		sameDomain := c.Domain == DomainOf(shard) // the candidate is in the shard's domain
 		switch {
 		case c.Name == except:
 		case c.Name == s.self.Name:
@@ -324,7 +325,7 @@
 }
 
 // compareCandidates orders two entry VMs by how well they suit as holder of a shard, the better one first.
-func compareCandidates(shard string, held map[string]int, a, b Member) int {
+func compareCandidates(shard string, shardCounts map[string]int, a, b Member) int {
 	domain := DomainOf(shard)
 	if own := a.Domain == domain; own != (b.Domain == domain) {
 		if own {
@@ -332,7 +333,7 @@
 		}
 		return 1
 	}
-	if c := cmp.Compare(load(a, held[a.Name]+1), load(b, held[b.Name]+1)); c != 0 {
+	if c := cmp.Compare(load(a, shardCounts[a.Name]+1), load(b, shardCounts[b.Name]+1)); c != 0 {
 		return c
 	}
 	if precedes(shard, a, b) {
@@ -348,12 +349,12 @@
 
 // rendezvousHash returns the weight of a name for a key; the name with the highest weight is chosen.
 func rendezvousHash(key, name string) uint64 {
-	buffer := make([]byte, 0, scoreBufferBytes)
+	buffer := make([]byte, 0, hashBufferBytes)
 	buffer = append(buffer, key...)
 	buffer = append(buffer, 0)
 	buffer = append(buffer, name...)
 	return xxhash.Sum64(buffer)
 }
 
-// scoreBufferBytes is enough for the names of most shards and VMs, so that hashing does not allocate.
-const scoreBufferBytes = 128
+// hashBufferBytes is enough for the names of most shards and VMs, so that hashing does not allocate.
+const hashBufferBytes = 128
--- a/internal/kept/site/keys.go
+++ b/internal/kept/site/keys.go
@@ -67,10 +67,10 @@
 // ShardOf returns the shard of the worker at an address. A worker that restarts at the same address stays
 // in its shard.
 func (d ShardLayout) ShardOf(address string) string {
-	best, most := 0, uint64(0)
+	best, maxHash := 0, uint64(0)
 	for i := range d.Shards {
-		if s := rendezvousHash(ShardName(d.Domain, i), address); s >= most {
-			best, most = i, s
+		if s := rendezvousHash(ShardName(d.Domain, i), address); s >= maxHash {
+			best, maxHash = i, s
 		}
 	}
 	return ShardName(d.Domain, best)
@@ -98,7 +98,7 @@
 	Revision    uint64 `json:"-"` // of the key; 0: the shard never had a holder
 	Holder      string `json:"h"`
 	Incarnation uint64 `json:"i"`
-	Token       uint64 `json:"t"`
+	Token       uint64 `json:"t"` // fencing token
 	// PredecessorStopped says that the previous holder certainly starts no more runs in this shard: there was
 	// none, its process had ended, or it handed the shard over itself.
 	PredecessorStopped bool `json:"c,omitempty"`
--- a/internal/kept/site/peers.go
+++ b/internal/kept/site/peers.go
@@ -47,7 +47,7 @@
 	holds := holders[s.self.Name] > 0
 	small := len(members) <= MaxFullMeshPeers
 	var out []Peer
-	var foreign []Member
+	var otherDomain []Member
 	for _, m := range members {
 		own, holder := m.Domain == s.self.Domain, holders[m.Name] > 0
 		switch {
@@ -56,10 +56,10 @@
 		case own && (holds || holder):
 			out = append(out, Peer{Member: m, FastDetection: holds && holder})
 		case holder && !own:
-			foreign = append(foreign, m)
+			otherDomain = append(otherDomain, m)
 		}
 	}
-	return append(out, s.pickPeers(foreign, s.maxLinks()-len(out))...)
+	return append(out, s.pickPeers(otherDomain, s.maxLinks()-len(out))...)
 }
 
 // maxLinks returns how many links this VM's CPU allows. If its cores are not known, it is the number of members.
@@ -85,7 +85,7 @@
 
 // Member returns an entry VM whose key exists or has lapsed recently.
 func (s *Site) Member(name string) (Member, bool) {
-	if m, there := s.members[name]; there {
+	if m, isMember := s.members[name]; isMember {
 		return m, true
 	}
 	l, lapsed := s.lapsed[name]
@@ -94,13 +94,13 @@
 
 // MinCores returns the cores of the smallest entry VM of a failure domain; 0: not known.
 func (s *Site) MinCores(domain string) float64 {
-	least := 0.0
+	minCores := 0.0
 	for _, m := range s.members {
-		if m.Domain == domain && m.Cores > 0 && (least == 0 || m.Cores < least) {
-			least = m.Cores
+		if m.Domain == domain && m.Cores > 0 && (minCores == 0 || m.Cores < minCores) {
+			minCores = m.Cores
 		}
 	}
-	return least
+	return minCores
 }
 
 // HoldersIn returns the entry VMs that hold shards of a failure domain.
--- a/internal/kept/site/site.go
+++ b/internal/kept/site/site.go
@@ -75,6 +75,7 @@
 	}
 }
 
+// shardState is what this VM knows of a shard.
 type shardState struct {
 	holding     Holding
 	vacantSince time.Duration // 0: it has a live holder
@@ -129,31 +130,31 @@
 // Apply takes in a change of one of the site's keys in the store.
 func (s *Site) Apply(now time.Duration, e store.Event) error {
 	s.changed = true
-	if name, is := strings.CutPrefix(e.Key, memberPrefix); is {
+	if name, ok := strings.CutPrefix(e.Key, memberPrefix); ok {
 		return s.applyMember(now, name, e)
 	}
-	if shard, is := strings.CutPrefix(e.Key, shardPrefix); is {
+	if shard, ok := strings.CutPrefix(e.Key, shardPrefix); ok {
 		return s.applyShard(shard, e)
 	}
-	if domain, is := strings.CutPrefix(e.Key, domainPrefix); is {
-		return s.applyDomain(domain, e)
+	if domain, ok := strings.CutPrefix(e.Key, domainPrefix); ok {
+		return s.applyShardLayout(domain, e)
 	}
 	return nil
 }
 
-func (s *Site) applyDomain(domain string, e store.Event) error {
+func (s *Site) applyShardLayout(domain string, e store.Event) error {
 	if e.Deleted {
 		return nil
 	}
-	d := ShardLayout{Domain: domain}
-	if err := json.Unmarshal(e.Value, &d); err != nil {
+	layout := ShardLayout{Domain: domain}
+	if err := json.Unmarshal(e.Value, &layout); err != nil {
 		return &DecodeError{Key: e.Key, Err: err}
 	}
-	if d.Shards < 1 || d.Shards > maxShardsPerDomain {
+	if layout.Shards < 1 || layout.Shards > maxShardsPerDomain {
 		return &DecodeError{Key: e.Key, Err: errShardCount}
 	}
-	s.layouts[domain] = d
-	for i := range d.Shards {
+	s.layouts[domain] = layout
+	for i := range layout.Shards {
 		name := ShardName(domain, i)
 		s.stateOf(name)
 	}
@@ -218,8 +219,8 @@
 // lapse records that a member's key is gone. Keys also lapse while the store is down or
 // refuses their VMs, so the member gets time to write its key again.
 func (s *Site) lapse(now time.Duration, name string) {
-	m, there := s.members[name]
-	if !there {
+	m, isMember := s.members[name]
+	if !isMember {
 		return
 	}
 	delete(s.members, name)
@@ -328,7 +329,7 @@
 	}
 	for i := range d.Shards {
 		holder := s.Holding(ShardName(domain, i)).Holder
-		if _, there := s.members[holder]; !there || s.linkLost[holder] {
+		if _, isMember := s.members[holder]; !isMember || s.linkLost[holder] {
 			return false
 		}
 	}
@@ -375,6 +376,6 @@
 	if h.Holder == s.self.Name {
 		return h.Incarnation != s.self.Incarnation
 	}
-	m, there := s.members[h.Holder]
-	return there && m.Incarnation != h.Incarnation
+	m, isMember := s.members[h.Holder]
+	return isMember && m.Incarnation != h.Incarnation
 }
