--- a/internal/connection/submissions/submissions.go
+++ b/internal/connection/submissions/submissions.go
@@ -96,7 +96,7 @@
 			step.DependsOn = append(step.DependsOn, int(a))
 		}
 		if w.Count == 0 {
-			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Why: "a step has tasks"}
+			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Reason: "a step has tasks"}
 		}
 		rec.Steps = append(rec.Steps, step)
 	}
--- a/internal/kept/daemon/daemon.go
+++ b/internal/kept/daemon/daemon.go
@@ -142,10 +142,10 @@
 func decodeWorker(it store.Item) (worker.Info, error) {
 	var info worker.Info
 	if err := json.Unmarshal(it.Value, &info); err != nil {
-		return worker.Info{}, &worker.EntryError{Key: it.Key, Why: err.Error()}
+		return worker.Info{}, &worker.EntryError{Key: it.Key, Reason: err.Error()}
 	}
 	if why := info.Problem(); why != "" {
-		return worker.Info{}, &worker.EntryError{Key: it.Key, Why: why}
+		return worker.Info{}, &worker.EntryError{Key: it.Key, Reason: why}
 	}
 	info.Revision = it.Revision
 	return info, nil
--- a/internal/kept/policy/settings.go
+++ b/internal/kept/policy/settings.go
@@ -100,11 +100,11 @@
 
 // SettingError reports a policy setting that cannot be used.
 type SettingError struct {
-	Name string // "" if not known
-	Why  string
+	Name   string // "" if not known
+	Reason string
 }
 
-func (e *SettingError) Error() string { return fmt.Sprintf("policy setting %q: %s", e.Name, e.Why) }
+func (e *SettingError) Error() string { return fmt.Sprintf("policy setting %q: %s", e.Name, e.Reason) }
 
 // Parse returns the defaults, overridden by the given settings. Keys are the JSON names of the
 // fields, values are JSON.
@@ -118,7 +118,7 @@
 			err = d.Decode(&s)
 		}
 		if err != nil {
-			return Settings{}, &SettingError{Name: name, Why: strings.TrimPrefix(err.Error(), "json: ")}
+			return Settings{}, &SettingError{Name: name, Reason: strings.TrimPrefix(err.Error(), "json: ")}
 		}
 	}
 	return s, s.Validate()
@@ -128,15 +128,15 @@
 func (s *Settings) Validate() error {
 	switch {
 	case s.StartHoldMillis < 0 || s.StartHoldMillis > 10_000:
-		return &SettingError{Name: "start_hold_millis", Why: "must be between 0 and 10000"}
+		return &SettingError{Name: "start_hold_millis", Reason: "must be between 0 and 10000"}
 	case s.OffloadMillis < 0 || s.OffloadMillis > 10_000:
-		return &SettingError{Name: "offload_millis", Why: "must be between 0 and 10000"}
+		return &SettingError{Name: "offload_millis", Reason: "must be between 0 and 10000"}
 	case s.LossEvidence < 0 || s.LossEvidence > 10:
-		return &SettingError{Name: "loss_evidence", Why: "must be between 0 and 10"}
+		return &SettingError{Name: "loss_evidence", Reason: "must be between 0 and 10"}
 	case s.WaitShare < 0 || s.WaitShare > 1:
-		return &SettingError{Name: "wait_share", Why: "must be between 0 and 1"}
+		return &SettingError{Name: "wait_share", Reason: "must be between 0 and 1"}
 	case s.OwnReserve < 0 || s.OwnReserve > 1:
-		return &SettingError{Name: "own_reserve", Why: "must be between 0 and 1"}
+		return &SettingError{Name: "own_reserve", Reason: "must be between 0 and 1"}
 	default:
 		return nil
 	}
--- a/internal/kept/submission/submission.go
+++ b/internal/kept/submission/submission.go
@@ -152,7 +152,7 @@
 }
 
 // Has reports whether a task is one of the record's.
-func (r *Record) Has(t Task) bool {
+func (r *Record) HasTask(t Task) bool {
 	if t.Step < 0 || t.Step >= len(r.Steps) {
 		return false
 	}
--- a/internal/kept/submission/validate.go
+++ b/internal/kept/submission/validate.go
@@ -18,11 +18,11 @@
 
 // InvalidError says what of a submission cannot be as it is.
 type InvalidError struct {
-	Field string
-	Why   string
+	Field  string
+	Reason string
 }
 
-func (e *InvalidError) Error() string { return e.Field + ": " + e.Why }
+func (e *InvalidError) Error() string { return e.Field + ": " + e.Reason }
 
 // Validate reports the first thing in a record that no caller may ask for: counts that do not fit into an
 // entry VM, room below zero, which would count as free, or steps that wait for themselves.
--- a/internal/kept/submission/validate_test.go
+++ b/internal/kept/submission/validate_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func soundRecord() *Record {
+func validRecord() *Record {
 	return &Record{
 		ID:    "5c0e7a21d94b36f8",
 		Steps: []Step{{Count: 4, CPUMilli: 500, MemMB: 256, Estimate: 900 * time.Millisecond}, {Count: 20, DependsOn: []int{0}}},
@@ -18,7 +18,7 @@
 
 // Guards against a request that takes down the entry VMs that are asked for it, or room that was never there.
 func TestRecordsThatNobodyMayAskForAreNamed(t *testing.T) {
-	if err := soundRecord().Validate(); err != nil {
+	if err := validRecord().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for field, change := range map[string]func(*Record){
@@ -36,7 +36,7 @@
 		"steps: no tasks":           func(r *Record) { r.Steps[0].Count, r.Steps[1].Count = 0, 0 },
 		"steps: 0 of them, 1 to 10": func(r *Record) { r.Steps = nil },
 	} {
-		r := soundRecord()
+		r := validRecord()
 		change(r)
 		err := r.Validate()
 		var invalid *InvalidError
@@ -48,7 +48,7 @@
 
 // Guards against a stored record that stops the process, or is another one when it is stored again.
 func FuzzRecord(f *testing.F) {
-	f.Add(soundRecord().Encode())
+	f.Add(validRecord().Encode())
 	f.Add([]byte(`{"s":[{"n":4096}],"p":{"d":[{"Step":0,"Index":1}],"f":{"0.3":2}},"o":["0.1"]}`))
 	f.Add([]byte(`{"s":[{"n":-1},{"n":2}]}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -154,7 +154,7 @@
 func (e *engine) reassignReturned(t *transientSubmission, p *part, told []shard.ReturnedTask) {
 	var back []shard.ReturnedTask
 	for _, r := range told {
-		if p.record.Has(r.Task) { // else it was given to another shard before
+		if p.record.HasTask(r.Task) { // else it was given to another shard before
 			back = append(back, r)
 			t.started = t.started || r.Run > 0
 		}
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -421,7 +421,7 @@
 		return
 	}
 	for _, p := range t.parts {
-		if p.record.Has(ref.Task) {
+		if p.record.HasTask(ref.Task) {
 			p.updatedAt = e.now
 			note(&p.record.Progress)
 		}
--- a/internal/kept/worker/worker.go
+++ b/internal/kept/worker/worker.go
@@ -65,11 +65,11 @@
 
 // EntryError says why an entry of the list of workers names no worker to use.
 type EntryError struct {
-	Key string
-	Why string
+	Key    string
+	Reason string
 }
 
-func (e *EntryError) Error() string { return fmt.Sprintf("entry %s: %s", e.Key, e.Why) }
+func (e *EntryError) Error() string { return fmt.Sprintf("entry %s: %s", e.Key, e.Reason) }
 
 // Room that no worker has. Sums over a site stay far below what an int64 holds.
 const (
