--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -20,8 +20,8 @@
 	missingSince        time.Duration // since when it is not in the list of workers; 0: it is there
 	newestListingSentAt time.Duration // when its newest listing was asked for
 	newestClock         time.Duration // the worker's clock at its newest listing
-	ackedEnd            uint64        // ends acknowledged
-	newestEnd           uint64        // ends taken into account
+	ackedEndSeq         uint64        // ends acknowledged
+	newestEndSeq        uint64        // ends taken into account
 	unackedEnds         []unackedEnd  // taken into account and not acknowledged, by number
 	fullUntil           time.Duration // it refused a run for want of room
 	unavailableUntil    time.Duration // it refused a run as it is not in order
@@ -44,7 +44,7 @@
 }
 
 type unackedEnd struct {
-	n      uint64
+	seq    uint64
 	job    *job // nil: of a submission that is not open
 	saving bool // in the progress that is being stored
 	saved  bool
--- a/internal/kept/shard/incarnation.go
+++ b/internal/kept/shard/incarnation.go
@@ -57,8 +57,8 @@
 	delete(h.unlistedStarts, runRef{ref, run})
 }
 
-// isNeverCarriedOut reports whether a verdict says that a start was not, and will not be, carried out.
-func isNeverCarriedOut(v worker.Verdict) bool {
+// startRuledOut reports whether a verdict says that a start was not, and will not be, carried out.
+func startRuledOut(v worker.Verdict) bool {
 	switch v {
 	case worker.NoRoom, worker.Unavailable, worker.Superseded, worker.DeadlinePassed, worker.Malformed, worker.Fenced:
 		return true
--- a/internal/kept/shard/listing.go
+++ b/internal/kept/shard/listing.go
@@ -8,54 +8,54 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// Listing takes a worker's answer to a hold that was sent at a time. It returns the
-// ends in it that were new.
-func (s *Shard) HandleListing(now time.Duration, id string, sent time.Duration, l worker.Listing) (fresh []worker.Ended) {
+// HandleListing handles a worker's answer to a hold that was sent at sentAt. It returns the ended runs
+// that were not listed before.
+func (s *Shard) HandleListing(now time.Duration, id string, sentAt time.Duration, l worker.Listing) (fresh []worker.Ended) {
 	h, known := s.workers[id]
 	if !known {
 		return nil
 	}
 	if !s.recordsLoaded {
-		s.earlyListings[id] = earlyListing{sentAt: sent, listing: l}
+		s.earlyListings[id] = earlyListing{sentAt: sentAt, listing: l}
 		return nil
 	}
 	if !h.hasAnswered {
 		h.hasAnswered = true
 		h.firstAnswerAt = now
 	}
-	h.newestListingSentAt = max(h.newestListingSentAt, sent)
+	h.newestListingSentAt = max(h.newestListingSentAt, sentAt)
 	h.info.Born = cmp.Or(h.info.Born, l.Born)
 	s.withdrawLoss(now, h)
 	for _, e := range l.Ended {
-		if e.Seq > h.newestEnd {
-			h.newestEnd = e.Seq
+		if e.Seq > h.newestEndSeq {
+			h.newestEndSeq = e.Seq
 			fresh = append(fresh, e)
 			s.handleEnd(now, h, e)
 		}
 	}
-	if l.Clock >= h.newestClock { // answers overtake each other
+	if l.Clock >= h.newestClock { // answers may arrive out of order
 		h.newestClock = l.Clock
-		s.reconcile(now, h, sent, l)
+		s.reconcile(now, h, sentAt, l)
 	}
 	s.acknowledge()
 	s.placementDue = true
 	return fresh
 }
 
-// ended takes the end of a run.
+// handleEnd handles a run that a worker lists as ended for the first time.
 func (s *Shard) handleEnd(now time.Duration, h *host, e worker.Ended) {
 	h.fullUntil = 0
 	delete(h.strayRuns, e.Task)
 	h.clearStart(e.Task, e.Run)
 	j, open := s.jobs[e.Task.ID]
 	if !open {
-		h.unackedEnds = append(h.unackedEnds, unackedEnd{n: e.Seq})
+		h.unackedEnds = append(h.unackedEnds, unackedEnd{seq: e.Seq})
 		if now-h.firstAnswerAt < handoverTimeout {
 			s.earlyEnds[e.Task.ID] = append(s.earlyEnds[e.Task.ID], earlyEnd{host: h, end: e, at: now})
 		}
 		return
 	}
-	h.unackedEnds = append(h.unackedEnds, unackedEnd{n: e.Seq, job: j})
+	h.unackedEnds = append(h.unackedEnds, unackedEnd{seq: e.Seq, job: j})
 	if j.unsavedSince == 0 {
 		j.unsavedSince = now
 	}
@@ -71,6 +71,7 @@
 	}
 }
 
+// handleTaskEnd applies an ended run to its task.
 func (s *Shard) handleTaskEnd(now time.Duration, h *host, t *task, e worker.Ended) {
 	current := t.host == h && t.newestRun == e.Run && t.occupies()
 	if e.Run > t.newestRun {
@@ -92,17 +93,20 @@
 	s.reportOutcome(t)
 }
 
-// note tells the home of a transient submission how far a task is.
+// reportOutcome reports to the home VM of a transient submission that a task has completed, or how many
+// of its runs have failed.
 func (s *Shard) reportOutcome(t *task) {
 	if t.job.rec.Transient && !t.job.state.Final() && (t.state == taskCompleted || t.failures > 0) {
-		fails := t.failures
+		failures := t.failures
 		if t.state == taskCompleted {
-			fails = 0
+			failures = 0
 		}
-		s.actions.Outcomes = append(s.actions.Outcomes, OutcomeAction{Home: t.job.rec.Home, Task: t.ref, FailedRuns: fails})
+		s.actions.Outcomes = append(s.actions.Outcomes, OutcomeAction{Home: t.job.rec.Home, Task: t.ref, FailedRuns: failures})
 	}
 }
 
+// handleCompleted completes a task. current says that the run that has completed is the one that the
+// task is known to have.
 func (s *Shard) handleCompleted(now time.Duration, h *host, t *task, current bool) {
 	if current {
 		s.recordDuration(now, h, t)
@@ -125,8 +129,8 @@
 	s.removeIfDone(j)
 }
 
-// countFailure counts a failed run. A task whose runs have failed as often as the
-// queue allows ends its submission.
+// countFailure counts a failed run of a task, once. The submission fails when runs of one task have
+// failed as often as its queue allows.
 func (s *Shard) countFailure(now time.Duration, h *host, t *task, run uint64) {
 	if _, counted := t.countedFailures[run]; counted {
 		return
@@ -137,7 +141,7 @@
 	t.countedFailures[run] = struct{}{}
 	t.failures++
 	if first := t.job.firstFailedOn; first != nil && first != h {
-		first.health.ForgiveFailure(t.job.rec.ID) // it fails on several workers: the fault is its own
+		first.health.ForgiveFailure(t.job.rec.ID) // it fails on several workers, so they are not at fault
 	} else {
 		t.job.firstFailedOn = h
 		s.settings.Policy.RecordFailure(now, &h.health, t.job.rec.ID)
@@ -148,13 +152,13 @@
 	}
 }
 
-// compare holds what a worker lists as running against what should run there.
-func (s *Shard) reconcile(now time.Duration, h *host, sent time.Duration, l worker.Listing) {
+// reconcile compares the runs that a worker lists with the tasks that should run there.
+func (s *Shard) reconcile(now time.Duration, h *host, sentAt time.Duration, l worker.Listing) {
 	listed := make(map[submission.TaskRef]bool, len(l.Running))
 	for _, r := range l.Running {
 		listed[r.Task] = true
 		s.handleListedRun(now, h, r)
-		s.checkProgress(now, h, sent, r)
+		s.checkProgress(now, h, sentAt, r)
 	}
 	for ref := range h.strayRuns {
 		if !listed[ref] {
@@ -163,12 +167,12 @@
 	}
 	for _, t := range s.tasksOn(h) {
 		if !listed[t.ref] {
-			s.handleUnlisted(now, h, t, sent, l.Clock)
+			s.handleUnlisted(now, h, t, sentAt, l.Clock)
 		}
 	}
 }
 
-// found takes a run that a worker lists.
+// handleListedRun handles a run that a worker lists as running.
 func (s *Shard) handleListedRun(now time.Duration, h *host, r worker.Running) {
 	h.clearStart(r.Task, r.Run)
 	j, open := s.jobs[r.Task.ID]
@@ -193,13 +197,14 @@
 	case taskStarting, taskUnconfirmed, taskUnlocated:
 		s.setRunning(now, h, t)
 	case taskEnded, taskWaiting:
-		s.handleStrayRun(now, h, r) // a late order that was carried out all the same
+		s.handleStrayRun(now, h, r) // a start order that was carried out after its task was released
 	}
 }
 
+// setRunning records that the newest run of a task has begun on a worker.
 func (s *Shard) setRunning(now time.Duration, h *host, t *task) {
 	if t.state == taskUnlocated {
-		t.startedAt = 0 // how long it has run is not known
+		t.startedAt = 0 // an earlier holder started it at an unknown time
 	}
 	t.state = taskRunning
 	t.hasBegun = true
@@ -215,8 +220,9 @@
 	}
 }
 
-// stray stops a run that nobody wants. Soon after the worker was first reached the run
-// may be of a transient submission whose home has not handed it over yet.
+// handleStrayRun stops a run that belongs to no task here, or to one that must not run there. Within
+// handoverTimeout of the worker's first answer it only remembers the run, which may belong to a
+// transient submission that its home VM has not handed over yet.
 func (s *Shard) handleStrayRun(now time.Duration, h *host, r worker.Running) {
 	st, known := h.strayRuns[r.Task]
 	if !known || st.run != r.Run {
@@ -224,13 +230,13 @@
 	}
 	if !st.stopSent && now-h.firstAnswerAt >= handoverTimeout {
 		st.stopSent = true
-		s.actions.Stops = append(s.actions.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "no such run is wanted"})
+		s.actions.Stops = append(s.actions.Stops, StopAction{Worker: h.info, Task: r.Task, Run: r.Run, Reason: "the run belongs to no task that may run there"})
 	}
 	h.strayRuns[r.Task] = st
 }
 
-// resume makes the stray runs of a submission its own. One that is being stopped
-// still runs for some time: the task must not start before it is gone.
+// adoptStrayRuns assigns the worker's stray runs of a submission to its tasks. A run that is being stopped
+// still runs for some time, and its task must not start before it has ended.
 func (h *host) adoptStrayRuns(now time.Duration, s *Shard, j *job) {
 	for ref, st := range h.strayRuns {
 		t := j.task(ref.Task)
@@ -241,38 +247,39 @@
 		t.newestRun = st.run
 		if st.stopSent {
 			t.host = h
-			s.stopToRestart(now, t, "it was being stopped when its home handed it over")
+			s.stopToRestart(now, t, "the run was being stopped when its home handed the submission over")
 			continue
 		}
 		s.setRunning(now, h, t)
-		t.startedAt = 0 // how long it has run is not known
+		t.startedAt = 0 // an earlier holder started it at an unknown time
 	}
 }
 
-// void makes a run impossible, or ends it, so that its task can start elsewhere.
-func (s *Shard) stopToRestart(now time.Duration, t *task, why string) {
+// stopToRestart orders a stop of the newest run of a task, which also prevents a delayed start of it, so
+// that the task can then be started again.
+func (s *Shard) stopToRestart(now time.Duration, t *task, reason string) {
 	t.state = taskStoppingToRestart
 	t.stateSince = now
 	t.stopAckClock = 0
-	s.orderStop(t, why)
+	s.orderStop(t, reason)
 }
 
-// absent takes a run that a worker does not list, in an answer to a hold sent at
-// a time and given at a time of the worker's clock.
-func (s *Shard) handleUnlisted(now time.Duration, h *host, t *task, sent, clock time.Duration) {
+// handleUnlisted handles a task whose run its worker does not list. sentAt is when the hold was sent
+// that the listing answers, clock is the worker's clock when it answered.
+func (s *Shard) handleUnlisted(now time.Duration, h *host, t *task, sentAt, clock time.Duration) {
 	switch t.state {
 	case taskRunning:
-		// An answer counts only if its call left after the run was known: a hold that
-		// was waiting when the run began may answer without it.
-		if sent > t.stateSince && clock >= t.acceptClock {
+		// The listing counts only if the hold was sent after the run was known to have begun: the answer
+		// to a hold that was waiting when the run began may lack it.
+		if sentAt > t.stateSince && clock >= t.acceptClock {
 			s.release(now, t)
 		}
 	case taskUnconfirmed:
-		if sent >= t.stateSince {
+		if sentAt >= t.stateSince {
 			s.stopToRestart(now, t, "its start had no answer")
 		}
 	case taskStoppingToRestart, taskStoppingForGood:
-		if t.stopAckClock > 0 && sent >= t.stopAckAt && clock >= t.stopAckClock {
+		if t.stopAckClock > 0 && sentAt >= t.stopAckAt && clock >= t.stopAckClock {
 			s.release(now, t)
 		}
 	}
--- a/internal/kept/shard/replies.go
+++ b/internal/kept/shard/replies.go
@@ -7,10 +7,10 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// HandleStartReply takes the answer to a start.
+// HandleStartReply handles a worker's answer to a start order, or the lack of one.
 func (s *Shard) HandleStartReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
 	h, t := s.orderedTask(id, ref, run)
-	if h != nil && isNeverCarriedOut(r.Verdict) {
+	if h != nil && startRuledOut(r.Verdict) {
 		h.clearStart(ref, run)
 	}
 	if t == nil {
@@ -38,7 +38,7 @@
 		s.release(now, t)
 		s.endSubmission(now, t.job, submission.Failed, "a worker cannot read the task")
 	case worker.Fenced:
-		t.state = taskUnconfirmed // another holder decides; this one will learn it from the store
+		t.state = taskUnconfirmed // a newer holder decides; this one will learn of it from the store
 		t.stateSince = now
 	case worker.Replaced:
 		s.WorkerGone(now, id)
@@ -49,7 +49,8 @@
 	}
 }
 
-// HandleStopReply takes the answer to a stop. A stop without an answer is repeated.
+// HandleStopReply handles a worker's answer to a stop order, or the lack of one. A stop that was not
+// accepted is repeated.
 func (s *Shard) HandleStopReply(now time.Duration, id string, ref submission.TaskRef, run uint64, r worker.Reply) {
 	h, known := s.workers[id]
 	if !known {
@@ -65,7 +66,7 @@
 	_, t := s.orderedTask(id, ref, run)
 	if t == nil || t.state != taskStoppingToRestart && t.state != taskStoppingForGood {
 		if st := h.strayRuns[ref]; r.Verdict != worker.Accepted && st.run == run {
-			st.stopSent = false // the next listing repeats it
+			st.stopSent = false // the next listing of the run repeats the stop
 			h.strayRuns[ref] = st
 		}
 		return
@@ -76,10 +77,11 @@
 		s.actions.Probes = append(s.actions.Probes, id)
 		return
 	}
-	t.stateSince = now // Tick repeats it
+	t.stateSince = now // Tick repeats the stop
 }
 
-// order finds a task by an order that was given for it.
+// orderedTask returns the worker that an order was sent to, nil if it is not known, and the task that it
+// was for, nil unless the ordered run is still the task's newest one and on that worker.
 func (s *Shard) orderedTask(id string, ref submission.TaskRef, run uint64) (*host, *task) {
 	h, known := s.workers[id]
 	j, open := s.jobs[ref.ID]
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -272,13 +272,13 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
-		acked := h.ackedEnd
+		acked := h.ackedEndSeq
 		for len(h.unackedEnds) > 0 && h.unackedEnds[0].canBeAcked() {
-			acked = h.unackedEnds[0].n
+			acked = h.unackedEnds[0].seq
 			h.unackedEnds = h.unackedEnds[1:]
 		}
-		if acked != h.ackedEnd {
-			h.ackedEnd = acked
+		if acked != h.ackedEndSeq {
+			h.ackedEndSeq = acked
 			s.actions.Acks = append(s.actions.Acks, AckAction{Worker: id, UpTo: acked})
 		}
 	}
