--- a/internal/kept/vm/peercalls.go
+++ b/internal/kept/vm/peercalls.go
@@ -11,14 +11,14 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/relay"
 )
 
-// peerCalls makes calls of the store through peers.
+// peerCalls relays calls of the store through peers. It implements relay.Peers.
 type peerCalls struct {
 	mu           sync.Mutex
-	links        map[string]*link.Link
-	reachesStore map[string]bool // peers that say that the store answers them
-	seq          uint64
-	waiting      map[uint64]chan *pb.KeptReply
-	nextPeer     int
+	links        map[string]*link.Link         // by peer
+	reachesStore map[string]bool               // by peer: it says that the store answers it
+	seq          uint64                        // of the last call
+	waiting      map[uint64]chan *pb.KeptReply // calls in flight, by their seq
+	nextPeer     int                           // counts up, to spread calls over the peers
 }
 
 func newPeerCalls() *peerCalls {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Reach implements relay.Peers.
+// AnyReachesStore implements relay.Peers.
 func (p *peerCalls) AnyReachesStore() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// open picks a peer that reaches the store, in turn.
+// register assigns a call to one of the peers that reach the store; the link is nil if there is none.
 func (p *peerCalls) register() (*link.Link, uint64, chan *pb.KeptReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,12 +87,14 @@
 	return able[p.nextPeer%len(able)], p.seq, answer
 }
 
+// unregister ends the wait for a reply.
 func (p *peerCalls) unregister(seq uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, seq)
 }
 
+// deliver hands a reply to the call that waits for it, if any.
 func (p *peerCalls) deliver(r *pb.KeptReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,6 +104,7 @@
 	}
 }
 
+// setLink sets the link to a peer; nil removes the peer.
 func (p *peerCalls) setLink(name string, l *link.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,14 +116,15 @@
 	p.links[name] = l
 }
 
+// setReachesStore records whether a peer says that the store answers it.
 func (p *peerCalls) setReachesStore(name string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reachesStore[name] = ok
 }
 
-// serveRelayedCall makes a call for a peer, on the direct way only: a call that went
-// from peer to peer could go round in circles.
+// serveRelayedCall calls the store for a peer. It never relays the call through another peer, as
+// calls could then go round in circles.
 func (v *VM) serveRelayedCall(ctx context.Context, c *pb.KeptCall) *pb.KeptReply {
 	wait := min(time.Duration(c.WaitNs), maxRelayedWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -133,5 +137,5 @@
 	return out
 }
 
-// maxRelayedWait bounds what a peer may ask to wait for.
+// maxRelayedWait limits how long a relayed call may take, whatever the peer asks for.
 const maxRelayedWait = 5 * time.Second
