--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -17,42 +17,48 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// Times of watches and of the session.
+// Times of watches and of this VM's session in the store.
 const (
-	// An operator's change must be in force within some seconds, also when a watch has gone
-	// silent: it is asked anew after this part of them and the way's own bound (450 ms).
+	// catalogWaitShare is the longest wait of a watch of the configuration, as a fraction of
+	// Config.MaxCatalogDelay. A change must be in force within that delay even if a watch is
+	// never answered: it is repeated after this wait and the time-out of a call (450 ms).
 	catalogWaitShare    = 0.45
-	defaultCatalogDelay = 2 * time.Second // where the settings do not say
-	// Workers rewrite their entries at each heartbeat, so a watch of them comes back
-	// at once: without a pause 48 workers cost 32 calls a second at each holder.
+	defaultCatalogDelay = 2 * time.Second // replaces a Config.MaxCatalogDelay of 0
+
+	// maxWorkersPause is the longest pause between watches of the list of workers. Workers
+	// rewrite their entries at each heartbeat, so such a watch returns at once: without a pause,
+	// 48 workers cost 32 calls a second at each holder.
 	maxWorkersPause = 450 * time.Millisecond
-	// The longer the pause, the more comes at once, and what this VM says to its workers waits
-	// behind it: on a link of 2 Mbit/s the changes of 120 workers in 450 ms hold an order up for
-	// 0.1 s, twice as long as it waits for its answer. So the pause is as long as what comes in it
-	// fills the link for maxWorkersTransfer at most.
-	minWorkersPause      = 100 * time.Millisecond
-	maxWorkersTransfer   = 40 * time.Millisecond
+	// The longer the pause, the more changes arrive at once, and calls to workers wait behind
+	// them: on a link of 2 Mbit/s the changes of 120 workers in 450 ms delay an order by 0.1 s,
+	// twice its time-out. So the pause is limited such that the changes that gather in it occupy
+	// the link for maxWorkersTransfer at most.
+	minWorkersPause    = 100 * time.Millisecond
+	maxWorkersTransfer = 40 * time.Millisecond
+
 	siteWatchWait        = 1500 * time.Millisecond
-	rangeTimeout         = 2 * time.Second
-	watchBackoffStep     = 100 * time.Millisecond // after a failure, growing
+	rangeTimeout         = 2 * time.Second        // for a page of a range; for a watch, added to its wait
+	watchBackoffStep     = 100 * time.Millisecond // added to the backoff with each failure in a row
 	maxWatchBackoff      = 600 * time.Millisecond
 	sessionTTL           = 4 * time.Second
 	sessionRenewInterval = 1200 * time.Millisecond
 	sessionRetryInterval = 250 * time.Millisecond // after a renewal that failed
 )
 
-// follower keeps a copy of the keys under a prefix.
+// prefixWatcher follows the keys under a prefix of the store.
 type prefixWatcher struct {
-	vm         *VM
-	prefix     string
-	maxWait    time.Duration
-	pause      func(pace time.Duration, events []store.Event) time.Duration // after an answer with changes, made so soon; nil: none
-	onSnapshot func(sent time.Duration, revision uint64, items []store.Item)
-	onChanges  func(sent time.Duration, events []store.Event)
+	vm      *VM
+	prefix  string
+	maxWait time.Duration // of the store for a change, before it answers that there is none
+	// pause is how long to wait after changes, so that more gather; gathered is the time in which these
+	// did. nil: no pause.
+	pause      func(gathered time.Duration, events []store.Event) time.Duration
+	onSnapshot func(sent time.Duration, revision uint64, items []store.Item) // called with all keys
+	onChanges  func(sent time.Duration, events []store.Event)                // called with each answer of a watch, also without changes
 }
 
-// run reads the whole prefix, then its changes, and begins again when the history
-// is lost.
+// run reads the whole prefix and then watches its changes. It starts again when the store no longer has
+// the history.
 func (f *prefixWatcher) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -66,7 +72,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		klog.V(1).InfoS("kept: a watch begins again", "prefix", f.prefix, "why", err)
+		klog.V(1).InfoS("kept: watch restarted", "prefix", f.prefix, "why", err)
 		if errors.Is(err, store.ErrCompacted) {
 			continue
 		}
@@ -75,6 +81,7 @@
 	}
 }
 
+// watchChanges watches the changes after a revision until ctx ends or the history is lost.
 func (f *prefixWatcher) watchChanges(ctx context.Context, rev uint64) error {
 	failures := 0
 	answered := f.vm.now()
@@ -102,7 +109,7 @@
 }
 
 // readAll reads the keys under a prefix, page by page. The revision is that of the
-// first page: what changed while the others were read comes again as events.
+// first page: a watch from there repeats changes made while the others were read.
 func (v *VM) readAll(ctx context.Context, prefix string, stale bool) (items []store.Item, rev uint64, err error) {
 	after := ""
 	for {
@@ -123,22 +130,19 @@
 	}
 }
 
-// rest waits after so many failures in a row.
+// backOff waits after a number of failures in a row.
 func backOff(ctx context.Context, failures int) {
 	pause.For(ctx, min(time.Duration(failures)*watchBackoffStep, maxWatchBackoff))
 }
 
-// What all VMs of a site together may spend on following its changes, as a share of the reads that the
-// store serves, and the most that a change may wait for it.
-//
-// Each change wakes the watch of each VM, and there are the more changes the more VMs there are: calls grow
-// with the square of the site.
+// Limits of the watches of the site's keys. Each change wakes the watch of each VM, and more VMs make more
+// changes, so the calls grow with the square of the number of VMs.
 const (
-	siteReadShare = 0.05
-	maxSitePause  = 500 * time.Millisecond
+	siteReadShare = 0.05                   // of the reads that the store serves, for the watches of all VMs together
+	maxSitePause  = 500 * time.Millisecond // longest delay of a change to stay within siteReadShare
 )
 
-// sitePause is how long changes of the site may gather after some were read.
+// sitePause returns how long to wait after changes of the site, so that more gather.
 func (v *VM) sitePause(time.Duration, []store.Event) time.Duration {
 	vms := v.relaxedSiteSize.Load()
 	if vms == 0 || v.config.StoreReadsPerSecond <= 0 {
@@ -147,6 +151,7 @@
 	return min(time.Duration(float64(vms)/(siteReadShare*v.config.StoreReadsPerSecond)*float64(time.Second)), maxSitePause)
 }
 
+// watchSite watches the keys of the site: members, domains and shards.
 func (v *VM) watchSite(ctx context.Context) {
 	f := &prefixWatcher{vm: v, prefix: site.Prefix, maxWait: siteWatchWait, pause: v.sitePause}
 	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
@@ -158,6 +163,7 @@
 	f.run(ctx)
 }
 
+// watchCatalog watches the configuration and the operators' requests for evacuations.
 func (v *VM) watchCatalog(ctx context.Context) {
 	take := func(it store.Item) {
 		if it.Key != v.config.StoreLayout.CatalogKey {
@@ -165,7 +171,7 @@
 		}
 		c, err := v.config.StoreLayout.DecodeCatalog(it)
 		if err != nil {
-			klog.ErrorS(err, "kept: the configuration cannot be read; the one in force stays", "revision", it.Revision)
+			klog.ErrorS(err, "kept: configuration cannot be decoded, keeping the one in force", "revision", it.Revision)
 			return
 		}
 		old := v.catalog.Load()
@@ -194,25 +200,25 @@
 	f.run(ctx)
 }
 
-// entryOverhead is what an entry takes on the wire beside its value, in bytes: its key, its
-// revision and their names.
+// entryOverhead is the size of an entry on the wire without its value, in bytes: its key, its
+// revision and the names of the fields.
 const entryOverhead = 100
 
-// maxWorkersPause is how long the changes of the list of workers may gather, after some that came in
-// a time.
-func (v *VM) workersPause(in time.Duration, events []store.Event) time.Duration {
-	if v.config.LinkBytesPerSecond <= 0 || in <= 0 {
+// workersPause returns how long to wait after changes of the list of workers, so that more gather.
+// gathered is the time in which these changes did.
+func (v *VM) workersPause(gathered time.Duration, events []store.Event) time.Duration {
+	if v.config.LinkBytesPerSecond <= 0 || gathered <= 0 {
 		return maxWorkersPause
 	}
 	bytes := 0
 	for _, e := range events {
 		bytes += base64.StdEncoding.EncodedLen(len(e.Value)) + entryOverhead
 	}
-	fills := time.Duration(float64(bytes) / v.config.LinkBytesPerSecond * float64(time.Second))
-	return min(max(time.Duration(float64(maxWorkersTransfer)*float64(in)/float64(fills)), minWorkersPause), maxWorkersPause)
+	transfer := time.Duration(float64(bytes) / v.config.LinkBytesPerSecond * float64(time.Second))
+	return min(max(time.Duration(float64(maxWorkersTransfer)*float64(gathered)/float64(transfer)), minWorkersPause), maxWorkersPause)
 }
 
-// setReadWorkers says whether this VM is to read the list of workers. The newest word counts.
+// setReadWorkers starts or stops the watch of the list of workers. The latest call counts.
 func (v *VM) setReadWorkers(on bool) {
 	select {
 	case <-v.readWorkersRequests:
@@ -221,7 +227,7 @@
 	v.readWorkersRequests <- on
 }
 
-// watchWorkers follows the list of workers while this VM is to read it.
+// watchWorkers watches the list of workers while setReadWorkers says so.
 func (v *VM) watchWorkers(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -250,17 +256,18 @@
 	}
 }
 
+// watchWorkerList watches the list of workers until ctx ends, and posts the whole list after each answer.
 func (v *VM) watchWorkerList(ctx context.Context) {
 	list := make(map[string]worker.Info)
 	take := func(it store.Item) {
 		info, ok := v.decodeEntry(it)
 		switch known, there := list[it.Key]; {
 		case ok && there && known.Incarnation().Succeeds(info.Incarnation()):
-			// The earlier incarnation's, which came late.
+			// A late entry of an earlier incarnation is ignored.
 		case ok && (info.Born > 0 || known.Born == 0):
 			list[it.Key] = info
 		case there:
-			// What it says now names no worker to use; what runs there is still held.
+			// The entry no longer describes a usable worker. Its runs go on, and nothing new starts there.
 			known.Leaving = true
 			list[it.Key] = known
 		}
@@ -286,12 +293,12 @@
 				take(e.Item)
 			}
 		}
-		send(sent) // an answer without changes says that the list stands
+		send(sent) // also without changes: that renews the age of the list
 	}
 	f.run(ctx)
 }
 
-// keepSession keeps this VM's leased key in the store.
+// keepSession keeps this VM's member key, which has a lease, in the store.
 func (v *VM) keepSession(ctx context.Context) {
 	self := site.Member{
 		Name:        v.config.Name,
@@ -348,15 +355,15 @@
 	return nil
 }
 
-// endSession takes this VM's key away, so that nobody hands it a shard while it stops.
-// Its links stand, and it serves its callers on.
+// endSession deletes this VM's member key, so that no VM hands it a shard while it stops.
+// Its links stay open, and it goes on serving its callers.
 func (v *VM) endSession(ctx context.Context, lease uint64) error {
 	if err := v.store.Revoke(ctx, lease); err != nil {
-		klog.InfoS("kept: session not ended, its key lapses by itself", "why", err)
+		klog.InfoS("kept: lease of the session not revoked, its key expires by itself", "why", err)
 	}
 	return errStopping
 }
 
-var errStopping = errors.New("this VM stops")
+var errStopping = errors.New("this VM is stopping")
 
-var errSessionKeyDeleted = errors.New("the key is gone though its lease stands")
+var errSessionKeyDeleted = errors.New("the session's key was deleted while its lease is valid")
