--- a/internal/kept/journal/journal.go
+++ b/internal/kept/journal/journal.go
@@ -225,25 +225,25 @@
 // resolveConflict ends the rows that are in conflict or already written and returns the others. items are the
 // current items of the transaction's conditions.
 func resolveConflict(batch []*Row, items []store.Item) []*Row {
-	now := make(map[string]store.Item, len(items))
+	current := make(map[string]store.Item, len(items))
 	for _, it := range items {
-		now[it.Key] = it
+		current[it.Key] = it
 	}
 	rest := batch[:0:0]
 	for _, r := range batch {
-		switch rev, own := writtenRevision(r, now); {
-		case own:
+		switch rev, written := writtenRevision(r, current); {
+		case written:
 			r.Done(Result{Outcome: Stored, Revision: rev, Attempts: r.attempts})
-		case conditionsHold(r, now):
+		case conditionsHold(r, current):
 			rest = append(rest, r)
 		default:
-			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, now), Attempts: r.attempts})
+			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, current), Attempts: r.attempts})
 		}
 	}
 	if len(rest) == len(batch) {
 		// The conflict concerns none of the rows: retrying would never end.
 		for _, r := range rest {
-			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, now), Attempts: r.attempts})
+			r.Done(Result{Outcome: Conflict, Items: conditionItems(r, current), Attempts: r.attempts})
 		}
 		return nil
 	}
@@ -257,9 +257,9 @@
 // unknown to the journal (see package relay). If the value were taken for somebody else's change, the
 // holder of a submission would drop it after storing its progress and acknowledge all ends
 // of its tasks, and the next holder would run them again.
-func writtenRevision(r *Row, now map[string]store.Item) (uint64, bool) {
+func writtenRevision(r *Row, current map[string]store.Item) (uint64, bool) {
 	for _, p := range r.Txn.Put {
-		it, known := now[p.Key]
+		it, known := current[p.Key]
 		if !known || it.Revision == 0 || !bytes.Equal(it.Value, p.Value) {
 			continue
 		}
@@ -271,9 +271,9 @@
 func (r *Row) conditions() []store.Condition { return slices.Concat(r.Guards, r.Txn.Expect) }
 
 // conditionsHold reports whether all conditions of a row hold for the current items.
-func conditionsHold(r *Row, now map[string]store.Item) bool {
+func conditionsHold(r *Row, current map[string]store.Item) bool {
 	for _, c := range r.conditions() {
-		if now[c.Key].Revision != c.Revision {
+		if current[c.Key].Revision != c.Revision {
 			return false
 		}
 	}
@@ -281,10 +281,10 @@
 }
 
 // conditionItems returns the current items of a row's conditions.
-func conditionItems(r *Row, now map[string]store.Item) []store.Item {
+func conditionItems(r *Row, current map[string]store.Item) []store.Item {
 	var out []store.Item
 	for _, c := range r.conditions() {
-		out = append(out, now[c.Key])
+		out = append(out, current[c.Key])
 	}
 	return out
 }
--- a/internal/kept/relay/relay_test.go
+++ b/internal/kept/relay/relay_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// transport is a fake Transport and Peers.
-type transport struct {
-	status int
-	silent bool
-	reach  bool
-	calls  int
+// fakeTransport is a fake Transport and Peers.
+type fakeTransport struct {
+	status       int
+	silent       bool
+	reachesStore bool
+	calls        int
 }
 
-func (w *transport) Do(ctx context.Context, _ Call) (Reply, error) {
-	w.calls++
-	if w.silent {
+func (t *fakeTransport) Do(ctx context.Context, _ Call) (Reply, error) {
+	t.calls++
+	if t.silent {
 		<-ctx.Done()
 		return Reply{}, ctx.Err()
 	}
-	return Reply{Status: w.status}, nil
+	return Reply{Status: t.status}, nil
 }
 
-func (w *transport) AnyReachesStore() bool { return w.reach }
+func (t *fakeTransport) AnyReachesStore() bool { return t.reachesStore }
 
-func withRouter(t *testing.T, test func(r *Router, direct, peers *transport)) {
+func withRouter(t *testing.T, test func(r *Router, direct, peers *fakeTransport)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		direct, peers := &transport{status: 200}, &transport{status: 200, reach: true}
+		direct, peers := &fakeTransport{status: 200}, &fakeTransport{status: 200, reachesStore: true}
 		test(New(direct, peers, func() time.Duration { return time.Hour + time.Since(began) }), direct, peers)
 	})
 }
@@ -43,7 +43,7 @@
 
 // Guards against a VM that refuses its callers because the store refuses it, although the store serves a peer.
 func TestCallsOfARefusedVMGoThroughPeers(t *testing.T) {
-	withRouter(t, func(r *Router, direct, peers *transport) {
+	withRouter(t, func(r *Router, direct, peers *fakeTransport) {
 		direct.status = 503
 		for range 3 {
 			if status, err := do(r); status != 200 || err != nil {
@@ -65,7 +65,7 @@
 }
 
 func TestSilentStoreIsReplacedByAPeerInTime(t *testing.T) {
-	withRouter(t, func(r *Router, direct, _ *transport) {
+	withRouter(t, func(r *Router, direct, _ *fakeTransport) {
 		direct.silent = true
 		began := time.Now()
 		if status, err := do(r); status != 200 || err != nil {
@@ -82,8 +82,8 @@
 }
 
 func TestStoreIsDownWhenNobodyAnswers(t *testing.T) {
-	withRouter(t, func(r *Router, direct, peers *transport) {
-		direct.status, peers.reach = 503, false
+	withRouter(t, func(r *Router, direct, peers *fakeTransport) {
+		direct.status, peers.reachesStore = 503, false
 		if status, _ := do(r); status != 503 {
 			t.Errorf("status %d", status)
 		}
@@ -101,7 +101,7 @@
 // Guards against calls that go through peers for a second after a handover of a shard: a call that its
 // caller cancelled must not count as a failure of the store.
 func TestCancelledCallIsNoFailureOfTheStore(t *testing.T) {
-	withRouter(t, func(r *Router, direct, peers *transport) {
+	withRouter(t, func(r *Router, direct, peers *fakeTransport) {
 		direct.silent = true
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, cancel)
@@ -120,7 +120,7 @@
 // be returned for both.
 func TestRefusalIsNotReturnedIfAnotherAttemptIsUnanswered(t *testing.T) {
 	for _, silent := range []string{"peer", "direct"} {
-		withRouter(t, func(r *Router, direct, peers *transport) {
+		withRouter(t, func(r *Router, direct, peers *fakeTransport) {
 			direct.status, peers.status = 503, 503
 			direct.silent, peers.silent = silent == "direct", silent == "peer"
 			for range 3 {
@@ -135,7 +135,7 @@
 
 // A call that was not sent to any peer cannot have been carried out by one.
 func TestCallThatWasNotSentIsNotInDoubt(t *testing.T) {
-	withRouter(t, func(r *Router, direct, _ *transport) {
+	withRouter(t, func(r *Router, direct, _ *fakeTransport) {
 		direct.status = 503
 		r.peers = noPeer{}
 		if status, err := do(r); status != 503 || err != nil {
