--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// storeCancel replaces the record of an unfinished submission by its cancellation.
-// It returns the final state, or Unknown if there is no such submission.
+// storeCancel replaces the record of an unfinished submission by the final state Cancelled, and retries until
+// cancelTimeout. It returns the final state, or Unknown if there is no such submission.
 func (v *VM) storeCancel(ctx context.Context, id submission.ID) (submission.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -46,6 +46,7 @@
 	}
 }
 
+// cancelTimeout limits the writes of a cancellation.
 const cancelTimeout = 1400 * time.Millisecond
 
 type cancelledEvent struct {
@@ -57,7 +58,7 @@
 
 func (ev cancelledEvent) apply(e *engine) {
 	if ev.err != nil {
-		klog.InfoS("kept: cancellation not stored", "id", ev.id, "why", ev.err)
+		klog.InfoS("kept: could not store a cancellation", "id", ev.id, "why", ev.err)
 		ev.reply <- StateAnswer{Err: ErrUnavailable}
 		return
 	}
@@ -75,7 +76,7 @@
 	}
 }
 
-// cancelInOwnShards ends what shards of this VM have of a submission.
+// cancelInOwnShards cancels a submission in the shards that this VM holds, or in the one that ref names.
 func (e *engine) cancelInOwnShards(ref *pb.KeptRef) {
 	for name, h := range e.shards {
 		if ref.Shard == "" || ref.Shard == name {
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -17,14 +17,16 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// An operator evacuates a failure domain by a key in the store, for as long as the key is there.
-// A VM learns it three ways, of which the newest revision counts: its watch of the configuration,
-// its peers, who pass on each change, and a question of its own before the first start at a shard
-// that it has taken. A watch that is silent, or a VM that the store turns away, leaves the peers; a
-// VM that has just started has neither, and would start work where an evacuation has long been
-// acknowledged.
+// An operator evacuates a failure domain by writing a key to the store; the domain stays evacuated for as
+// long as the key exists. A VM learns of evacuations in three ways, and the newest revision of the key counts:
+//
+//   - its watch of the configuration;
+//   - its peers, which pass on each change: they reach a VM whose watch is silent or which cannot use the store;
+//   - a read of its own before the first start at a shard that it has just taken over: a VM that has just
+//     started has heard nothing by the other two ways, and would start tasks in a domain whose evacuation was
+//     acknowledged long ago.
 
-// evacuatedDomain is the domain whose evacuation a key asks for.
+// evacuatedDomain returns the domain that a key of the store evacuates.
 func (v *VM) evacuatedDomain(key string) (domain string, ok bool) {
 	prefix := v.config.StoreLayout.EvacuationPrefix
 	domain, ok = strings.CutPrefix(key, prefix)
@@ -51,7 +53,7 @@
 	return out
 }
 
-// readEvacuations asks the store for all evacuations; nil if the site has none by its settings.
+// readEvacuations reads all evacuations from the store; nil if the settings name no prefix for them.
 func (v *VM) readEvacuations(ctx context.Context) (*evacuationsEvent, error) {
 	if v.config.StoreLayout.EvacuationPrefix == "" {
 		return nil, nil
@@ -75,16 +77,16 @@
 	e.applyEvacuations(changed, "the store")
 }
 
-// receiveEvacuations takes what a peer passes on.
-func (e *engine) receiveEvacuations(from string, told []*pb.KeptEvacuation) {
-	notices := make([]evacuation.Notice, len(told))
-	for i, w := range told {
+// receiveEvacuations applies evacuations that a peer passes on.
+func (e *engine) receiveEvacuations(from string, received []*pb.KeptEvacuation) {
+	notices := make([]evacuation.Notice, len(received))
+	for i, w := range received {
 		notices[i] = evacuation.Notice{Domain: w.Domain, Revision: w.Revision, Evacuated: w.Evacuated}
 	}
 	e.applyEvacuations(e.evacuations.ApplyAll(notices), from)
 }
 
-// applyEvacuations puts changes in force at the shards of this VM, and passes them on.
+// applyEvacuations enforces changed evacuations at the shards of this VM, and passes them on to the peers.
 func (e *engine) applyEvacuations(domains []string, from string) {
 	if len(domains) == 0 {
 		return
@@ -102,12 +104,12 @@
 	}
 }
 
-// setEvacuated has a shard start nothing while its domain is evacuated.
+// setEvacuated tells a shard whether its domain is evacuated. While it is, the shard starts nothing.
 func (e *engine) setEvacuated(h *heldShard) {
 	h.core.SetEvacuated(e.now, e.evacuations.Evacuated(site.DomainOf(h.holding.Shard)))
 }
 
-// sendEvacuations tells a peer the newest notice about each domain.
+// sendEvacuations sends a peer the newest notice about each domain.
 func (e *engine) sendEvacuations(peer string) {
 	notices := e.evacuations.Notices()
 	if len(notices) == 0 {
@@ -149,40 +151,40 @@
 	return out
 }
 
-// reassignReturned gives tasks that a holder has given back to other shards. They keep their place in
-// the order: their objective runs from when the submission came.
-func (e *engine) reassignReturned(t *transientSubmission, p *part, told []shard.ReturnedTask) {
-	var back []shard.ReturnedTask
-	for _, r := range told {
-		if p.record.HasTask(r.Task) { // else it was given to another shard before
-			back = append(back, r)
+// reassignReturned assigns tasks that a holder has returned to other shards. They do not lose their place in
+// the order, as their objective counts from when the submission was received.
+func (e *engine) reassignReturned(t *transientSubmission, p *part, reported []shard.ReturnedTask) {
+	var returned []shard.ReturnedTask
+	for _, r := range reported {
+		if p.record.HasTask(r.Task) { // otherwise it was reassigned before
+			returned = append(returned, r)
 			t.started = t.started || r.Run > 0
 		}
 	}
-	if len(back) == 0 {
+	if len(returned) == 0 {
 		return
 	}
-	e.vm.metrics.sentAway.Inc(int64(len(back)))
-	left := *p.record // the holder may be this VM, with the same record
-	left.TasksElsewhere = slices.Clone(left.TasksElsewhere)
-	for _, r := range back {
-		left.TasksElsewhere = append(left.TasksElsewhere, r.Task)
+	e.vm.metrics.sentAway.Inc(int64(len(returned)))
+	remaining := *p.record // a copy, as the holder may be this VM and use the same record
+	remaining.TasksElsewhere = slices.Clone(remaining.TasksElsewhere)
+	for _, r := range returned {
+		remaining.TasksElsewhere = append(remaining.TasksElsewhere, r.Task)
 	}
-	p.record = &left
-	t.unassigned = append(t.unassigned, unassignedTasks{record: p.record, tasks: back})
+	p.record = &remaining
+	t.unassigned = append(t.unassigned, unassignedTasks{record: p.record, tasks: returned})
 	e.placeUnassigned(t)
 }
 
 // unassignedTasks are tasks of a transient submission that no shard has.
 type unassignedTasks struct {
-	record *submission.Record // of the part that they were of
+	record *submission.Record // of the part that they belonged to
 	tasks  []shard.ReturnedTask
 }
 
-// placeUnassigned gives tasks that no shard has to those that may start them. A shard has one
-// unfinished part of a submission at most, so some may have to wait for the end of another part.
-// Where no shard may start anything, the callers are told at once: that it has not run only if
-// that is certain.
+// placeUnassigned assigns unassigned tasks to shards that may start them. A shard has at most one unfinished
+// part of a submission, so some tasks may have to wait for the end of another part. If no shard may start
+// them, the callers are answered at once; they are told that the submission has not run only if that is
+// certain.
 func (e *engine) placeUnassigned(t *transientSubmission) {
 	for len(t.unassigned) > 0 {
 		all := e.eligibleShards(t.record)
@@ -192,33 +194,33 @@
 		}
 		shards := slices.DeleteFunc(all, func(c policy.Candidate) bool { return t.hasUnfinishedPart(c.Shard) })
 		if len(shards) == 0 {
-			return // until another part has ended
+			return // try again when another part has ended
 		}
-		lost := t.unassigned[0]
+		group := t.unassigned[0]
 		t.unassigned = t.unassigned[1:]
-		e.placeTasks(t, lost, shards)
+		e.placeTasks(t, group, shards)
 	}
 }
 
-// hasUnfinishedPart reports whether a shard has a part of which tasks are to be done, there or, as it was
-// rejected, elsewhere: that part must not be replaced.
+// hasUnfinishedPart reports whether a shard has a part that is not done. Such a part must not be replaced,
+// even if it was rejected: its tasks are still to be assigned to another shard.
 func (t *transientSubmission) hasUnfinishedPart(shard string) bool {
 	p := t.part(shard)
 	return p != nil && p.state != submission.Done
 }
 
-// endUnassigned ends a submission of which nobody may start what is left.
+// endUnassigned ends a submission if no shard may start its unassigned tasks.
 func (e *engine) endUnassigned(t *transientSubmission) {
 	switch {
 	case t.anyStarted():
-		e.giveUp(t, "its failure domains are evacuated")
+		e.giveUp(t, "no shard may start its remaining tasks, failure domains are evacuated or out of reach")
 	case t.assignedTaskCount() == 0:
 		e.refuseTransient(t, policy.AllDomainsEvacuated)
-	default: // what another shard has of it begins, or comes back
+	default: // another shard has a part, which will start or be returned
 	}
 }
 
-// assignedTaskCount is the number of tasks that shards have.
+// assignedTaskCount counts the tasks that are assigned to shards.
 func (t *transientSubmission) assignedTaskCount() int {
 	n := 0
 	for _, p := range t.parts {
@@ -227,10 +229,11 @@
 	return n
 }
 
-func (e *engine) placeTasks(t *transientSubmission, lost unassignedTasks, shards []policy.Candidate) {
-	tasks := lost.tasks
-	for _, portion := range e.vm.config.Policy.Split(shards, len(tasks), isDivisible(lost.record), longestEstimate(lost.record)) {
-		rec := partialRecord(lost.record, tasks[:portion.Tasks])
+// placeTasks splits a group of unassigned tasks over shards and sends each shard its part.
+func (e *engine) placeTasks(t *transientSubmission, group unassignedTasks, shards []policy.Candidate) {
+	tasks := group.tasks
+	for _, portion := range e.vm.config.Policy.Split(shards, len(tasks), isDivisible(group.record), longestEstimate(group.record)) {
+		rec := partialRecord(group.record, tasks[:portion.Tasks])
 		tasks = tasks[portion.Tasks:]
 		rec.Shard = portion.Shard
 		rec.Serial = e.nextSerial()
@@ -238,30 +241,30 @@
 		t.addPart(p)
 		l := e.loads[p.shard]
 		l.sentMilli += int64(portion.Tasks) * largestTaskMilli(rec)
-		klog.InfoS("kept: given to another shard", "id", t.record.ID, "from", lost.record.Shard, "shard", p.shard,
+		klog.InfoS("kept: returned tasks assigned to another shard", "id", t.record.ID, "from", group.record.Shard, "shard", p.shard,
 			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.now-t.receivedAt)
 		e.sendPart(t, p, l)
 	}
 }
 
-// replace adds a part, in the place of one that its shard has completed.
+// addPart adds a part. It replaces the part that the same shard has completed, if any.
 func (t *transientSubmission) addPart(p *part) {
-	// Others may be going through the parts now.
+	// A copy, as a caller may be iterating over the parts.
 	parts := slices.DeleteFunc(slices.Clone(t.parts), func(old *part) bool { return old.shard == p.shard })
 	t.started = t.started || len(parts) < len(t.parts)
 	t.parts = append(parts, p)
 }
 
-// partialRecord makes the record of a part of returned tasks.
-func partialRecord(from *submission.Record, mine []shard.ReturnedTask) *submission.Record {
+// partialRecord makes the record of a part that consists of some returned tasks.
+func partialRecord(from *submission.Record, returned []shard.ReturnedTask) *submission.Record {
 	rec := *from
 	rec.TasksElsewhere = nil
 	rec.Token = 0
 	rec.Partial = true
 	rec.Progress = submission.Progress{}
-	names := make([]submission.Task, len(mine))
-	for i, r := range mine {
-		names[i] = r.Task
+	included := make([]submission.Task, len(returned))
+	for i, r := range returned {
+		included[i] = r.Task
 		rec.MaxRunElsewhere = max(rec.MaxRunElsewhere, r.Run)
 		if r.FailedRuns > 0 {
 			rec.Progress.RecordOutcome(r.Task, r.FailedRuns)
@@ -269,26 +272,27 @@
 		rec.Progress.RecordLosses(r.Task, r.Losses)
 	}
 	for _, task := range rec.AllTasks() {
-		if !slices.Contains(names, task) {
+		if !slices.Contains(included, task) {
 			rec.TasksElsewhere = append(rec.TasksElsewhere, task)
 		}
 	}
 	return &rec
 }
 
-// completeReturned takes that a holder has nothing left of a part: what it kept has completed.
+// completeReturned handles a part whose holder has returned some tasks and completed the others.
 func (e *engine) completeReturned(t *transientSubmission, p *part) {
 	p.state = submission.Done
 	if p.record.TaskCount() == 0 {
-		// The shard may be given another part later. Others may be going through the parts now.
+		// Without tasks the part is dropped, so that the shard can get another part. A copy, as a caller may
+		// be iterating over the parts.
 		t.parts = slices.DeleteFunc(slices.Clone(t.parts), func(other *part) bool { return other == p })
 	}
 	e.completeIfDone(t)
 }
 
-// storeReassign writes a stored submission, of which nothing runs, under a shard that may start it. The
-// write demands that its record is unchanged and that neither shard has changed hands: the next
-// holder of the old one could have started it.
+// storeReassign writes the record of a stored submission, of which nothing runs, under a shard that may start
+// it. The write requires that the record is unchanged and that both shards still have the same holders: a
+// new holder of the old shard could have started the submission.
 func (e *engine) storeReassign(name string, h *heldShard, m shard.ReassignAction) {
 	rec := m.Record
 	shards := e.eligibleShards(rec)
@@ -320,14 +324,14 @@
 func (ev reassignStoredEvent) apply(e *engine) {
 	h := e.shards[ev.shard]
 	if h == nil || h.holding.Token != ev.token {
-		return // the next holder finds it in the store, under one shard or the other
+		return // the new holder finds the record in the store, under the old shard or the new one
 	}
 	rec := ev.record
 	switch {
 	case ev.result.Outcome == journal.Stored:
 		h.core.Reassigned(e.now, rec.ID, ev.result.Revision)
 		e.vm.metrics.sentAway.Inc(1)
-		klog.InfoS("kept: sent away from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
+		klog.InfoS("kept: submission reassigned from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
 			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.TaskCount())
 		if own := e.tracked[rec.ID]; own != nil {
 			own.shard = rec.Shard
@@ -340,7 +344,7 @@
 	}
 }
 
-// recordChanged reports whether the write failed as the submission was cancelled or ended.
+// recordChanged reports whether the write failed because the submission was cancelled or had ended.
 func (ev reassignStoredEvent) recordChanged() bool {
 	return slices.ContainsFunc(ev.result.Items, func(it store.Item) bool {
 		return it.Key == submission.OpenKey(ev.record.ID) && it.Revision != ev.oldRevision
--- a/internal/kept/vm/losses.go
+++ b/internal/kept/vm/losses.go
@@ -26,20 +26,20 @@
 	return out
 }
 
-// logLosses logs and counts workers that were lost with tasks on them, and tasks given up for it.
+// logLosses logs and counts workers that were lost while tasks ran on them, and tasks that were given up for it.
 func (e *engine) logLosses(name string, a shard.Actions) {
 	for _, l := range a.WorkerLosses {
 		e.vm.metrics.countLostTasks(l.Unrelated, l.Tasks)
-		klog.InfoS("kept: worker lost under tasks", "worker", l.Worker, "shard", name, "tasks", l.Tasks, "others_lost_too", l.Unrelated)
+		klog.InfoS("kept: worker lost while tasks ran on it", "worker", l.Worker, "shard", name, "tasks", l.Tasks, "others_lost_too", l.Unrelated)
 	}
 	for _, g := range a.GivenUp {
 		e.vm.metrics.tasksGivenUp.Inc(1)
-		klog.InfoS("kept: task given up, the workers that start it are lost", "id", g.Task.ID, "step", g.Task.Step, "index", g.Task.Index,
+		klog.InfoS("kept: task given up, workers were lost while it ran", "id", g.Task.ID, "step", g.Task.Step, "index", g.Task.Index,
 			"shard", name, "losses", fmt.Sprintf("%+v", g.Losses))
 	}
 }
 
-// reportTaskLosses tells a submission's home which workers were lost under a task.
+// reportTaskLosses tells the home VM of a submission which workers were lost while a task ran on them.
 func (e *engine) reportTaskLosses(a shard.TaskLossesAction) {
 	if a.Home == e.vm.config.Name {
 		e.applyTaskLosses(a.Task, a.Losses)
@@ -54,7 +54,7 @@
 	})
 }
 
-// applyTaskLosses keeps which workers were lost under a task, for the next holder.
+// applyTaskLosses records which workers were lost while a task ran on them, for the next holder.
 func (e *engine) applyTaskLosses(ref submission.TaskRef, losses []submission.Loss) {
 	e.updateProgress(ref, func(p *submission.Progress) { p.RecordLosses(ref.Task, losses) })
 }
