--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -10,22 +10,22 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// host is a worker as its holder sees it.
+// host is what the shard knows about one incarnation of a worker.
 type host struct {
 	info                worker.Info
-	incarnation         string // as it was first known here; names its losses
+	incarnation         string // its name when the worker was first known here; losses are recorded under it
 	origin              Origin
-	hasAnswered         bool          // has answered under this token
-	firstAnswerAt       time.Duration // when it did first
-	missingSince        time.Duration // since when it is not in the list of workers; 0: it is there
-	newestListingSentAt time.Duration // when its newest listing was asked for
+	hasAnswered         bool          // it has listed its runs under this token
+	firstAnswerAt       time.Duration // when it first did
+	missingSince        time.Duration // when it left the list of workers; 0: it is in the list
+	newestListingSentAt time.Duration // when the hold was sent that its newest listing answered
 	newestClock         time.Duration // the worker's clock at its newest listing
-	ackedEndSeq         uint64        // ends acknowledged
-	newestEndSeq        uint64        // ends taken into account
-	unackedEnds         []unackedEnd  // taken into account and not acknowledged, by number
-	fullUntil           time.Duration // it refused a run for want of room
-	unavailableUntil    time.Duration // it refused a run as it is not in order
-	leaseExpired        bool          // it did not answer until its lease was over, and has not answered since
+	ackedEndSeq         uint64        // number of the last ended run that is acknowledged
+	newestEndSeq        uint64        // number of the last ended run that is processed
+	unackedEnds         []unackedEnd  // processed and not acknowledged, by number
+	fullUntil           time.Duration // end of the backoff after it refused a run for lack of room
+	unavailableUntil    time.Duration // end of the backoff after it refused a run as unavailable
+	leaseExpired        bool          // its lease expired without an answer, and it has not answered since
 	health              policy.WorkerHealth
 	strayRuns           map[submission.TaskRef]strayRun
 	unlistedStarts      unlistedStarts
@@ -43,35 +43,39 @@
 	}
 }
 
+// unackedEnd is an ended run that is processed and not yet acknowledged.
 type unackedEnd struct {
 	seq    uint64
-	job    *job // nil: of a submission that is not open
-	saving bool // in the progress that is being stored
-	saved  bool
+	job    *job // nil: of a submission that is not known here
+	saving bool // part of the progress that is being stored
+	saved  bool // part of the progress that has been stored
 }
 
-// settled reports whether an end may be acknowledged. That of a transient submission
-// may be at once: its home is told, and the caller waits there.
+// canBeAcked reports whether the end may be acknowledged. The end of a transient submission's run may be
+// at once: it is reported to the home VM, where the caller waits.
 func (e *unackedEnd) canBeAcked() bool {
 	return e.job == nil || e.job.endStored || e.saved || e.job.rec.Transient
 }
 
-// strayRun is a run that a worker lists and whose submission is not known here.
+// strayRun is a run that a worker lists and that belongs to no task here, or to a task that must not run
+// there.
 type strayRun struct {
 	run      uint64
-	stopSent bool // a stop was sent
+	stopSent bool
 }
 
-// Bounds of a worker's use.
+// Conditions under which a worker gets no new tasks.
 const (
-	fullBackoff        = 100 * time.Millisecond // or until the next end there
-	unavailableBackoff = time.Second
-	maxSilence         = 700 * time.Millisecond // without an answer, a worker gets nothing new
-	missingTimeout     = 3 * time.Second        // entries that lapsed with the store are back within 2 s of its return
+	fullBackoff        = 100 * time.Millisecond // after it had no room, or until the next run there ends
+	unavailableBackoff = time.Second            // after it refused a run as unavailable
+	maxSilence         = 700 * time.Millisecond // since the hold was sent that it last answered
+	// missingTimeout runs from when the worker left the list. Entries that expired while the store was
+	// down are back within 2 s of its return.
+	missingTimeout = 3 * time.Second
 )
 
-// Workers takes the list of workers of the shard. A worker that is not in it any
-// more goes on until it stops answering: the list lapses while the store is down.
+// UpdateWorkers applies the list of the shard's workers. A worker that is no longer in it stays in use
+// until it stops answering, as entries expire while the store is down.
 func (s *Shard) UpdateWorkers(now time.Duration, list []worker.Info) {
 	present := make(map[string]bool, len(list))
 	for _, info := range newestAtEachAddress(s.withoutReplaced(list)) {
@@ -79,7 +83,7 @@
 		cold := known && h.info.Cold
 		switch {
 		case known && (info.Born == 0 && h.info.Born > 0 || h.info.Incarnation().Succeeds(info.Incarnation())):
-			continue // it says nothing of the incarnation that is known
+			continue // the entry is not that of the incarnation that is known
 		case !known && s.isOutlived(info):
 			continue
 		case known && info.Incarnation().Succeeds(h.info.Incarnation()):
@@ -93,7 +97,7 @@
 		s.confirmLossesAt(now, info)
 		h.missingSince = 0
 		if info.Revision < h.info.Revision {
-			continue // a late word: another reader's list may be older
+			continue // the list may come from another VM that has read an older one
 		}
 		if info.Cold && !cold {
 			h.health.BeginSlowStart()
@@ -109,15 +113,16 @@
 	s.placementDue = true
 }
 
-// SetListOutdated says whether the list of workers can be had newer than it is known here. Until it is
-// known, nothing starts: a worker may have given notice that it leaves, or have less room.
+// SetListOutdated says whether a newer list of workers exists than is known here. Nothing starts until
+// the newer one is known, as a worker may have announced that it leaves or that it has less capacity.
 func (s *Shard) SetListOutdated(outdated bool) {
 	s.placementDue = s.placementDue || s.listOutdated && !outdated
 	s.listOutdated = outdated
 }
 
-// outlived reports whether a worker that is known at the address of another is a later one. Entries stay
-// until they expire, for longer while the store is away, and the later one may have none yet.
+// isOutlived reports whether a later worker than the given one is known at the same address. An entry
+// stays in the list until it expires, longer while the store is down, and the later worker may not have
+// an entry yet.
 func (s *Shard) isOutlived(info worker.Info) bool {
 	for _, h := range s.workers {
 		if h.info.Address != info.Address {
@@ -131,8 +136,8 @@
 	return false
 }
 
-// living drops the entries of workers that are certainly dead: they stay in the list until they
-// expire, and one of them would pass for the newest life at its address.
+// withoutReplaced removes the entries of incarnations that have been replaced. Such an entry stays in the
+// list until it expires, and could be taken for the newest incarnation at its address.
 func (s *Shard) withoutReplaced(list []worker.Info) []worker.Info {
 	if len(s.replacedWorkers) == 0 {
 		return list
@@ -140,19 +145,19 @@
 	return slices.DeleteFunc(slices.Clone(list), func(info worker.Info) bool { return s.isReplaced(info.Incarnation()) })
 }
 
-// isReplaced reports whether an incarnation has been replaced. Where a birth is not known, that of its ID that
-// was replaced last is meant.
+// isReplaced reports whether an incarnation has been replaced. Without a known start time it is taken for
+// the newest replaced incarnation under its ID.
 func (s *Shard) isReplaced(i worker.Incarnation) bool {
-	d, known := s.replacedWorkers[i.ID]
-	return known && (i.Born == 0 || d.born == 0 || i.Born <= d.born)
+	r, known := s.replacedWorkers[i.ID]
+	return known && (i.Born == 0 || r.born == 0 || i.Born <= r.born)
 }
 
-// Succeed takes the incarnation that answers at the address of one that is gone. Its machine has the
-// same room; what its labels are is known with its entry.
+// WorkerRestarted replaces a worker that is gone by the incarnation that answers at its address. It runs on
+// the same machine and so has the same capacity. Its labels are not known until its entry is read.
 //
-// A worker that has started again writes its entry within some seconds, and where the domain is cut
-// off from the list nobody there reads it: its workers would be idle until the heal, all of them if
-// they came back together. The new life runs nothing, and may be cold.
+// A restarted worker writes its entry within some seconds, but a domain that is cut off from the store
+// cannot read it. Its workers would be idle until the partition heals, all of them if they restarted
+// together. The new incarnation has no runs and may be cold.
 func (s *Shard) WorkerRestarted(now time.Duration, gone worker.Info, next worker.Incarnation) {
 	s.replacedWorkers[gone.ID] = replacedWorker{born: gone.Born, at: now}
 	info := gone
@@ -176,22 +181,22 @@
 	s.placementDue = true
 }
 
-// replaceKnownIncarnation takes the next incarnation of a worker that has kept its ID.
+// replaceKnownIncarnation replaces a known worker by its next incarnation under the same ID.
 func (s *Shard) replaceKnownIncarnation(now time.Duration, info worker.Info) {
 	h, known := s.workers[info.ID]
 	if !known || !info.Incarnation().Succeeds(h.info.Incarnation()) {
 		return
 	}
 	if !s.settings.enforcesCapacity(info.Service) {
-		info.CPUMilli, info.MemMB, info.GPU = 0, 0, 0 // its room is known with its entry
+		info.CPUMilli, info.MemMB, info.GPU = 0, 0, 0 // not known until its entry is read
 	}
 	s.replaceIncarnation(now, h, info, FromPreviousIncarnation).health.BeginSlowStart()
 	s.confirmLossesAt(now, info)
 }
 
-// newestAtEachAddress drops the entries of workers that have started again at the same
-// address under a new ID: their entries stay until they expire. Taking an old life
-// for a new one would declare the runs of the newer life dead while they go on.
+// newestAtEachAddress removes the entries of workers that have restarted at the same address under a new
+// ID, which stay in the list until they expire. If an older incarnation were taken for the newer one, the
+// runs of the newer one would be taken for ended while they go on.
 func newestAtEachAddress(list []worker.Info) []worker.Info {
 	newest := make(map[string]uint64, len(list))
 	for _, info := range list {
@@ -202,15 +207,15 @@
 	})
 }
 
-// Expect takes workers that earlier holders used. One that is not in the list may
-// still have runs: entries lapse while the store is down.
+// AddWorkersOfPreviousHolder adds the workers that earlier holders used. A worker that is not in the list
+// may still have runs, as entries expire while the store is down.
 func (s *Shard) AddWorkersOfPreviousHolder(now time.Duration, known []worker.Info) {
 	for _, info := range known {
-		h, there := s.workers[info.ID]
+		h, present := s.workers[info.ID]
 		switch {
-		case there && info.Incarnation().Succeeds(h.info.Incarnation()):
+		case present && info.Incarnation().Succeeds(h.info.Incarnation()):
 			h = s.replaceIncarnation(now, h, info, FromPreviousHolder)
-		case there, s.addressTaken(info):
+		case present, s.addressTaken(info):
 			continue
 		default:
 			h = newHost(info, FromPreviousHolder)
@@ -230,7 +235,7 @@
 	return false
 }
 
-// replaced drops the workers that lived at the address of a new one.
+// removeOthersAt removes the other workers at the address of a new one, whose incarnations have ended.
 func (s *Shard) removeOthersAt(now time.Duration, info worker.Info) {
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		if h := s.workers[id]; id != info.ID && h.info.Address == info.Address {
@@ -239,13 +244,13 @@
 	}
 }
 
-// WorkerIDs returns the known workers, in order.
+// WorkerIDs returns the IDs of the known workers, sorted.
 func (s *Shard) WorkerIDs() []string { return slices.Sorted(maps.Keys(s.workers)) }
 
-// WorkerCount is the number of known workers.
+// WorkerCount returns the number of known workers.
 func (s *Shard) WorkerCount() int { return len(s.workers) }
 
-// WorkerInfo returns what is known of a worker.
+// WorkerInfo returns the entry of a worker.
 func (s *Shard) WorkerInfo(id string) (worker.Info, bool) {
 	h, known := s.workers[id]
 	if !known {
@@ -254,7 +259,7 @@
 	return h.info, true
 }
 
-// WorkerOrigin returns how a worker's entry is known.
+// WorkerOrigin returns where the entry of a worker comes from.
 func (s *Shard) WorkerOrigin(id string) Origin {
 	if h, known := s.workers[id]; known {
 		return h.origin
@@ -262,7 +267,7 @@
 	return FromList
 }
 
-// WorkerGone says that a worker's incarnation has ended, with all that ran there.
+// WorkerGone handles the end of a worker's incarnation, with which all its runs have ended.
 func (s *Shard) WorkerGone(now time.Duration, id string) {
 	if h, known := s.workers[id]; known {
 		s.confirmLoss(now, h.incarnation)
@@ -270,7 +275,8 @@
 	s.remove(now, id, true)
 }
 
-// remove forgets a worker on which nothing runs any more; ended: its incarnation has certainly ended.
+// remove releases the tasks of a worker whose runs have ended, and removes it. ended says that its
+// incarnation has certainly ended.
 func (s *Shard) remove(now time.Duration, id string, ended bool) {
 	h, known := s.workers[id]
 	if !known {
@@ -280,8 +286,8 @@
 	s.forgetHost(now, h)
 }
 
-// WorkerLeaseExpired says that a worker's lease has certainly run out: nothing that was
-// started there before runs any more. One that left the list is forgotten.
+// WorkerLeaseExpired handles the certain expiry of a worker's lease: all runs that were started there
+// before have ended. A worker that has left the list is removed.
 func (s *Shard) WorkerLeaseExpired(now time.Duration, id string) {
 	h, known := s.workers[id]
 	if !known {
@@ -294,7 +300,7 @@
 	}
 }
 
-// drop takes back all that ran on a worker.
+// releaseAll releases all tasks of a worker whose runs have ended, and records its loss.
 func (s *Shard) releaseAll(now time.Duration, h *host, ended bool) {
 	tasks := s.tasksOn(h)
 	s.recordLoss(now, h, tasks, ended)
@@ -306,7 +312,7 @@
 	s.giveUpTasks(now, tasks)
 }
 
-// on returns the tasks at a worker, in the order of their submissions.
+// tasksOn returns the tasks that occupy a worker, ordered by submission ID.
 func (s *Shard) tasksOn(h *host) []*task {
 	var out []*task
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
@@ -319,7 +325,7 @@
 	return out
 }
 
-// release makes a task that certainly does not run startable again.
+// release makes a task that certainly does not run startable again, unless it is not to run any more.
 func (s *Shard) release(now time.Duration, t *task) {
 	if t.state == taskStoppingForGood || t.job.state.Final() {
 		t.state = taskEnded
