--- a/internal/kept/submission/loss.go
+++ b/internal/kept/submission/loss.go
@@ -1,16 +1,17 @@
 package submission
 
-// Loss is a worker that was lost while a task ran there.
+// Loss records that a worker was lost while a task ran there.
 type Loss struct {
 	Worker string `json:"w"` // ID of its incarnation
-	Run    uint64 `json:"r"` // of the task; it names the loss
+	Run    uint64 `json:"r"` // the run of the task there; it identifies the loss
 	Weight int    `json:"e"` // as evidence against the task
-	// Certain says that its life has ended. One that is only cut off looks the same until it, or its next
-	// incarnation, answers.
+	// Certain says that the incarnation is known to have ended. A worker that is only cut off from the
+	// network looks the same until it, or its next incarnation, answers.
 	Certain bool `json:"c,omitempty"`
 }
 
-// AddLoss adds a loss, or what is newly known of it: several VMs may learn of one.
+// AddLoss adds a loss to a list, or updates the one with the same run: several VMs may report it, and
+// whether it is certain may be learnt later.
 func AddLoss(losses []Loss, l Loss) []Loss {
 	for i := range losses {
 		if losses[i].Run == l.Run {
@@ -22,7 +23,7 @@
 	return append(losses, l)
 }
 
-// RecordLosses takes the losses of workers under a task.
+// RecordLosses records losses of workers that ran a task.
 func (p *Progress) RecordLosses(t Task, losses []Loss) {
 	if len(losses) == 0 {
 		return
--- a/internal/kept/submission/submission.go
+++ b/internal/kept/submission/submission.go
@@ -1,5 +1,5 @@
-// Package submission holds what a caller hands in to be kept, and the record of
-// it in the store.
+// Package submission holds the type of submissions, their form in the store and
+// the validation of what callers may request.
 package submission
 
 import (
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// ID identifies a submission. The caller chooses it; submitting under it again
-// is the same submission.
+// ID identifies a submission. The caller chooses it; sending a request with the
+// same ID again refers to the same submission.
 type ID string
 
-// State is how far a submission is.
+// State is the state of a submission.
 type State uint8
 
 // The states of a submission. Those from Done on are final.
@@ -27,18 +27,18 @@
 	Done
 	Failed
 	Cancelled
-	Rejected // has not run, and will not
-	Returned // what is left of it was given back to its home, for another shard
+	Rejected // has not run and will not run
+	Returned // its unfinished tasks were returned to its home VM, for another shard
 )
 
 var stateNames = [...]string{"unknown", "queued", "running", "done", "failed", "cancelled", "rejected", "returned"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Final reports whether nothing of the submission runs or will run.
+// Final reports whether no task of the submission runs or will run.
 func (s State) Final() bool { return s >= Done }
 
-// ParseState reads the name of a state; ok is false for any other text.
+// ParseState returns the state with the given name; ok is false if there is none.
 func ParseState(name string) (s State, ok bool) {
 	for i, n := range stateNames {
 		if n == name {
@@ -48,31 +48,31 @@
 	return Unknown, false
 }
 
-// MilliPerCore is a core in the unit of CPUMilli.
+// MilliPerCore is one core in the unit of CPUMilli.
 const MilliPerCore = 1000
 
-// Step is a group of equal tasks.
+// Step is a group of tasks with the same requirements.
 type Step struct {
 	Count         int           `json:"n"`
-	FirstIndex    int           `json:"f,omitempty"` // index of its first task: a part of a step begins above 0
+	FirstIndex    int           `json:"f,omitempty"` // index of its first task; above 0 if this is a part of a divided step
 	CPUMilli      int64         `json:"c,omitempty"` // of each task, in thousandths of a core
 	MemMB         int64         `json:"m,omitempty"`
 	GPU           int64         `json:"g,omitempty"`
-	Estimate      time.Duration `json:"e,omitempty"` // of one task; the caller's, often far off
-	DependsOn     []int         `json:"a,omitempty"` // steps whose tasks must all be done first
+	Estimate      time.Duration `json:"e,omitempty"` // of the duration of one task, by the caller; often far off
+	DependsOn     []int         `json:"a,omitempty"` // indexes of steps whose tasks must all be done first
 	Checkpointing bool          `json:"k,omitempty"`
-	RequiredLabel string        `json:"l,omitempty"` // that the worker must have
-	DataRack      string        `json:"d,omitempty"` // rack with the data; elsewhere a task takes longer
-	MaxPerWorker  int           `json:"p,omitempty"` // 0: any number on one worker
+	RequiredLabel string        `json:"l,omitempty"` // label that the worker must have
+	DataRack      string        `json:"d,omitempty"` // rack with the data; a task takes longer elsewhere
+	MaxPerWorker  int           `json:"p,omitempty"` // maximum of the step's tasks on one worker; 0: no limit
 }
 
-// Terms are the queue's rules at the time of the submission. They are kept with
-// it, as the queue may be removed from the configuration before it ends.
+// Terms are the rules of the queue at the time of the submission. They are stored
+// with it, as the queue may be removed from the configuration before it ends.
 type Terms struct {
-	Service  string        `json:"s"`           // whose workers run it
-	Priority int           `json:"p,omitempty"` // 0 comes first
-	Attempts int           `json:"a"`           // runs of a task that may fail before the submission has failed
-	Stretch  float64       `json:"x"`           // objective: Stretch times the longest chain, plus Target
+	Service  string        `json:"s"`           // service whose workers run it
+	Priority int           `json:"p,omitempty"` // lower values are served first
+	Attempts int           `json:"a"`           // failed runs of one task after which the submission has failed
+	Stretch  float64       `json:"x"`           // the objective is Stretch times the critical path, plus Target
 	Target   time.Duration `json:"t"`
 }
 
@@ -80,20 +80,20 @@
 // to its caller.
 const LateFactor = 3
 
-// Objective is the time in which a submission should be done whose longest chain of steps
-// takes so long.
-func (t *Terms) Objective(chain time.Duration) time.Duration {
-	return time.Duration(t.Stretch*float64(chain)) + t.Target
+// Objective returns the time within which a submission with the given critical path should be
+// done.
+func (t *Terms) Objective(criticalPath time.Duration) time.Duration {
+	return time.Duration(t.Stretch*float64(criticalPath)) + t.Target
 }
 
-// Progress is what has been stored of an unfinished submission's runs.
+// Progress is the stored progress of an unfinished submission.
 type Progress struct {
-	Done   []Task          `json:"d,omitempty"` // tasks that have ended well
-	Failed map[Task]int    `json:"f,omitempty"` // failed runs of the others
-	Losses map[Task][]Loss `json:"l,omitempty"` // workers that were lost under the others
+	Done   []Task          `json:"d,omitempty"` // completed tasks
+	Failed map[Task]int    `json:"f,omitempty"` // number of failed runs, of tasks that are not done
+	Losses map[Task][]Loss `json:"l,omitempty"` // losses of workers that ran them, of tasks that are not done
 }
 
-// Record is a submission as the store keeps it.
+// Record is a submission as it is stored.
 type Record struct {
 	ID    ID     `json:"-"` // the key
 	Queue string `json:"q"`
@@ -101,30 +101,31 @@
 	Steps []Step `json:"s"`
 	Terms Terms  `json:"t"`
 	Shard string `json:"h"` // the shard whose workers may run its tasks
-	Token uint64 `json:"k"` // the shard's token when this was stored
-	Home  string `json:"v"` // the entry VM that took it
+	Token uint64 `json:"k"` // fencing token of the shard when this was stored
+	Home  string `json:"v"` // the entry VM that accepted it
 	// Transient submissions are not stored. Their caller waits for the end and sends
-	// them again if it gets no answer; they may then run again from the start, but
+	// them again if it gets no answer. They may then run again from the start, but
 	// never twice at the same time.
 	Transient bool `json:"r,omitempty"`
-	Partial   bool `json:"u,omitempty"` // other shards have the other tasks
-	// Serial tells the hand-ins of a transient submission apart: a caller that sends it
-	// again makes a new one, a home that hands it over again does not.
+	Partial   bool `json:"u,omitempty"` // the submission is divided, and other shards have its other tasks
+	// Serial distinguishes the attempts at a transient submission. It is new when the caller
+	// sends the submission again, and when the home VM assigns a rejected part again; it
+	// stays when the home VM only resends the record to a shard's holder.
 	Serial uint64 `json:"z,omitempty"`
-	// Patience is how long the caller of a transient submission waits; 0: not known.
+	// CallerTimeout is how long the caller of a transient submission waits; 0: not known.
 	CallerTimeout time.Duration `json:"w,omitempty"`
-	// Age is for how long a transient submission had been at its home when it was handed to
-	// the holder: its objective runs from when it came.
+	// Age is how long ago the home VM received a transient submission when it sent it to the
+	// shard's holder. Its objective counts from when it was received.
 	Age      time.Duration `json:"y,omitempty"`
 	Progress Progress      `json:"p,omitzero"`
-	// Elsewhere are tasks of the steps that are not this part's: they have completed, or another
-	// shard has them.
+	// TasksElsewhere are tasks within the steps that do not belong to this part: they have completed, or
+	// another shard has them.
 	TasksElsewhere []Task `json:"o,omitempty"`
-	// MaxRunElsewhere is the highest number that runs at other shards had.
+	// MaxRunElsewhere is the highest run number that was used at other shards.
 	MaxRunElsewhere uint64 `json:"n,omitempty"`
 }
 
-// Tasks is the number of the record's tasks, of all steps.
+// TaskCount is the number of the record's tasks in all steps.
 func (r *Record) TaskCount() int {
 	n := -len(r.TasksElsewhere)
 	for _, s := range r.Steps {
@@ -133,10 +134,10 @@
 	return n
 }
 
-// Chain is the longest run of estimates along the steps that depend on each other.
+// CriticalPath is the largest sum of estimates along a chain of dependent steps.
 func (r *Record) CriticalPath() time.Duration {
 	longest := make([]time.Duration, len(r.Steps))
-	var most time.Duration
+	var longestPath time.Duration
 	for i := range r.Steps {
 		step := &r.Steps[i]
 		var before time.Duration
@@ -146,12 +147,12 @@
 			}
 		}
 		longest[i] = before + step.Estimate
-		most = max(most, longest[i])
+		longestPath = max(longestPath, longest[i])
 	}
-	return most
+	return longestPath
 }
 
-// Has reports whether a task is one of the record's.
+// HasTask reports whether a task belongs to the record.
 func (r *Record) HasTask(t Task) bool {
 	if t.Step < 0 || t.Step >= len(r.Steps) {
 		return false
@@ -160,7 +161,7 @@
 	return t.Index >= s.FirstIndex && t.Index < s.FirstIndex+s.Count && !slices.Contains(r.TasksElsewhere, t)
 }
 
-// All returns the record's tasks.
+// AllTasks returns the record's tasks.
 func (r *Record) AllTasks() []Task {
 	var out []Task
 	for step := range r.Steps {
@@ -174,29 +175,29 @@
 	return out
 }
 
-// Note takes what has become of a task: the number of its runs that have failed, or 0
-// if it has completed.
-func (p *Progress) RecordOutcome(t Task, fails int) {
-	if fails == 0 {
+// RecordOutcome records that a task has completed (failedRuns is 0), or how many of its runs have
+// failed.
+func (p *Progress) RecordOutcome(t Task, failedRuns int) {
+	if failedRuns == 0 {
 		p.Done = append(p.Done, t)
 		return
 	}
 	if p.Failed == nil {
 		p.Failed = make(map[Task]int)
 	}
-	p.Failed[t] = max(p.Failed[t], fails)
+	p.Failed[t] = max(p.Failed[t], failedRuns)
 }
 
-// Encode returns the value of a record in the store.
+// Encode returns the stored form of a record.
 func (r *Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic("submission: a record has no JSON form: " + err.Error())
+		panic("submission: cannot encode a record: " + err.Error())
 	}
 	return b
 }
 
-// DecodeError says that a stored record cannot be read.
+// DecodeError reports a stored record that cannot be decoded.
 type DecodeError struct {
 	ID  ID
 	Err error
@@ -205,7 +206,7 @@
 func (e *DecodeError) Error() string { return fmt.Sprintf("record of submission %s: %v", e.ID, e.Err) }
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// DecodeRecord reads a record from its value in the store.
+// DecodeRecord decodes and validates a stored record.
 func DecodeRecord(id ID, value []byte) (*Record, error) {
 	r := &Record{ID: id}
 	err := json.Unmarshal(value, r)
@@ -223,18 +224,18 @@
 	Step, Index int
 }
 
-// MarshalText makes tasks keys of JSON objects: "step.index".
+// MarshalText encodes a task as "step.index", which allows tasks as keys of JSON objects.
 func (t Task) MarshalText() ([]byte, error) {
 	b := strconv.AppendInt(nil, int64(t.Step), 10)
 	b = append(b, '.')
 	return strconv.AppendInt(b, int64(t.Index), 10), nil
 }
 
-// UnmarshalText reads "step.index".
+// UnmarshalText decodes "step.index".
 func (t *Task) UnmarshalText(text []byte) error {
 	step, index, ok := strings.Cut(string(text), ".")
 	if !ok {
-		return fmt.Errorf("task %q is not step.index", text)
+		return fmt.Errorf("task %q is not of the form step.index", text)
 	}
 	var err error
 	if t.Step, err = strconv.Atoi(step); err != nil {
@@ -255,8 +256,8 @@
 	return cmp.Or(cmp.Compare(r.ID, o.ID), cmp.Compare(r.Step, o.Step), cmp.Compare(r.Index, o.Index))
 }
 
-// Keys of submissions in the store. Unfinished and final ones lie apart, so that
-// an entry VM that starts reads the unfinished ones only.
+// Key prefixes of submissions in the store. Unfinished and ended ones are separate, so
+// that an entry VM that starts reads only the unfinished ones.
 const (
 	OpenPrefix  = "pumiceyard/open/"
 	FinalPrefix = "pumiceyard/final/"
--- a/internal/kept/submission/validate.go
+++ b/internal/kept/submission/validate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Most that a submission may ask for. Sums over a site stay far below what an int64 holds.
+// Limits of what a submission may request. Sums over a site stay far below the range of an int64.
 const (
 	maxIDBytes  = 64 // bytes
 	maxSteps    = 1024
@@ -16,7 +16,7 @@
 	maxEstimate = 30 * 24 * time.Hour
 )
 
-// InvalidError says what of a submission cannot be as it is.
+// InvalidError reports an invalid field of a submission.
 type InvalidError struct {
 	Field  string
 	Reason string
@@ -24,14 +24,14 @@
 
 func (e *InvalidError) Error() string { return e.Field + ": " + e.Reason }
 
-// Validate reports the first thing in a record that no caller may ask for: counts that do not fit into an
-// entry VM, room below zero, which would count as free, or steps that wait for themselves.
+// Validate returns an error for the first field that no caller may request: more tasks than an entry VM
+// can hold, negative resources, which would count as free capacity, or steps that depend on themselves.
 func (r *Record) Validate() error {
 	if !validID(r.ID) {
-		return &InvalidError{"id", fmt.Sprintf("1 to %d letters, digits, - or _", maxIDBytes)}
+		return &InvalidError{"id", fmt.Sprintf("must be 1 to %d letters, digits, - or _", maxIDBytes)}
 	}
 	if len(r.Steps) == 0 || len(r.Steps) > maxSteps {
-		return &InvalidError{"steps", fmt.Sprintf("%d of them, 1 to %d are allowed", len(r.Steps), maxSteps)}
+		return &InvalidError{"steps", fmt.Sprintf("%d given, must be between 1 and %d", len(r.Steps), maxSteps)}
 	}
 	tasks := 0
 	for i := range r.Steps {
@@ -49,12 +49,12 @@
 	return nil
 }
 
-// validate reports the first fault of the step at a place.
+// validate returns an error for the first invalid field of the step with the index at.
 func (s *Step) validate(at int) error {
 	bounds := []struct {
 		field string
 		value int64
-		most  int64
+		max   int64
 	}{
 		{"count", int64(s.Count), maxTasks},
 		{"first task", int64(s.FirstIndex), maxTasks},
@@ -62,16 +62,16 @@
 		{"memory", s.MemMB, maxMemMB},
 		{"accelerators", s.GPU, maxGPU},
 		{"estimate", int64(s.Estimate), int64(maxEstimate)},
-		{"most per worker", int64(s.MaxPerWorker), maxTasks},
+		{"tasks per worker", int64(s.MaxPerWorker), maxTasks},
 	}
 	for _, b := range bounds {
-		if b.value < 0 || b.value > b.most {
-			return &InvalidError{fmt.Sprintf("step %d: %s", at, b.field), fmt.Sprintf("%d is not between 0 and %d", b.value, b.most)}
+		if b.value < 0 || b.value > b.max {
+			return &InvalidError{fmt.Sprintf("step %d: %s", at, b.field), fmt.Sprintf("%d is not between 0 and %d", b.value, b.max)}
 		}
 	}
 	for _, a := range s.DependsOn {
 		if a < 0 || a >= at {
-			return &InvalidError{fmt.Sprintf("step %d: steps before it", at), fmt.Sprintf("%d is not an earlier step", a)}
+			return &InvalidError{fmt.Sprintf("step %d: dependencies", at), fmt.Sprintf("%d is not an earlier step", a)}
 		}
 	}
 	return nil
--- a/internal/kept/submission/validate_test.go
+++ b/internal/kept/submission/validate_test.go
@@ -16,25 +16,25 @@
 	}
 }
 
-// Guards against a request that takes down the entry VMs that are asked for it, or room that was never there.
-func TestRecordsThatNobodyMayAskForAreNamed(t *testing.T) {
+// Guards against requests that crash the entry VMs that receive them, or that make capacity appear free.
+func TestValidateNamesTheInvalidField(t *testing.T) {
 	if err := validRecord().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for field, change := range map[string]func(*Record){
-		"id":                        func(r *Record) { r.ID = "a/b" },
-		"steps":                     func(r *Record) { r.Steps[1].Count = maxTasks },
-		"step 0: count":             func(r *Record) { r.Steps[0].Count = 2_000_000_000 },
-		"step 0: processor":         func(r *Record) { r.Steps[0].CPUMilli = -1 },
-		"step 0: memory":            func(r *Record) { r.Steps[0].MemMB = -1 },
-		"step 0: accelerators":      func(r *Record) { r.Steps[0].GPU = -1 },
-		"step 0: estimate":          func(r *Record) { r.Steps[0].Estimate = -1 },
-		"step 0: most per worker":   func(r *Record) { r.Steps[0].MaxPerWorker = -1 },
-		"step 0: first task":        func(r *Record) { r.Steps[0].FirstIndex = -1 },
-		"step 1: steps before it":   func(r *Record) { r.Steps[1].DependsOn = []int{1} },
-		"step 0: steps before it":   func(r *Record) { r.Steps[0].DependsOn = []int{-1} },
-		"steps: no tasks":           func(r *Record) { r.Steps[0].Count, r.Steps[1].Count = 0, 0 },
-		"steps: 0 of them, 1 to 10": func(r *Record) { r.Steps = nil },
+		"id":                       func(r *Record) { r.ID = "a/b" },
+		"steps":                    func(r *Record) { r.Steps[1].Count = maxTasks },
+		"step 0: count":            func(r *Record) { r.Steps[0].Count = 2_000_000_000 },
+		"step 0: processor":        func(r *Record) { r.Steps[0].CPUMilli = -1 },
+		"step 0: memory":           func(r *Record) { r.Steps[0].MemMB = -1 },
+		"step 0: accelerators":     func(r *Record) { r.Steps[0].GPU = -1 },
+		"step 0: estimate":         func(r *Record) { r.Steps[0].Estimate = -1 },
+		"step 0: tasks per worker": func(r *Record) { r.Steps[0].MaxPerWorker = -1 },
+		"step 0: first task":       func(r *Record) { r.Steps[0].FirstIndex = -1 },
+		"step 1: dependencies":     func(r *Record) { r.Steps[1].DependsOn = []int{1} },
+		"step 0: dependencies":     func(r *Record) { r.Steps[0].DependsOn = []int{-1} },
+		"steps: no tasks":          func(r *Record) { r.Steps[0].Count, r.Steps[1].Count = 0, 0 },
+		"steps: 0 given, must be between 1 and 10": func(r *Record) { r.Steps = nil },
 	} {
 		r := validRecord()
 		change(r)
@@ -46,7 +46,7 @@
 	}
 }
 
-// Guards against a stored record that stops the process, or is another one when it is stored again.
+// Guards against a stored record that crashes the process, or that changes when it is stored again.
 func FuzzRecord(f *testing.F) {
 	f.Add(validRecord().Encode())
 	f.Add([]byte(`{"s":[{"n":4096}],"p":{"d":[{"Step":0,"Index":1}],"f":{"0.3":2}},"o":["0.1"]}`))
@@ -57,15 +57,15 @@
 			return
 		}
 		if r.CriticalPath() < 0 {
-			t.Errorf("%q takes %s", value, r.CriticalPath())
+			t.Errorf("%q has a critical path of %s", value, r.CriticalPath())
 		}
 		again, err := DecodeRecord("id", r.Encode())
 		if err != nil {
-			t.Fatalf("%q cannot be read when it is stored again: %v", value, err)
+			t.Fatalf("%q cannot be decoded after it was encoded again: %v", value, err)
 		}
 		if !slices.Equal(again.AllTasks(), r.AllTasks()) || !slices.Equal(again.Progress.Done, r.Progress.Done) ||
 			!maps.Equal(again.Progress.Failed, r.Progress.Failed) || len(again.Progress.Losses) != len(r.Progress.Losses) {
-			t.Errorf("%q is %+v when it is stored again, not %+v", value, again, r)
+			t.Errorf("%q is %+v after it was encoded again, want %+v", value, again, r)
 		}
 	})
 }
