--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -164,7 +164,7 @@
 	if len(returned) == 0 {
 		return
 	}
-	e.vm.metrics.sentAway.Inc(int64(len(returned)))
+	e.vm.metrics.reassigned.Inc(int64(len(returned)))
 	remaining := *p.record // a copy, as the holder may be this VM and use the same record
 	remaining.TasksElsewhere = slices.Clone(remaining.TasksElsewhere)
 	for _, r := range returned {
@@ -330,7 +330,7 @@
 	switch {
 	case ev.result.Outcome == journal.Stored:
 		h.core.Reassigned(e.now, rec.ID, ev.result.Revision)
-		e.vm.metrics.sentAway.Inc(1)
+		e.vm.metrics.reassigned.Inc(1)
 		klog.InfoS("kept: submission reassigned from an evacuated domain", "id", rec.ID, "from", ev.shard, "shard", rec.Shard,
 			"token", rec.Token, "revision", ev.result.Revision, "tasks", rec.TaskCount())
 		if own := e.tracked[rec.ID]; own != nil {
--- a/internal/kept/vm/figures.go
+++ b/internal/kept/vm/figures.go
@@ -14,14 +14,14 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-const metricsInterval = time.Second // between counters and the scrape registry
+const metricsInterval = time.Second // between updates of the scrape registry from the counters
 
-// timeBuckets spread from a millisecond to half a minute.
+// timeBuckets range from a millisecond to about half a minute.
 var timeBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
-// figures counts what an entry VM does. Queues, reasons and outcomes are few and known,
-// so the number of series is bounded. The engine alone counts by queue; counters without
-// labels may be used from any goroutine.
+// metrics are the metrics of an entry VM. Queues, reasons and outcomes are few and known, so
+// the number of series is bounded. Metrics with labels may only be used by the engine; counters
+// without labels may be used from any goroutine.
 type metrics struct {
 	scope    tally.Scope
 	closer   io.Closer
@@ -29,36 +29,37 @@
 	queues   map[string]*queueMetrics
 	shards   map[string]*shardMetrics
 
-	starts           map[string]tally.Counter // by the worker's answer
-	ends             map[string]tally.Counter // of runs, by how
-	shardsTaken      tally.Counter
-	shardsLost       tally.Counter
-	adopted          tally.Counter
-	resumed          tally.Counter
-	peersLost        tally.Counter
-	workersLost      tally.Counter
-	workersRestarted tally.Counter          // that started again under their ID
-	storeCalls       map[bool]tally.Counter // answered or not
-	heldShards       tally.Gauge
-	heldWorkers      tally.Gauge
-	openSubmissions  tally.Gauge
-	droppedEvents    tally.Counter
-	evacuated        map[string]tally.Gauge   // by failure domain: 1 while nothing may start there
-	sentAway         tally.Counter            // tasks and stored submissions, from evacuated domains
-	tasksGivenUp     tally.Counter            // as the workers that start them are lost
-	lostTasks        map[string]tally.Counter // tasks whose worker was lost, by what it says of them
+	starts             map[string]tally.Counter // by the worker's answer
+	ends               map[string]tally.Counter // of runs, by how they ended
+	shardsAcquired     tally.Counter
+	shardsLost         tally.Counter
+	adoptedSubmissions tally.Counter
+	resumedSubmissions tally.Counter
+	peersLost          tally.Counter
+	workersLost        tally.Counter
+	workersRestarted   tally.Counter          // under the same ID
+	storeCalls         map[bool]tally.Counter // by whether they were answered
+	heldShards         tally.Gauge
+	heldWorkers        tally.Gauge
+	openSubmissions    tally.Gauge
+	droppedEvents      tally.Counter
+	evacuated          map[string]tally.Gauge   // by failure domain: 1 while nothing may start there
+	reassigned         tally.Counter            // tasks and stored submissions, away from evacuated domains
+	tasksGivenUp       tally.Counter            // because workers that started them were lost
+	lostTasks          map[string]tally.Counter // tasks whose worker was lost: suspects or unrelated
 }
 
-// queueMetrics are those of one queue.
+// queueMetrics are the metrics of one queue.
 type queueMetrics struct {
-	taken      tally.Counter
-	firstStart tally.Histogram // from the holder's knowledge to the first start
+	accepted   tally.Counter
+	firstStart tally.Histogram // from when the holder learned of the submission to the first start
 	response   tally.Histogram // from the caller's request to its answer
 	stored     tally.Histogram // from the caller's request to the record in the store
 	outcomes   map[string]tally.Counter
 	scope      tally.Scope
 }
 
+// newMetrics registers the metrics of an entry VM, tagged with its name.
 func newMetrics(entryVM string) *metrics {
 	registry := prometheus.NewRegistry()
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -70,81 +71,84 @@
 		}),
 		Separator: tallyprom.DefaultSeparator,
 	}, metricsInterval)
-	f := &metrics{
-		scope:            scope,
-		closer:           closer,
-		registry:         registry,
-		queues:           make(map[string]*queueMetrics),
-		shards:           make(map[string]*shardMetrics),
-		starts:           make(map[string]tally.Counter),
-		ends:             make(map[string]tally.Counter),
-		shardsTaken:      scope.Counter("shards_taken_total"),
-		shardsLost:       scope.Counter("shards_lost_total"),
-		adopted:          scope.Counter("submissions_adopted_total"),
-		resumed:          scope.Counter("submissions_resumed_total"),
-		peersLost:        scope.Counter("peers_lost_total"),
-		workersLost:      scope.Counter("workers_lost_total"),
-		workersRestarted: scope.Counter("workers_restarted_total"),
-		heldShards:       scope.Gauge("shards_held"),
-		heldWorkers:      scope.Gauge("workers_held"),
-		openSubmissions:  scope.Gauge("submissions_open"),
-		droppedEvents:    scope.Counter("events_dropped_total"),
-		evacuated:        make(map[string]tally.Gauge),
-		sentAway:         scope.Counter("sent_away_total"),
-		tasksGivenUp:     scope.Counter("tasks_given_up_total"),
-		lostTasks:        make(map[string]tally.Counter),
+	m := &metrics{
+		scope:              scope,
+		closer:             closer,
+		registry:           registry,
+		queues:             make(map[string]*queueMetrics),
+		shards:             make(map[string]*shardMetrics),
+		starts:             make(map[string]tally.Counter),
+		ends:               make(map[string]tally.Counter),
+		shardsAcquired:     scope.Counter("shards_taken_total"),
+		shardsLost:         scope.Counter("shards_lost_total"),
+		adoptedSubmissions: scope.Counter("submissions_adopted_total"),
+		resumedSubmissions: scope.Counter("submissions_resumed_total"),
+		peersLost:          scope.Counter("peers_lost_total"),
+		workersLost:        scope.Counter("workers_lost_total"),
+		workersRestarted:   scope.Counter("workers_restarted_total"),
+		heldShards:         scope.Gauge("shards_held"),
+		heldWorkers:        scope.Gauge("workers_held"),
+		openSubmissions:    scope.Gauge("submissions_open"),
+		droppedEvents:      scope.Counter("events_dropped_total"),
+		evacuated:          make(map[string]tally.Gauge),
+		reassigned:         scope.Counter("sent_away_total"),
+		tasksGivenUp:       scope.Counter("tasks_given_up_total"),
+		lostTasks:          make(map[string]tally.Counter),
 	}
-	f.storeCalls = map[bool]tally.Counter{
+	m.storeCalls = map[bool]tally.Counter{
 		true:  scope.Tagged(map[string]string{"answered": "true"}).Counter("store_calls_total"),
 		false: scope.Tagged(map[string]string{"answered": "false"}).Counter("store_calls_total"),
 	}
-	return f
+	return m
 }
 
-func (f *metrics) close() { _ = f.closer.Close() }
+func (m *metrics) close() { _ = m.closer.Close() }
 
-func (f *metrics) handler() http.Handler {
-	return promhttp.HandlerFor(f.registry, promhttp.HandlerOpts{})
+// handler serves the metrics to scrapers.
+func (m *metrics) handler() http.Handler {
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (f *metrics) queue(name string) *queueMetrics {
-	q := f.queues[name]
+// queue returns the metrics of a queue.
+func (m *metrics) queue(name string) *queueMetrics {
+	q := m.queues[name]
 	if q == nil {
-		scope := f.scope.Tagged(map[string]string{"queue": name})
+		scope := m.scope.Tagged(map[string]string{"queue": name})
 		q = &queueMetrics{
-			taken:      scope.Counter("submissions_taken_total"),
+			accepted:   scope.Counter("submissions_taken_total"),
 			firstStart: scope.Histogram("first_start_seconds", timeBuckets),
 			response:   scope.Histogram("response_seconds", timeBuckets),
 			stored:     scope.Histogram("stored_seconds", timeBuckets),
 			outcomes:   make(map[string]tally.Counter),
 			scope:      scope,
 		}
-		f.queues[name] = q
+		m.queues[name] = q
 	}
 	return q
 }
 
-// shardMetrics are those of a shard that this VM holds, or held: all 0.
+// shardMetrics are the metrics of a shard that this VM holds, or has held: then all are 0.
 type shardMetrics struct {
 	workers, room, free, queued tally.Gauge
 }
 
-func (f *metrics) shard(name string) *shardMetrics {
-	s := f.shards[name]
+// shard returns the metrics of a shard.
+func (m *metrics) shard(name string) *shardMetrics {
+	s := m.shards[name]
 	if s == nil {
-		scope := f.scope.Tagged(map[string]string{"shard": name})
+		scope := m.scope.Tagged(map[string]string{"shard": name})
 		s = &shardMetrics{
 			workers: scope.Gauge("shard_workers"),
 			room:    scope.Gauge("shard_room_cores"),
 			free:    scope.Gauge("shard_free_cores"),
 			queued:  scope.Gauge("shard_queued_cores"),
 		}
-		f.shards[name] = s
+		m.shards[name] = s
 	}
 	return s
 }
 
-// set shows the workers of a shard and their room.
+// set updates the number of workers of a shard, and their capacity and queue.
 func (s *shardMetrics) set(workers int, l *shard.Load) {
 	var free int64
 	for _, milli := range l.FreeMilli {
@@ -157,18 +161,18 @@
 	s.queued.Update(float64(queued) / submission.MilliPerCore)
 }
 
-// ended counts a submission's answer: done, failed, refused, given_up or abandoned.
+// countEnd counts the end of a submission: done, failed, refused, given_up or abandoned.
 func (q *queueMetrics) countEnd(outcome string, took time.Duration) {
 	count(q.outcomes, q.scope, "submissions_ended_total", "outcome", outcome)
 	q.response.RecordDuration(took)
 }
 
-// setEvacuated shows whether anything may start in a failure domain.
-func (f *metrics) setEvacuated(domain string, evacuated bool) {
-	g := f.evacuated[domain]
+// setEvacuated sets whether a failure domain is evacuated.
+func (m *metrics) setEvacuated(domain string, evacuated bool) {
+	g := m.evacuated[domain]
 	if g == nil {
-		g = f.scope.Tagged(map[string]string{"domain": domain}).Gauge("domain_evacuated")
-		f.evacuated[domain] = g
+		g = m.scope.Tagged(map[string]string{"domain": domain}).Gauge("domain_evacuated")
+		m.evacuated[domain] = g
 	}
 	if evacuated {
 		g.Update(1)
@@ -177,26 +181,27 @@
 	g.Update(0)
 }
 
-// start counts a worker's answer to a start.
-func (f *metrics) countStart(answer string) {
-	count(f.starts, f.scope, "starts_total", "answer", answer)
+// countStart counts a worker's answer to a start.
+func (m *metrics) countStart(answer string) {
+	count(m.starts, m.scope, "starts_total", "answer", answer)
 }
 
-// end counts the end of a run.
-func (f *metrics) countRunEnd(how string) { count(f.ends, f.scope, "runs_ended_total", "how", how) }
+// countRunEnd counts the end of a run.
+func (m *metrics) countRunEnd(how string) { count(m.ends, m.scope, "runs_ended_total", "how", how) }
 
-// countLostTasks counts the tasks of a lost worker: suspects, unless other workers were lost at the same moment.
-func (f *metrics) countLostTasks(unrelated bool, tasks int) {
+// countLostTasks counts the tasks of a lost worker as suspects, or as unrelated if other workers were lost at
+// the same moment.
+func (m *metrics) countLostTasks(unrelated bool, tasks int) {
 	as := "suspects"
 	if unrelated {
 		as = "unrelated"
 	}
 	for range tasks {
-		count(f.lostTasks, f.scope, "tasks_lost_total", "as", as)
+		count(m.lostTasks, m.scope, "tasks_lost_total", "as", as)
 	}
 }
 
-// count adds one to the counter of a tag's value, which is made when it comes first.
+// count adds one to the counter of a tag's value, and makes the counter when the value first occurs.
 func count(known map[string]tally.Counter, scope tally.Scope, name, tag, value string) {
 	c := known[value]
 	if c == nil {
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -109,7 +109,7 @@
 	e.useLastRead(site.DomainOf(holding.Shard))
 	e.updateWorkers(h)
 	e.scanRecords(holding.Shard, h)
-	e.vm.metrics.shardsTaken.Inc(1)
+	e.vm.metrics.shardsAcquired.Inc(1)
 	klog.InfoS("kept: shard taken", "shard", holding.Shard, "token", holding.Token, "revision", holding.Revision,
 		"workers", len(h.sessions), "barrier_in", barrierAt-e.now)
 }
@@ -296,7 +296,7 @@
 	e.syncSessions(h)
 	for _, r := range ev.records {
 		if !h.core.IsKnown(r) {
-			e.vm.metrics.adopted.Inc(1)
+			e.vm.metrics.adoptedSubmissions.Inc(1)
 			klog.InfoS("kept: adopted", "id", r.Record.ID, "shard", ev.shard, "token", ev.token,
 				"revision", r.Revision, "stored_under", r.Record.Token, "home", r.Record.Home)
 		}
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -159,7 +159,7 @@
 		h.state = submission.Queued
 		h.updatedAt = e.now
 		q := e.vm.metrics.queue(ev.record.Queue)
-		q.taken.Inc(1)
+		q.accepted.Inc(1)
 		q.stored.RecordDuration(e.now - h.receivedAt)
 		klog.InfoS("kept: accepted", "id", ev.record.ID, "queue", ev.record.Queue, "shard", h.shard, "token", ev.record.Token,
 			"revision", h.revision, "tasks", ev.record.TaskCount(), "took", e.now-h.receivedAt, "tries", ev.result.Attempts)
--- a/internal/kept/vm/noted.go
+++ b/internal/kept/vm/noted.go
@@ -10,14 +10,13 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// A holder keeps in the store which workers it uses. The platform's own list lapses
-// with outages of the store, while the workers go on: a new holder that went by the
-// list alone would take tasks for startable that still run on a worker it has never
-// heard of.
+// A holder stores which workers it uses, for the next holder of the shard. The entries of the
+// platform's own list expire during outages of the store, while the workers go on: a new holder
+// that used the list alone would start tasks again that still run on a worker it does not know.
 
 const storedWorkersPrefix = "pumiceyard/workers/"
 
-// storeWorkers stores the workers of a shard if they are others than before.
+// storeWorkers stores the workers of a shard if they have changed since they were last stored.
 func (e *engine) storeWorkers(h *heldShard) {
 	if h.scannedAt == 0 || h.storingWorkers {
 		return
@@ -30,7 +29,7 @@
 	}
 	value, err := json.Marshal(list)
 	if err != nil {
-		klog.ErrorS(err, "kept: the workers of a shard have no JSON form", "shard", h.holding.Shard)
+		klog.ErrorS(err, "kept: workers of a shard cannot be encoded as JSON", "shard", h.holding.Shard)
 		return
 	}
 	if string(value) == h.storedWorkers || len(list) == 0 {
@@ -49,6 +48,7 @@
 	})
 }
 
+// workersStoredEvent says how storing the workers of a shard went.
 type workersStoredEvent struct {
 	shard string
 	token uint64
@@ -63,13 +63,13 @@
 	}
 	h.storingWorkers = false
 	if ev.err != nil {
-		klog.InfoS("kept: the workers of a shard were not stored", "shard", ev.shard, "why", ev.err)
-		return // the next look at the list repeats it
+		klog.InfoS("kept: workers of a shard were not stored", "shard", ev.shard, "why", ev.err)
+		return // retried with the next update of the list
 	}
 	h.storedWorkers = ev.value
 }
 
-// readStoredWorkers reads the workers that earlier holders of a shard used.
+// readStoredWorkers reads the workers that the previous holder of a shard stored.
 func (v *VM) readStoredWorkers(ctx context.Context, name string) ([]worker.Info, error) {
 	it, err := v.store.Get(ctx, storedWorkersPrefix+name)
 	if err != nil || it.Revision == 0 {
@@ -77,14 +77,14 @@
 	}
 	var rows []json.RawMessage
 	if err := json.Unmarshal(it.Value, &rows); err != nil {
-		klog.ErrorS(err, "kept: the stored workers of a shard cannot be read", "shard", name)
+		klog.ErrorS(err, "kept: stored workers of a shard cannot be decoded", "shard", name)
 		return nil, nil
 	}
 	var list []worker.Info
 	for _, row := range rows {
 		var info worker.Info
 		if err := json.Unmarshal(row, &info); err != nil {
-			klog.ErrorS(err, "kept: a stored worker of a shard cannot be read, the others hold", "shard", name)
+			klog.ErrorS(err, "kept: stored worker of a shard cannot be decoded, using the others", "shard", name)
 			continue
 		}
 		list = append(list, info)
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -85,7 +85,7 @@
 		outcomeWaiters: []chan Outcome{ev.reply},
 	}
 	e.transients[id] = t
-	e.vm.metrics.queue(ev.record.Queue).taken.Inc(1)
+	e.vm.metrics.queue(ev.record.Queue).accepted.Inc(1)
 	for _, p := range parts {
 		l := e.loads[p.shard]
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
@@ -166,7 +166,7 @@
 	case h == nil:
 		e.sendState(from, r.ID, stateReport{shard: r.Shard, token: r.Token})
 	case resumed:
-		e.vm.metrics.resumed.Inc(1)
+		e.vm.metrics.resumedSubmissions.Inc(1)
 		klog.InfoS("kept: resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
 		h.core.Resume(e.now, r)
 	default:
