--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -55,7 +55,7 @@
 		// A suspect takes down no worker of another domain.
 		if t.state == taskWaiting && len(j.returned)-before < most && (s.evacuated || !s.isSuspect(t)) {
 			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.newestRun, FailedRuns: t.failures, Losses: t.losses})
-			j.removeTask(t, taskElsewhere)
+			j.closeTask(t, taskElsewhere)
 		}
 	}
 	switch {
--- a/internal/kept/shard/job.go
+++ b/internal/kept/shard/job.go
@@ -8,48 +8,50 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
+// taskState is the state of a task at the holder of its shard.
 type taskState uint8
 
 const (
-	taskWaiting   taskState = iota
-	taskUnlocated           // an earlier holder may have started it where it cannot be seen yet
-	taskStarting            // an order is on its way
-	taskRunning
-	taskUnconfirmed       // an order had no answer; the worker is asked
-	taskStoppingToRestart // a stop is on its way, so that the task can start again
-	taskStoppingForGood   // a stop is on its way, and the task does not start again
-	taskCompleted         // has ended well
-	taskEnded             // does not run, and will not
-	taskElsewhere         // not this shard's, or not any more
+	taskWaiting           taskState = iota
+	taskUnlocated                   // an earlier holder may have started it on a worker that has not answered yet
+	taskStarting                    // a start order is in flight
+	taskRunning                     // its worker has accepted or listed the newest run
+	taskUnconfirmed                 // the start order had no answer; the worker is probed
+	taskStoppingToRestart           // being stopped, to be started again
+	taskStoppingForGood             // being stopped, not to be started again
+	taskCompleted                   // a run has completed
+	taskEnded                       // not running and not to be started again, though not completed
+	taskElsewhere                   // another shard has it, or it was returned to its home VM
 )
 
+// task is a task of a job.
 type task struct {
 	job             *job
 	ref             submission.TaskRef
 	step            *submission.Step
 	state           taskState
-	newestRun       uint64        // the newest
-	host            *host         // in starting, running, unsure, voiding, ending
-	stateSince      time.Duration // of the state
-	startedAt       time.Duration
-	progress        policy.Progress     // of the run
+	newestRun       uint64              // number of its newest run; 0: none
+	host            *host               // where it is starting, running, unconfirmed or being stopped
+	stateSince      time.Duration       // when the state began, or its order or probe was last repeated
+	startedAt       time.Duration       // when this holder ordered the newest run; 0: another holder did
+	progress        policy.Progress     // of the newest run
 	duration        time.Duration       // of the run that completed; 0: not known
-	moveCount       int                 // runs that were stopped as their worker held them up
-	acceptClock     time.Duration       // the worker's when it accepted the run; 0: not known
-	stopAckClock    time.Duration       // the worker's when it acknowledged the stop
-	stopAckAt       time.Duration       // when that acknowledgement came
-	countedFailures map[uint64]struct{} // runs that ended as failed
-	startedRuns     []startedRun        // under this holder
-	failures        int                 // of them, with those stored earlier
+	moveCount       int                 // runs that were stopped because their worker delayed them
+	acceptClock     time.Duration       // the worker's clock when it accepted the run; 0: not known
+	stopAckClock    time.Duration       // the worker's clock when it acknowledged the stop; 0: it has not
+	stopAckAt       time.Duration       // when that acknowledgement arrived
+	countedFailures map[uint64]struct{} // numbers of the failed runs that failures counts under this holder
+	startedRuns     []startedRun        // that this holder ordered
+	failures        int                 // failed runs, including those stored by earlier holders
 	checkpoint      string
-	avoidHost       *host             // where it last failed
-	losses          []submission.Loss // workers that were lost while it ran there
-	lossChangedAt   time.Duration     // when that was last heard of
+	avoidHost       *host             // where it last failed, or was moved away from
+	losses          []submission.Loss // workers that were lost while they ran it
+	lossChangedAt   time.Duration     // when losses last changed
 	hasBegun        bool              // its newest run is known to have begun
-	startedAlone    bool              // its newest run was started alone on its worker
+	startedAlone    bool              // its newest run was started as a suspect, alone on its worker
 }
 
-// occupies reports whether the task takes room at its host.
+// occupies reports whether the task occupies capacity of its worker.
 func (t *task) occupies() bool {
 	switch t.state {
 	case taskStarting, taskRunning, taskUnconfirmed, taskStoppingToRestart, taskStoppingForGood:
@@ -59,12 +61,13 @@
 	}
 }
 
-// startedRun is a run that this holder has started.
+// startedRun is a run that this holder has ordered.
 type startedRun struct {
 	run  uint64
 	host *host
 }
 
+// job is a submission, or the part of one, that this shard has.
 type job struct {
 	rec           *submission.Record
 	revision      uint64
@@ -73,25 +76,26 @@
 	tasks         []*task
 	steps         []stepState
 	criticalPath  time.Duration // by the caller's estimates
-	tasksLeft     int           // tasks that have not completed
-	submittedAt   time.Duration // to its home
-	receivedAt    time.Duration // when it came to this shard
-	firstRunAt    time.Duration // 0: none yet
-	saving        bool
-	unsavedSince  time.Duration // when the oldest end that is not stored came; 0: none
-	endStored     bool          // its end is in the store, or need not be
+	tasksLeft     int           // tasks that this shard still has to complete
+	submittedAt   time.Duration // when its home VM received it
+	receivedAt    time.Duration // when this holder received it
+	firstRunAt    time.Duration // when the first run was known to have begun; 0: none yet
+	saving        bool          // its progress is being stored
+	unsavedSince  time.Duration // when the oldest ended run arrived that is not stored; 0: none
+	endStored     bool          // its final state is stored, or need not be
 	firstFailedOn *host         // the first worker on which a task of it failed
 	runBase       uint64        // run numbers begin above it
-	resumed       bool          // an earlier holder had it
-	startSent     bool          // a start of it was sent
+	resumed       bool          // its home VM handed it over after an earlier holder had it
+	startSent     bool          // a start of one of its tasks was ordered
 	returned      []ReturnedTask
 	reassigning   bool          // its record is being stored under another shard
-	reassignAt    time.Duration // when that is tried again
+	reassignAt    time.Duration // earliest time of the next attempt at that
 }
 
+// stepState is the state of one step of a job.
 type stepState struct {
 	firstTask int // index of its first task in job.tasks
-	tasksLeft int // tasks that have not completed
+	tasksLeft int // tasks that this shard still has to complete
 }
 
 func newJob(now time.Duration, r StoredRecord, runBase uint64) *job {
@@ -122,7 +126,7 @@
 	j.tasksLeft = len(j.tasks)
 	for _, e := range r.Record.TasksElsewhere {
 		if t := j.task(e); t != nil {
-			j.removeTask(t, taskElsewhere)
+			j.closeTask(t, taskElsewhere)
 		}
 	}
 	for _, d := range r.Record.Progress.Done {
@@ -131,13 +135,13 @@
 		}
 	}
 	if runBase > 0 {
-		j.state = submission.Running // some of it may have run under an earlier holder
+		j.state = submission.Running // it may have run under an earlier holder
 	}
 	return j
 }
 
-// task finds a task by its name; nil if this shard does not have it. What is said of a task that
-// another shard has must not count here: the part would pass for complete with a task to go.
+// task returns a task of the job, or nil if this shard does not have it. News of a task that another shard
+// has must not count here, or this part would be taken for complete while one of its own tasks is left.
 func (j *job) task(ref submission.Task) *task {
 	if ref.Step < 0 || ref.Step >= len(j.steps) {
 		return nil
@@ -153,7 +157,7 @@
 	return nil
 }
 
-// busy reports whether any of its tasks takes room at a worker.
+// hasRunsOnWorkers reports whether any of its tasks occupies a worker.
 func (j *job) hasRunsOnWorkers() bool {
 	for _, t := range j.tasks {
 		if t.occupies() {
@@ -163,7 +167,7 @@
 	return false
 }
 
-// begun reports whether any task was ever given to a worker.
+// hasBegun reports whether any of its tasks has, or may have, been sent to a worker.
 func (j *job) hasBegun() bool {
 	if j.resumed {
 		return true
@@ -176,30 +180,30 @@
 	return false
 }
 
-func (j *job) complete(t *task) { j.removeTask(t, taskCompleted) }
+func (j *job) complete(t *task) { j.closeTask(t, taskCompleted) }
 
-// leave puts a task into a state in which nothing of it is left to do here.
-func (j *job) removeTask(t *task, state taskState) {
+// closeTask puts a task into a state in which this shard has nothing left to do for it.
+func (j *job) closeTask(t *task, state taskState) {
 	t.state = state
 	t.host = nil
 	j.tasksLeft--
 	j.steps[t.ref.Step].tasksLeft--
 }
 
-// startedByOther reports whether a run was not started by this holder, for a transient submission that it
-// was given anew. Such a run is of an earlier hand-in, from before its home was lost, and its caller
-// has asked for the whole again: if its end counted, the answer would come before all tasks of this
-// hand-in have completed.
+// startedByOther reports whether a run of a transient submission that was newly assigned here was not
+// started by this holder. Such a run belongs to an earlier submission attempt, from before its home VM was
+// lost, and the caller has submitted all of it again. If its end counted, the answer would be sent before
+// all tasks of the present attempt have completed.
 func (j *job) startedByOther(t *task, h *host, run uint64) bool {
 	return j.rec.Transient && !j.resumed && !slices.Contains(t.startedRuns, startedRun{run, h})
 }
 
-// startable reports whether a task waits and the steps before its own are done.
+// isStartable reports whether a task waits and the steps that its step depends on are done.
 func (j *job) isStartable(t *task) bool {
 	return t.state == taskWaiting && !j.reassigning && j.isDue(t)
 }
 
-// due reports whether the steps before a task's step are done.
+// isDue reports whether the steps that a task's step depends on are done.
 func (j *job) isDue(t *task) bool {
 	for _, before := range t.step.DependsOn {
 		if before >= 0 && before < len(j.steps) && j.steps[before].tasksLeft > 0 {
@@ -209,7 +213,7 @@
 	return true
 }
 
-// progress is what has happened to the tasks, to be stored.
+// progress returns the progress of the job in the form in which it is stored.
 func (j *job) progress() submission.Progress {
 	p := submission.Progress{Failed: make(map[submission.Task]int)}
 	for _, t := range j.tasks {
