--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -12,7 +12,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// guard is the condition that this VM still holds the shard.
+// guard returns the condition that this VM still holds the shard, for writes that only the holder may make.
 func (h *heldShard) guard() store.Condition {
 	return store.Condition{Key: site.ShardKey(h.holding.Shard), Revision: h.holding.Revision}
 }
@@ -29,12 +29,12 @@
 		},
 	})
 	if !ok {
-		// A later holder finds the ends still listed by the workers.
-		klog.InfoS("kept: an end waits in memory only, the journal is full", "id", f.ID)
+		// The workers still list the ends of the runs, so that a new holder learns of them.
+		klog.InfoS("kept: journal is full, a final state is in memory only", "id", f.ID)
 	}
 }
 
-// finalTxn replaces a submission's record by its final state.
+// finalTxn makes the transaction that replaces a submission's record by its final state.
 func finalTxn(id submission.ID, revision uint64, state submission.State) store.Txn {
 	return store.Txn{
 		Expect: []store.Condition{{Key: submission.OpenKey(id), Revision: revision}},
@@ -53,13 +53,13 @@
 		h.core.FinalStored(e.now, id)
 		return
 	}
-	klog.InfoS("kept: an end was not stored", "id", id, "shard", ev.shard, "outcome", fmt.Sprint(ev.result.Outcome))
+	klog.InfoS("kept: could not store a final state", "id", id, "shard", ev.shard, "outcome", fmt.Sprint(ev.result.Outcome))
 	if ev.result.Outcome == journal.Conflict && !guardFailed(ev.result, h) {
 		h.core.RecordConflict(e.now, id)
 	}
 }
 
-// guardFailed reports whether a row failed because the shard has another holder.
+// guardFailed reports whether a write failed because the shard has a new holder.
 func guardFailed(r journal.Result, h *heldShard) bool {
 	g := h.guard()
 	for _, it := range r.Items {
@@ -86,7 +86,7 @@
 		},
 	})
 	if !ok {
-		klog.InfoS("kept: progress is not stored, the journal is full", "id", s.Record.ID)
+		klog.InfoS("kept: journal is full, progress is not stored", "id", s.Record.ID)
 	}
 }
 
--- a/internal/kept/vm/events.go
+++ b/internal/kept/vm/events.go
@@ -14,42 +14,45 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// event is something that the engine takes from its ring.
+// event is what the engine takes from its ring buffer and applies to its state.
 type event interface{ apply(*engine) }
 
-// From callers.
+// Events from callers. The engine answers on the reply channels, which are buffered.
 type (
 	submitEvent struct {
 		record     *submission.Record
-		reply      chan Outcome  // buffered
+		reply      chan Outcome
 		receivedAt time.Duration // set by the engine
 	}
 	stateEvent struct {
 		id    submission.ID
-		reply chan StateAnswer // buffered
-		ended chan struct{}    // closed at its end; nil: the caller does not wait for it
+		reply chan StateAnswer
+		ended chan struct{} // closed when the submission ends; nil: the caller does not wait for that
 	}
 	cancelEvent struct {
 		id    submission.ID
-		reply chan StateAnswer // buffered
+		reply chan StateAnswer
 	}
+	// waitingEvent asks for the number of a queue's submissions that have not started.
 	waitingEvent struct {
 		queue string
-		reply chan int // buffered
+		reply chan int
 	}
+	// drainEvent hands over all shards; done is closed when none is held any more.
 	drainEvent struct{ done chan struct{} }
+	// holdsEvent asks whether this VM holds a shard.
 	holdsEvent struct {
 		shard string
-		reply chan bool // buffered
+		reply chan bool
 	}
-	// abandonEvent says that a caller does not wait any more.
+	// abandonEvent reports that a caller of Submit does not wait any longer.
 	abandonEvent struct {
 		id    submission.ID
-		reply chan Outcome // that of its submitEvent
+		reply chan Outcome // the channel of its submitEvent
 	}
 )
 
-// From the store.
+// Events from the store: what was read, and the results of writes, which may have failed.
 type (
 	siteEvent struct {
 		sent   time.Duration // when the call left
@@ -86,20 +89,20 @@
 		shard           string
 		token           uint64
 		records         []shard.StoredRecord
-		previousWorkers []worker.Info     // the workers that earlier holders used
-		evacuations     *evacuationsEvent // nil: they were not asked for
+		previousWorkers []worker.Info     // the workers that previous holders used
+		evacuations     *evacuationsEvent // nil: they were not read
 	}
-	// evacuationsEvent brings what the store says of evacuations.
+	// evacuationsEvent brings evacuations that were read from the store.
 	evacuationsEvent struct {
 		sent     time.Duration // when the call left
-		whole    bool          // the notices are the list of all evacuations at the revision
+		whole    bool          // the notices are all evacuations as of the revision, not only changes
 		revision uint64
 		notices  []evacuation.Notice
 	}
 	reassignStoredEvent struct {
 		shard       string
 		token       uint64
-		oldRevision uint64 // revision of the record that was to be replaced
+		oldRevision uint64 // of the record that was to be replaced
 		record      *submission.Record
 		result      journal.Result
 	}
@@ -110,32 +113,35 @@
 	}
 )
 
-// From peers.
+// Events from links to peers.
 type (
 	peerUpEvent struct {
 		name        string
 		incarnation uint64
 	}
 	peerLostEvent struct{ name, why string }
-	linkNeedEvent struct{} // a peer needs the link from here, or does not any more
+	linkNeedEvent struct{} // a peer has begun or ceased to need the link from this VM
 	frameEvent    struct {
 		from  string
 		frame *pb.KeptFrame
 	}
 )
 
-// From workers.
+// Events from sessions with workers.
 type (
 	listingEvent struct {
 		session *workerSession
 		sent    time.Duration
 		listing worker.Listing
 	}
-	workerFencedEvent   struct{ session *workerSession }
+	// workerFencedEvent reports that the worker has seen a higher fencing token.
+	workerFencedEvent struct{ session *workerSession }
+	// workerReplacedEvent reports that the worker's incarnation is gone.
 	workerReplacedEvent struct {
 		session   *workerSession
-		successor worker.Incarnation // that answers in its place; without ID: not known
+		successor worker.Incarnation // the incarnation that answers in its place; without an ID if unknown
 	}
+	// leaseExpiredEvent reports that the lease of the worker's runs has certainly expired.
 	leaseExpiredEvent struct{ session *workerSession }
 	startReplyEvent   struct {
 		session *workerSession
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -12,7 +12,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// candidates returns the shards that can take a submission, or why none does.
+// candidates returns the shards that can take a submission, or the refusal if none can.
 func (e *engine) candidates(r *submission.Record, came time.Duration) ([]policy.Candidate, *Outcome) {
 	shards := e.eligibleShards(r)
 	if len(shards) == 0 && e.anyReachable() {
@@ -28,9 +28,9 @@
 	return shards, nil
 }
 
-// eligibleShards returns what the shards that can be reached, and may start its tasks, could take
-// of a submission. One whose domain is evacuated, or without workers of its service, would keep it
-// waiting for ever.
+// eligibleShards returns the shards that are reachable and may start the submission's tasks, with their
+// capacity and queues. A shard whose domain is evacuated, or which has no workers of the service, is left out:
+// the submission would wait there for ever.
 func (e *engine) eligibleShards(r *submission.Record) []policy.Candidate {
 	var out []policy.Candidate
 	size := largestTaskMilli(r)
@@ -42,7 +42,7 @@
 		}
 		_, queue := l.QueuedAhead(0, true)
 		ahead, wait := l.QueuedAhead(r.Terms.Priority, !e.vm.config.Policy.ByPriority)
-		// What this VM has sent there since the shard's last word counts as waiting there.
+		// Tasks that this VM has sent there since the shard's last load report count as waiting there.
 		sent := time.Duration(float64(task) * float64(l.sentMilli) / float64(max(l.CapacityMilli, 1)))
 		out = append(out, policy.Candidate{
 			Shard:       name,
@@ -56,20 +56,20 @@
 	return out
 }
 
-// work is a submission that came at a time and has not begun, as the policy sees it.
-func (e *engine) policyWork(r *submission.Record, came time.Duration) *policy.Work {
-	takes := r.CriticalPath()
+// policyWork describes a submission that has not started, for the decisions of package policy.
+func (e *engine) policyWork(r *submission.Record, receivedAt time.Duration) *policy.Work {
+	runTime := r.CriticalPath()
 	return &policy.Work{
 		ID:            r.ID,
 		Priority:      r.Terms.Priority,
-		ReceivedAt:    came,
-		Objective:     r.Terms.Objective(takes),
-		RunTime:       takes,
+		ReceivedAt:    receivedAt,
+		Objective:     r.Terms.Objective(runTime),
+		RunTime:       runTime,
 		CallerTimeout: r.CallerTimeout,
 	}
 }
 
-// retryDelay is after what time a caller that is refused should try again.
+// retryDelay returns after which time a refused caller should retry.
 func (e *engine) retryDelay(r *submission.Record, shards []policy.Candidate) time.Duration {
 	if len(shards) == 0 {
 		return defaultRetryAfter
@@ -77,21 +77,22 @@
 	return e.retrySchedule.RetryAfter(e.now, policy.MinWait(shards), e.workTime(r))
 }
 
-// workTime is the time that a submission's work takes on this VM's share of all room.
+// workTime estimates how long a submission's work takes on this VM's share of the known capacity, which is
+// divided evenly among this VM and its linked peers.
 func (e *engine) workTime(r *submission.Record) time.Duration {
-	var room int64
+	var capacityMilli int64
 	for _, l := range e.loads {
-		room += l.CapacityMilli
+		capacityMilli += l.CapacityMilli
 	}
 	var work float64 // thousandths of a core times nanoseconds
 	for i := range r.Steps {
 		s := &r.Steps[i]
 		work += float64(s.Count) * float64(s.CPUMilli) * float64(s.Estimate)
 	}
-	return time.Duration(work / float64(max(room, 1)) * float64(len(e.links)+1))
+	return time.Duration(work / float64(max(capacityMilli, 1)) * float64(len(e.links)+1))
 }
 
-// largestTaskMilli is the processor that a task takes, thousandths of a core.
+// largestTaskMilli returns the largest CPU demand of a task, in thousandths of a core, at least 1.
 func largestTaskMilli(r *submission.Record) int64 {
 	size := int64(1)
 	for i := range r.Steps {
@@ -108,7 +109,8 @@
 	return d
 }
 
-// broadcastLoads tells all peers how much the shards of this VM could take.
+// broadcastLoads sends the loads of this VM's shards to the peers: soon after a change, and at intervals. Peers
+// of other failure domains get them less often on a large site.
 func (e *engine) broadcastLoads() {
 	pace := max(minLoadInterval, time.Duration(len(e.links))*loadIntervalPerPeer)
 	for name, h := range e.shards {
@@ -132,7 +134,7 @@
 	}
 }
 
-// sendLoad tells peers of a load, those of other failure domains only if it is their turn.
+// sendLoad sends a load report to the peers of the shard's failure domain, and to all others too if far is set.
 func (e *engine) sendLoad(name string, out *pb.KeptLoad, far bool) {
 	domain := site.DomainOf(name)
 	for peer := range e.links {
@@ -181,7 +183,7 @@
 		e.loads[name] = l
 	}
 	if token < l.token {
-		return // of an earlier holder
+		return // from a previous holder
 	}
 	*l = knownLoad{Load: load, holder: holder, token: token, receivedAt: e.now}
 }
--- a/internal/kept/vm/sweep.go
+++ b/internal/kept/vm/sweep.go
@@ -11,16 +11,17 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// Final states are removed when nobody asks for them any more. The holder of the site's
-// first shard does it for all: it notes when it first sees a state, and removes it when
-// it has seen it for long enough. Times of day play no part, and a new holder begins
-// anew, so a state may stay longer but never shorter.
+// Final states are removed from the store when no caller asks for them any more. The holder of the site's first
+// shard does this for the whole site: it remembers when it first saw a final state, and removes the state
+// finalStateRetention later. Wall-clock time is not used, and a new holder starts from zero, so a state may be
+// kept longer but never shorter.
 const (
 	finalStateRetention = 150 * time.Second // callers ask for 120 s after the end
 	sweepInterval       = 30 * time.Second
-	sweepTimeout        = 5 * time.Second
+	sweepTimeout        = 5 * time.Second // for one write that removes states
 )
 
+// sweepFinals removes expired final states at intervals while this VM is the one to do it.
 func (v *VM) sweepFinals(ctx context.Context) {
 	seen := make(map[string]time.Duration)
 	for ctx.Err() == nil {
@@ -31,14 +32,15 @@
 		}
 		items, _, err := v.readAll(ctx, submission.FinalPrefix, true)
 		if err != nil {
-			klog.V(1).InfoS("kept: final states could not be read", "why", err)
+			klog.V(1).InfoS("kept: could not read final states from the store", "why", err)
 			continue
 		}
 		v.removeFinals(ctx, expiredKeys(v.now(), seen, items))
 	}
 }
 
-// overdue notes what is seen for the first time, and returns the keys seen for long.
+// expiredKeys records in seen when each key was first seen, forgets keys that are gone, and returns the keys
+// that were first seen more than finalStateRetention ago.
 func expiredKeys(now time.Duration, seen map[string]time.Duration, items []store.Item) []string {
 	present := make(map[string]bool, len(items))
 	var old []string
@@ -68,7 +70,7 @@
 		_, err := v.store.Commit(commitCtx, store.Txn{Delete: keys[:n]})
 		cancel()
 		if err != nil {
-			klog.InfoS("kept: final states could not be removed", "left", len(keys), "why", err)
+			klog.InfoS("kept: could not remove final states", "left", len(keys), "why", err)
 			return // the next sweep finds them again
 		}
 		removed += n
--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -8,43 +8,42 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// A queue's waiting submissions are counted by the holders, with the load of their shards,
-// and by the homes of those whose holder is out of reach. Without the homes' share a domain
-// that is cut off takes what it was sent last out of the count: a queue would pass for
-// empty while submissions that were accepted a few seconds ago wait for the heal.
+// The waiting submissions of a queue are counted by the holders of shards, as part of their load reports, and
+// by the home VMs of those whose holder cannot be reached ("unplaced" submissions). Without the counts of the
+// home VMs, the submissions last sent to a domain that was then cut off would be left out: the queue would
+// seem empty while submissions accepted a few seconds ago wait for the partition to heal.
 //
-// A VM hears of the shards of its own failure domain and, on a large site, of a few others. Asked
-// what waits in a queue it would leave out the rest of the site. So the holders of a domain count
-// for it, and all holders pass the counts on, with their age, to the VMs they have links to: each
-// count reaches each VM over a few holders.
+// On a large site a VM gets load reports only for the shards of its own failure domain and of a few others. To
+// cover the rest of the site, holders count for their own domain, and all holders forward the counts, with
+// their age, to the VMs that they have links to: each count reaches each VM through a few holders.
 
-// queueCounts are numbers of submissions by queue.
+// queueCounts are numbers of submissions by queue name.
 type queueCounts map[string]uint32
 
-// domainReport is what waits in a failure domain, as a holder there counted it.
+// domainReport is the number of submissions that wait in a failure domain, as counted by a holder there.
 type domainReport struct {
 	counts queueCounts
 	at     time.Duration
 }
 
-// waitingReports are what other VMs say of what waits.
+// waitingReports are the counts that other VMs have reported.
 type waitingReports struct {
 	domains  map[string]domainReport
-	unplaced map[string]queueCounts // by VM: taken there, not begun, holder out of reach
+	unplaced map[string]queueCounts // by home VM: accepted, not started, holder unreachable
 }
 
 func newWaitingReports() waitingReports {
 	return waitingReports{domains: make(map[string]domainReport), unplaced: make(map[string]queueCounts)}
 }
 
-// updateDomain takes a report of a domain unless a newer one is known.
+// updateDomain stores a report about a domain unless a newer one is known.
 func (w *waitingReports) updateDomain(domain string, r domainReport) {
 	if r.at > w.domains[domain].at {
 		w.domains[domain] = r
 	}
 }
 
-// fresh returns the reports that are not too old to be passed on.
+// fresh returns the reports that are not too old to be used and forwarded.
 func (w *waitingReports) fresh(now time.Duration) map[string]domainReport {
 	out := make(map[string]domainReport)
 	for domain, r := range w.domains {
@@ -59,7 +58,7 @@
 
 func (w *waitingReports) forgetPeer(peer string) { delete(w.unplaced, peer) }
 
-// unplacedIn sums what the other VMs could not place of a queue.
+// unplacedIn sums the unplaced submissions of a queue over the other VMs.
 func (w *waitingReports) unplacedIn(queue string) uint32 {
 	var n uint32
 	for _, counts := range w.unplaced {
@@ -68,7 +67,7 @@
 	return n
 }
 
-// Times of the holders' reports. Callers may get a count that is two seconds old.
+// Interval and maximum age of domain reports. Callers may get a count that is two seconds old.
 const (
 	waitingReportInterval = 500 * time.Millisecond
 	maxWaitingReportAge   = 2 * time.Second
@@ -82,8 +81,8 @@
 	ev.reply <- int(n)
 }
 
-// waitingIn counts what waits at the shards of a failure domain: what is known of them, or what
-// holders say if that is more, as it is of all shards.
+// waitingIn counts the submissions that wait at the shards of a failure domain: the sum of the load reports
+// that this VM has, or the report of a holder there if that is more, as it covers all shards of the domain.
 func (e *engine) waitingIn(domain string) queueCounts {
 	out := make(queueCounts)
 	for name, l := range e.loads {
@@ -102,8 +101,8 @@
 	return out
 }
 
-// broadcastWaiting tells the peers of a holder what waits in its domain, and what it has heard of the
-// others. A report that nothing waits replaces the one before.
+// broadcastWaiting sends the peers of a holder the count of its own domain and the reports that it has of other
+// domains. A report without any waiting submission is sent as well, to replace the one before.
 func (e *engine) broadcastWaiting() {
 	if len(e.shards) == 0 || len(e.vm.config.Domains) < 2 || e.now-e.waitingReportedAt < waitingReportInterval {
 		return
@@ -121,8 +120,8 @@
 	}
 }
 
-// ownUnplaced counts the stored submissions that this VM took, that have not begun as far
-// as it knows, and whose shard's holder cannot be reached.
+// ownUnplaced counts the stored submissions with a record here that have not started, as far as this VM knows,
+// and whose shard's holder cannot be reached.
 func (e *engine) ownUnplaced() queueCounts {
 	out := make(queueCounts)
 	for _, h := range e.tracked {
@@ -133,8 +132,8 @@
 	return out
 }
 
-// broadcastUnplaced tells all peers of this VM's share of the count, again and again while
-// there is one: a peer may have come, or started again, since.
+// broadcastUnplaced sends the peers this VM's unplaced submissions, repeatedly while there are any, as peers may
+// join or restart.
 func (e *engine) broadcastUnplaced() {
 	if e.now-e.unplacedSentAt < loadInterval {
 		return
