--- a/internal/kept/daemon/daemon.go
+++ b/internal/kept/daemon/daemon.go
@@ -171,15 +171,15 @@
 	}
 	d := &Daemon{settings: s, runClient: runhost.NewClient()}
 	d.VM = vm.Start(vm.Config{
-		Name:        s.Name,
-		Incarnation: uint64(time.Now().UnixNano()),
-		Domain:      s.Domain,
-		Domains:     s.Domains,
-		PeerAddress: cmp.Or(s.PeerAddress, peers.Addr().String()),
-		PeerListen:  peers,
-		Direct:      &relay.HTTP{Address: s.Store, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}},
-		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
-		Orders:      d.runClient,
+		Name:           s.Name,
+		Incarnation:    uint64(time.Now().UnixNano()),
+		Domain:         s.Domain,
+		Domains:        s.Domains,
+		PeerAddress:    cmp.Or(s.PeerAddress, peers.Addr().String()),
+		PeerListen:     peers,
+		StoreTransport: &relay.HTTP{Address: s.Store, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}},
+		NewStore:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
+		Workers:        d.runClient,
 		StoreLayout: vm.StoreLayout{
 			WorkerPrefix:  WorkerPrefix,
 			DecodeWorker:  decodeWorker,
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -46,7 +46,7 @@
 	t.Helper()
 	now := time.Hour
 	v := &VM{
-		config: Config{Name: "a1", Domain: "a", Domains: []string{"a", "b"}, Orders: unreachable{}, MaxLease: time.Second, Policy: policy.Defaults()},
+		config: Config{Name: "a1", Domain: "a", Domains: []string{"a", "b"}, Workers: unreachable{}, MaxLease: time.Second, Policy: policy.Defaults()},
 		now:    func() time.Duration { return now },
 		events: ring.New[event](eventCapacity),
 		calls:  newPeerCalls(),
--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -205,7 +205,7 @@
 		v.spawn(func() {
 			ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 			defer cancel()
-			_, r := v.config.Orders.Hold(ctx, info, worker.Hold{})
+			_, r := v.config.Workers.Hold(ctx, info, worker.Hold{})
 			answers <- r.Verdict != worker.NoAnswer
 		})
 	}
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -25,7 +25,7 @@
 func scriptedSession(born int64, answers ...worker.Reply) (*workerSession, *scripted) {
 	s := &scripted{answers: answers}
 	v := &VM{now: func() time.Duration { return time.Hour }}
-	v.config.Orders = s
+	v.config.Workers = s
 	v.config.MaxLease = time.Second
 	extend := &atomic.Bool{}
 	extend.Store(true)
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -182,7 +182,7 @@
 		w.silenceList(true)
 		w.kill(holder)
 		time.Sleep(20 * ms)
-		for !w.vms[next].Holds("a/0") {
+		for !w.vms[next].HoldsShard("a/0") {
 			time.Sleep(10 * ms)
 		}
 		for _, d := range w.doors {
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, order.Wait+renewTimeout)
 	defer cancel()
-	listing, reply := ws.vm.config.Orders.Hold(ctx, *ws.info.Load(), order)
+	listing, reply := ws.vm.config.Workers.Hold(ctx, *ws.info.Load(), order)
 	reply = ws.checkIncarnation(reply)
 	ws.unanswered.Store(reply.Verdict == worker.NoAnswer)
 	ws.recordClock(sent, reply)
@@ -285,7 +285,7 @@
 	ctx, cancel := context.WithTimeout(ctx, ws.orderTimeout())
 	defer cancel()
 	sent := ws.vm.now()
-	r := ws.checkIncarnation(ws.vm.config.Orders.Start(ctx, *ws.info.Load(), s))
+	r := ws.checkIncarnation(ws.vm.config.Workers.Start(ctx, *ws.info.Load(), s))
 	ws.recordClock(sent, r)
 	ws.recordOrder(ws.vm.now()-sent, r)
 	ws.vm.post(startReplyEvent{session: ws, task: s.Task, run: s.Run, reply: r})
@@ -297,7 +297,7 @@
 	ctx, cancel := context.WithTimeout(ctx, ws.orderTimeout())
 	defer cancel()
 	sent := ws.vm.now()
-	r := ws.checkIncarnation(ws.vm.config.Orders.Stop(ctx, *ws.info.Load(), s))
+	r := ws.checkIncarnation(ws.vm.config.Workers.Stop(ctx, *ws.info.Load(), s))
 	ws.recordClock(sent, r)
 	ws.vm.post(stopReplyEvent{session: ws, task: s.Task, run: s.Run, reply: r})
 }
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -146,7 +146,7 @@
 		time.Sleep(5 * time.Second)
 		reader := w.holderOf("a")
 		other := map[string]string{"a1": "a2", "a2": "a1"}[reader]
-		if !w.vms[other].Holds("a/1") {
+		if !w.vms[other].HoldsShard("a/1") {
 			t.Fatalf("%s reads the list and holds all", reader)
 		}
 		w.wantWorkersAt(other, 24, "after the start")
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -23,49 +23,51 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/ring"
 )
 
-// Lists says where the platform keeps its lists in the store, and reads them.
+// StoreLayout says under which keys of the store the platform keeps its list of workers, its configuration
+// (the catalog) and requests for evacuations, and decodes them.
 type StoreLayout struct {
 	WorkerPrefix  string
 	DecodeWorker  func(store.Item) (worker.Info, error)
 	CatalogPrefix string
 	CatalogKey    string
 	DecodeCatalog func(store.Item) (*catalog.Catalog, error)
-	// EvacuationPrefix is where operators ask for evacuations: one key for each failure domain,
-	// named after it, for as long as nothing may start there. It begins with CatalogPrefix, so
-	// that one watch serves both; "": there are none.
+	// EvacuationPrefix is the prefix under which operators ask for evacuations: while a key with
+	// the name of a failure domain exists, nothing may start there. It begins with CatalogPrefix,
+	// so that one watch serves both; "": the site has no evacuations.
 	EvacuationPrefix string
 }
 
-// Config is what an entry VM is made of.
+// Config is the configuration of an entry VM.
 type Config struct {
 	Name                string
-	Incarnation         uint64 // of this process; no other process of the site ever has the same
+	Incarnation         uint64 // identifies this process; unique in the site for all time
 	Domain              string
 	Domains             []string // all failure domains of the site
 	PeerAddress         string   // where peers reach this VM
 	PeerListen          net.Listener
 	PeerDial            wire.Dialer // nil: TCP
-	Direct              relay.Transport
-	Store               func(relay.Transport) store.Store // the store, over a way of making calls
-	Orders              worker.Client
+	StoreTransport      relay.Transport
+	NewStore            func(relay.Transport) store.Store // makes a client of the store that uses a transport
+	Workers             worker.Client
 	StoreLayout         StoreLayout
 	Policy              policy.Settings
-	Cores               float64 // processor of this VM, in cores; 0: not known
-	LinkBytesPerSecond  float64 // what this VM's link carries a second, in bytes; 0: not known
-	StoreReadsPerSecond float64 // reads of the store a second that all VMs may make together; 0: not known
-	// MaxCatalogDelay is how soon a change of the configuration is in force; 0: in 2 s.
+	Cores               float64 // CPU of this VM; 0: not known
+	LinkBytesPerSecond  float64 // bandwidth of this VM's link; 0: not known
+	StoreReadsPerSecond float64 // reads of the store that all VMs may make together; 0: not known
+	// MaxCatalogDelay is the longest time until a change of the configuration is in force; 0: 2 s.
 	MaxCatalogDelay time.Duration
-	// MaxLeaveNoticeDelay is how soon a worker that says it leaves gets nothing new; 0: in 2 s.
+	// MaxLeaveNoticeDelay is the longest time until a worker that announces that it leaves gets no new
+	// tasks; 0: 2 s.
 	MaxLeaveNoticeDelay time.Duration
-	MaxLease            time.Duration // longest lease of runs at a worker
-	Now                 func() time.Duration
+	MaxLease            time.Duration        // longest time by which the lease of a worker's runs is extended
+	Now                 func() time.Duration // nil: the time since boot
 }
 
-// Bounds of an entry VM.
+// Limits of the engine's event queue and rounds.
 const (
 	eventCapacity     = 16384
 	busyRoundInterval = 40 * time.Millisecond
-	idleRoundInterval = 100 * time.Millisecond // of a VM that holds nothing and has nothing open
+	idleRoundInterval = 100 * time.Millisecond // while this VM holds no shards and knows no submissions
 )
 
 // VM is a running entry VM.
@@ -77,27 +79,27 @@
 	calls   *peerCalls
 	store   store.Store
 	intake  *journal.Journal // new submissions
-	ends    *journal.Journal // ends and progress
+	ends    *journal.Journal // ends and progress of submissions
 	server  *link.Server
 	metrics *metrics
 
 	catalog  atomic.Pointer[catalog.Catalog]
-	ready    atomic.Bool // a shard takes submissions, and so does this VM
-	stopping atomic.Bool
+	ready    atomic.Bool // this VM can accept submissions
+	stopping atomic.Bool // Drain was called
 
-	drainRequested      chan struct{} // closed when this VM is about to stop
+	drainRequested      chan struct{} // closed by Drain
 	drainOnce           sync.Once
-	readWorkersRequests chan bool // whether the list of workers is to be read
+	readWorkersRequests chan bool // whether to read the list of workers; the latest request only
 
-	sweepsFinals atomic.Bool // this VM removes final states
+	sweepsFinals atomic.Bool // this VM removes old final states from the store
 
-	loggedEntries loggedKeys // entries of the list of workers
+	loggedEntries loggedKeys // unusable entries of the list of workers that were logged
 
-	orderRTT atomic.Int64 // how long answers of workers to orders usually take, in nanoseconds
+	orderRTT atomic.Int64 // moving average, over all workers, of the round-trip time of orders, in nanoseconds
 
-	relaxedSiteSize atomic.Int64 // VMs of the site, while its news need not reach this VM at once; 0: they must
+	relaxedSiteSize atomic.Int64 // number of VMs while changes of the site may reach this VM late; 0: they may not
 
-	sessionKeyDeleted atomic.Bool // the session's key was deleted though nobody ended it
+	sessionKeyDeleted atomic.Bool // the watch saw this VM's own member key deleted
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -110,10 +112,10 @@
 	}
 	v := &VM{config: c, now: c.Now, events: ring.New[event](eventCapacity), readWorkersRequests: make(chan bool, 1), drainRequested: make(chan struct{})}
 	v.calls = newPeerCalls()
-	v.router = relay.New(c.Direct, v.calls, c.Now)
+	v.router = relay.New(c.StoreTransport, v.calls, c.Now)
 	v.metrics = newMetrics(c.Name)
 	v.router.SetCallObserver(func(answered bool) { v.metrics.storeCalls[answered].Inc(1) })
-	v.store = c.Store(v.router)
+	v.store = c.NewStore(v.router)
 	v.intake = journal.New(journal.Settings{Name: "intake", Capacity: 4096, MaxInFlight: 4}, v.store)
 	v.ends = journal.New(journal.Settings{
 		Name:        "ends",
@@ -127,7 +129,7 @@
 	v.server = link.NewServer(v.heartbeat(), e, c.Now)
 	v.spawn(func() {
 		if err := v.server.Serve(c.PeerListen); err != nil {
-			klog.ErrorS(err, "kept: peers' listener ended")
+			klog.ErrorS(err, "kept: listener for peers ended")
 		}
 	})
 	v.spawn(func() { v.intake.Run(ctx) })
@@ -142,27 +144,28 @@
 	return v
 }
 
+// spawn runs f on a goroutine that Stop waits for.
 func (v *VM) spawn(f func()) { v.goroutines.Go(f) }
 
 func (v *VM) heartbeat() *pb.KeptHeartbeat {
 	return &pb.KeptHeartbeat{EntryVm: v.config.Name, Incarnation: v.config.Incarnation}
 }
 
-// Ready reports whether new callers should come here.
+// Ready reports whether load balancers should send new callers here.
 func (v *VM) Ready() bool { return v.ready.Load() && !v.stopping.Load() }
 
-// Stopping reports whether Drain was called. The VM still takes submissions then: the
-// balancer needs some seconds to send callers elsewhere.
+// Stopping reports whether Drain was called. The VM still accepts submissions then: load
+// balancers need some seconds to send callers elsewhere.
 func (v *VM) Stopping() bool { return v.stopping.Load() }
 
-// Metrics serves counters and histograms in the usual scrape format.
+// Metrics returns a handler that serves the metrics in the Prometheus format.
 func (v *VM) Metrics() http.Handler { return v.metrics.handler() }
 
-// Catalog is the configuration in force; nil before the first.
+// Catalog returns the configuration in force; nil before the first.
 func (v *VM) Catalog() *catalog.Catalog { return v.catalog.Load() }
 
-// Drain gives up all shards and is not ready any more. Submissions are still taken, and
-// those under way are answered. It returns when the shards are given up, or ctx ends.
+// Drain makes the VM not ready and hands over all its shards. The VM goes on accepting
+// submissions and answers those in flight. Drain returns when the shards are handed over, or ctx ends.
 func (v *VM) Drain(ctx context.Context) {
 	v.stopping.Store(true)
 	v.drainOnce.Do(func() { close(v.drainRequested) })
@@ -176,30 +179,30 @@
 	}
 }
 
-// Stop ends all duties.
+// Stop ends all goroutines of the VM and waits for them.
 func (v *VM) Stop() {
 	v.cancel()
 	if err := v.server.Close(); err != nil {
-		klog.V(1).InfoS("kept: peers' listener", "why", err)
+		klog.V(1).InfoS("kept: listener for peers not closed cleanly", "why", err)
 	}
 	v.goroutines.Wait()
 	v.metrics.close()
 	klog.InfoS("kept: stopped", "vm", v.config.Name)
 }
 
-// post hands an event to the engine. A full ring means that the engine cannot
-// keep up at all.
+// post queues an event for the engine; false: it was dropped. The queue is full only when the engine
+// cannot keep up at all.
 func (v *VM) post(e event) bool {
 	if v.events.TryPush(e) {
 		return true
 	}
 	v.metrics.droppedEvents.Inc(1)
-	klog.InfoS("kept: event dropped, the ring is full")
+	klog.InfoS("kept: event dropped, the engine's queue is full")
 	return false
 }
 
-// Holds reports whether this VM holds a shard.
-func (v *VM) Holds(shard string) bool {
+// HoldsShard reports whether this VM holds a shard.
+func (v *VM) HoldsShard(shard string) bool {
 	reply := make(chan bool, 1)
 	return v.post(holdsEvent{shard: shard, reply: reply}) && <-reply
 }
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -121,17 +121,17 @@
 		w.doors[name] = w.store.Door(4 * ms)
 	}
 	w.vms[name] = Start(Config{
-		Name:        name,
-		Policy:      policy.Defaults(),
-		Incarnation: w.lives,
-		Domain:      domain,
-		Domains:     w.domains,
-		PeerAddress: addressOf(name),
-		PeerListen:  w.mesh.Listen(addressOf(name), domain),
-		PeerDial:    w.mesh.Dialer(addressOf(name), domain),
-		Direct:      w.doors[name],
-		Store:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
-		Orders:      w.fleet.From(domain),
+		Name:           name,
+		Policy:         policy.Defaults(),
+		Incarnation:    w.lives,
+		Domain:         domain,
+		Domains:        w.domains,
+		PeerAddress:    addressOf(name),
+		PeerListen:     w.mesh.Listen(addressOf(name), domain),
+		PeerDial:       w.mesh.Dialer(addressOf(name), domain),
+		StoreTransport: w.doors[name],
+		NewStore:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
+		Workers:        w.fleet.From(domain),
 		StoreLayout: StoreLayout{
 			WorkerPrefix: "workers/",
 			DecodeWorker: func(it store.Item) (worker.Info, error) {
--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -264,7 +264,7 @@
 // other VM.
 func outlive(ctx context.Context, s *Site, vms map[string]*daemon.Daemon, endpoints map[string]string, say func(string, ...any)) error {
 	doomed, survivor := "k1", "k2"
-	if vms["k2"].VM.Holds("hall/0") {
+	if vms["k2"].VM.HoldsShard("hall/0") {
 		doomed, survivor = survivor, doomed
 	}
 	first, err := client.NewKept(endpoints[doomed])
