--- a/internal/kept/shard/host.go
+++ b/internal/kept/shard/host.go
@@ -28,18 +28,18 @@
 	leaseExpired        bool          // its lease expired without an answer, and it has not answered since
 	health              policy.WorkerHealth
 	strayRuns           map[submission.TaskRef]strayRun
-	unlistedStarts      unlistedStarts
+	unresolvedStarts    unresolvedStarts
 	revokedRuns         map[submission.TaskRef]revokedRun
 }
 
 func newHost(info worker.Info, origin Origin) *host {
 	return &host{
-		info:           info,
-		incarnation:    info.Incarnation().String(),
-		origin:         origin,
-		strayRuns:      make(map[submission.TaskRef]strayRun),
-		unlistedStarts: make(unlistedStarts),
-		revokedRuns:    make(map[submission.TaskRef]revokedRun),
+		info:             info,
+		incarnation:      info.Incarnation().String(),
+		origin:           origin,
+		strayRuns:        make(map[submission.TaskRef]strayRun),
+		unresolvedStarts: make(unresolvedStarts),
+		revokedRuns:      make(map[submission.TaskRef]revokedRun),
 	}
 }
 
--- a/internal/kept/shard/shard.go
+++ b/internal/kept/shard/shard.go
@@ -25,7 +25,7 @@
 	workers               map[string]*host
 	recentlyEnded         map[submission.ID]endedJob   // submissions that ended or left within endedRetention
 	replacedWorkers       map[string]replacedWorker    // incarnations that another one has replaced, by worker ID
-	leftoverStarts        map[string]unlistedStarts    // of workers that have been removed, by worker ID
+	leftoverStarts        map[string]unresolvedStarts  // of workers that have been removed, by worker ID
 	earlyListings         map[string]earlyListing      // listings that arrived before the records, by worker ID
 	earlyEnds             map[submission.ID][]earlyEnd // ended runs of submissions that are not known yet
 	transientBarrierUntil time.Duration                // when unlisted runs of transient submissions have ended
@@ -79,7 +79,7 @@
 		earlyListings:         make(map[string]earlyListing),
 		recentlyEnded:         make(map[submission.ID]endedJob),
 		replacedWorkers:       make(map[string]replacedWorker),
-		leftoverStarts:        make(map[string]unlistedStarts),
+		leftoverStarts:        make(map[string]unresolvedStarts),
 		paceByQueue:           make(map[string]*policy.Pace),
 	}
 }
