--- a/internal/kept/catalog/catalog.go
+++ b/internal/kept/catalog/catalog.go
@@ -1,4 +1,5 @@
-// Package catalog holds the kinds of work that operators have configured.
+// Package catalog holds the configuration of operators: the queues that callers submit to, the
+// services that workers belong to, and the limits of requests.
 package catalog
 
 import (
@@ -8,11 +9,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// Queue is one kind of work, as its callers reach it.
+// Queue is one kind of submissions: where callers submit them, and on which terms they run.
 type Queue struct {
 	Name    string
-	Host    string // callers name it with each request
-	Prefix  string // of the paths
+	Host    string // host name in the requests of its callers
+	Prefix  string // prefix of the request paths
 	Timeout time.Duration
 	Terms   submission.Terms
 }
@@ -20,22 +21,22 @@
 // Service is a kind of worker.
 type Service struct {
 	Name string
-	// EnforcesCapacity says that its workers refuse what does not fit. The room of others is known from
-	// their entries alone.
+	// GuardsRoom says that its workers enforce their capacity: they refuse tasks that do not fit. The
+	// capacity of other workers is known only from their entries.
 	GuardsRoom bool
 }
 
-// Catalog is one version of the configuration. It does not change.
+// Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
 	Version uint64
 	Queues  []Queue
-	// Services are those that workers may belong to; empty: any. Entries of the list of
-	// workers that name another service count as no workers.
+	// Services are the services that workers may belong to; empty: any. Entries of the list of
+	// workers with another service are ignored.
 	Services []Service
 	Limits   Limits
 }
 
-// Limits bound what callers may send.
+// Limits are the limits of requests from callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -43,7 +44,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Match finds the queue with the longest prefix of a path, and the rest of the path.
+// Match returns the queue of the host with the longest prefix of a path, and the rest of the path.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string, found bool) {
 	for i := range c.Queues {
 		candidate := &c.Queues[i]
@@ -60,7 +61,7 @@
 	return q, path[len(q.Prefix):], true
 }
 
-// Queue finds a queue by its name; nil if there is none.
+// Queue returns the queue with the given name; nil if there is none.
 func (c *Catalog) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
--- a/internal/kept/clock/clock.go
+++ b/internal/kept/clock/clock.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the machine started, suspended time included.
+// Now returns the time since the machine booted, including time in suspension.
 //
-// Leases are measured on it. The steady clock of Go stands still while a machine
-// is suspended: an entry VM that wakes up would take an authority that others
-// have long passed on for a fresh one. The time of day jumps.
+// Leases are measured by it. Go's monotonic clock stops while a machine is suspended:
+// an entry VM that resumes would consider a lease valid that has expired and that
+// another VM has taken over. The wall clock is not suitable, as it may jump.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("clock: no boot clock: " + err.Error())
+		panic("clock: cannot read the boot clock: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/kept/evacuation/evacuation.go
+++ b/internal/kept/evacuation/evacuation.go
@@ -1,11 +1,12 @@
-// Package evacuation knows in which failure domains nothing may start, as operators ask.
+// Package evacuation tracks which failure domains operators have evacuated. No task may start in an
+// evacuated domain.
 //
 // # Contract
 //
-// A Set is a deterministic core: no I/O, no clock, no goroutine. What the store says, and what
-// peers pass on, goes in with its revision; of two notices about one domain the one with the higher
-// revision holds. So notices may come late, twice, in any order and by several ways, and a domain
-// never goes back to an older state. It is not safe for concurrent use.
+// A Set is deterministic: it does no I/O, reads no clock and starts no goroutine. Notices come from the
+// store and from peers, each with a revision of the store. Of two notices about a domain the one with
+// the higher revision applies, so notices may arrive late, twice, in any order and by several paths, and
+// a domain never returns to an older state. A Set is not safe for concurrent use.
 package evacuation
 
 import (
@@ -15,23 +16,23 @@
 	"time"
 )
 
-// Notice says whether a failure domain is evacuated, as of a revision of the store.
+// Notice says whether a failure domain is evacuated as of a revision of the store.
 type Notice struct {
 	Domain    string
 	Revision  uint64
 	Evacuated bool
 }
 
-// Set is what a VM knows of the evacuations of its site. Its zero value knows of none.
+// Set is what an entry VM knows about the evacuations of its site. The zero value knows of none.
 type Set struct {
 	notices      map[string]Notice
-	lastReadSent time.Duration // when the newest answered question left
+	lastReadSent time.Duration // when the newest successful read of the store was sent
 }
 
-// Take takes a notice and reports whether it changes what may start in its domain.
+// Apply applies a notice and reports whether it changes whether its domain is evacuated.
 func (s *Set) Apply(n Notice) (changed bool) {
-	known, there := s.notices[n.Domain]
-	if there && n.Revision <= known.Revision {
+	known, found := s.notices[n.Domain]
+	if found && n.Revision <= known.Revision {
 		return false
 	}
 	if s.notices == nil {
@@ -41,7 +42,7 @@
 	return known.Evacuated != n.Evacuated
 }
 
-// ApplyAll takes notices and returns the domains in which they change what may start.
+// ApplyAll applies notices and returns the domains that they change.
 func (s *Set) ApplyAll(notices []Notice) (changed []string) {
 	for _, n := range notices {
 		if s.Apply(n) {
@@ -51,44 +52,44 @@
 	return changed
 }
 
-// ApplyList takes the list of all evacuations as it was at a revision: a domain that it does not
-// name was not evacuated then. It returns the domains in which it changes what may start.
+// ApplyList applies the complete list of evacuations at a revision: a domain that is not in the list
+// was not evacuated then. It returns the domains that the list changes.
 //
-// Without it a VM that has missed a withdrawal, as the store's history is lost, would leave the
-// domain alone for ever.
+// A VM may miss the withdrawal of an evacuation when the store's history is lost. Without the
+// list it would never use the domain again.
 func (s *Set) ApplyList(revision uint64, list []Notice) (changed []string) {
 	changed = s.ApplyAll(list)
-	named := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, n := range list {
-		named[n.Domain] = true
+		listed[n.Domain] = true
 	}
 	for _, domain := range slices.Sorted(maps.Keys(s.notices)) {
-		if !named[domain] && s.Apply(Notice{Domain: domain, Revision: revision}) {
+		if !listed[domain] && s.Apply(Notice{Domain: domain, Revision: revision}) {
 			changed = append(changed, domain)
 		}
 	}
 	return changed
 }
 
-// Confirm notes that a question to the store, which left at a time, was answered and what it
-// said was taken.
-func (s *Set) RecordRead(asked time.Duration) { s.lastReadSent = max(s.lastReadSent, asked) }
+// RecordRead records that a read of the store, sent at the given time, was answered and that its
+// result was applied.
+func (s *Set) RecordRead(sent time.Duration) { s.lastReadSent = max(s.lastReadSent, sent) }
 
-// Age is how long ago the store was last asked with success; before that, the time on the clock.
+// Age is the time since the last successful read of the store was sent; before the first one it is now.
 func (s *Set) Age(now time.Duration) time.Duration { return now - s.lastReadSent }
 
-// Evacuated reports whether nothing may start in a domain.
+// Evacuated reports whether a domain is evacuated.
 func (s *Set) Evacuated(domain string) bool { return s.notices[domain].Evacuated }
 
-// Revision is that of the newest notice about a domain; 0: there was none.
+// Revision is the revision of the newest notice about a domain; 0: there was none.
 func (s *Set) Revision(domain string) uint64 { return s.notices[domain].Revision }
 
-// Notices returns the newest notice about each domain that any was about, by domain.
+// Notices returns the newest notice about each domain that had one, sorted by domain.
 func (s *Set) Notices() []Notice {
 	return slices.SortedFunc(maps.Values(s.notices), func(a, b Notice) int { return cmp.Compare(a.Domain, b.Domain) })
 }
 
-// Domains returns the evacuated domains, in order.
+// Domains returns the evacuated domains, sorted.
 func (s *Set) Domains() []string {
 	var out []string
 	for _, n := range s.Notices() {
--- a/internal/kept/evacuation/evacuation_test.go
+++ b/internal/kept/evacuation/evacuation_test.go
@@ -9,30 +9,29 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// Symptom: a domain is used again while it is evacuated. Sequence: a peer that has not heard of
-// the evacuation yet passes the withdrawal of the one before on. Cause would be: the newest arrival
-// counts, not the newest revision.
+// Guards against using a domain while it is evacuated. A peer that does not know of the evacuation yet
+// forwards the withdrawal of the previous one. The newest revision must count, not the newest arrival.
 func TestOlderNoticeChangesNothing(t *testing.T) {
 	var s Set
 	s.Apply(Notice{Domain: "a", Revision: 7, Evacuated: true})
 	if s.Apply(Notice{Domain: "a", Revision: 5}) || !s.Evacuated("a") {
-		t.Error("an older notice took the evacuation back")
+		t.Error("an older notice withdrew the evacuation")
 	}
 }
 
-// Symptom: a domain is left alone for ever. Sequence: the evacuation is withdrawn while the store's
-// history is lost, and the list is read anew. Cause would be: only what the list names is taken.
+// Guards against a domain that is never used again. The evacuation is withdrawn while the store's history
+// is lost, and the list is read anew. A domain that is missing from the list must count as withdrawn.
 func TestListWithoutTheDomainWithdrawsItsEvacuation(t *testing.T) {
 	var s Set
 	s.Apply(Notice{Domain: "a", Revision: 7, Evacuated: true})
 	changed := s.ApplyList(9, nil)
 	if s.Evacuated("a") || !slices.Equal(changed, []string{"a"}) {
-		t.Errorf("the evacuation stands after a newer list without it; changed: %v", changed)
+		t.Errorf("the domain is still evacuated after a newer list without it; changed: %v", changed)
 	}
 }
 
-// Symptom: an evacuation is overlooked. Sequence: a list that was read before it comes after its
-// event. Cause would be: the list counts as the newest word though its revision is lower.
+// Guards against missing an evacuation. A list that was read before the evacuation arrives after its
+// event. The list must not apply, as its revision is lower.
 func TestOlderListDoesNotWithdraw(t *testing.T) {
 	var s Set
 	s.Apply(Notice{Domain: "a", Revision: 9, Evacuated: true})
@@ -41,13 +40,13 @@
 	}
 }
 
-// However notices are delayed, doubled and reordered, a VM that has heard the newest one of a
-// domain knows what the store says.
-func TestAnyOrderOfNoticesEndsTheSame(t *testing.T) {
+// However notices are delayed, duplicated and reordered, a VM that has received the newest notice about a
+// domain has the state of the store.
+func TestStateDoesNotDependOnTheOrderOfNotices(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("the newest revision decides", prop.ForAll(func(order []int) bool {
-		// Revision r evacuates or returns a domain by turns.
+		// Revisions alternately evacuate a domain and withdraw the evacuation.
 		notice := func(r int) Notice {
 			return Notice{Domain: []string{"a", "b"}[r%2], Revision: uint64(r), Evacuated: r/2%2 == 1}
 		}
--- a/internal/kept/worker/worker.go
+++ b/internal/kept/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker says what an entry VM and a worker tell each other: what the
-// worker is, the orders it takes and the listing of what runs there.
+// Package worker defines the interface between entry VMs and workers: a worker's
+// description of itself, the orders that it accepts, and the listing of its runs.
 package worker
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// Incarnation names one life of a worker, from its start to its end. A worker that starts
-// again may keep its ID.
+// Incarnation identifies one process lifetime of a worker. A worker that restarts may keep its
+// ID.
 type Incarnation struct {
 	ID   string
-	Born int64 // Unix time of its start in milliseconds; 0: not known
+	Born int64 // start time, Unix milliseconds; 0: not known
 }
 
 func (i Incarnation) String() string {
@@ -25,15 +25,16 @@
 	return i.ID + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Succeeds reports whether it is a later incarnation under the same ID.
+// Succeeds reports whether i is a later incarnation than another one with the same ID. It is false if
+// the start of the other one is not known.
 func (i Incarnation) Succeeds(earlier Incarnation) bool {
 	return i.ID == earlier.ID && earlier.Born > 0 && i.Born > earlier.Born
 }
 
-// Info is what a worker says about itself in the list of workers.
+// Info is a worker's entry in the list of workers.
 type Info struct {
 	ID       string
-	Born     int64 // Unix time of its start in milliseconds; 0: it does not say
+	Born     int64 // start time, Unix milliseconds; 0: not given
 	Service  string
 	Address  string
 	Domain   string // its failure domain
@@ -42,15 +43,15 @@
 	CPUMilli int64
 	MemMB    int64
 	GPU      int64
-	Leaving  bool   // takes nothing new, and stops soon
-	Cold     bool   // tasks take longer there for some time after its start
-	Revision uint64 // of its entry in the list of workers
+	Leaving  bool   // accepts no new tasks and stops soon
+	Cold     bool   // tasks still take longer there, as it has started recently
+	Revision uint64 // store revision of its entry in the list of workers
 }
 
-// Incarnation returns which life of the worker it is.
+// Incarnation returns the incarnation that the entry describes.
 func (w *Info) Incarnation() Incarnation { return Incarnation{ID: w.ID, Born: w.Born} }
 
-// HasLabel reports whether the worker carries a label; "" is carried by all.
+// HasLabel reports whether the worker has a label; all workers have "".
 func (w *Info) HasLabel(label string) bool {
 	if label == "" {
 		return true
@@ -63,7 +64,7 @@
 	return false
 }
 
-// EntryError says why an entry of the list of workers names no worker to use.
+// EntryError reports an entry of the list of workers that describes no usable worker.
 type EntryError struct {
 	Key    string
 	Reason string
@@ -71,30 +72,30 @@
 
 func (e *EntryError) Error() string { return fmt.Sprintf("entry %s: %s", e.Key, e.Reason) }
 
-// Room that no worker has. Sums over a site stay far below what an int64 holds.
+// Upper bounds of a worker's capacity. Sums over a site stay far below the range of an int64.
 const (
 	maxCPUMilli = 1 << 31 // thousandths of a core
 	maxGPU      = 1 << 31
 	maxMemMB    = 1 << 40 // megabytes
 )
 
-// Problem says why an entry of the list of workers names no worker to use; "": it names one.
-// Other writers may put entries into the list: one without room would count as a worker that
-// is always full, one without a service as room that nobody can use.
+// Problem describes why the entry is not a usable worker; "": it is usable. Other writers may put
+// entries into the list: one without capacity would count as a worker that is always full, one
+// without a service as capacity that nobody can use.
 func (w *Info) Problem() string {
 	switch {
 	case w.ID == "":
-		return "it has no ID"
+		return "the ID is empty"
 	case w.Service == "":
-		return "it names no service"
+		return "the service is empty"
 	case w.Domain == "":
-		return "it names no failure domain"
+		return "the failure domain is empty"
 	case w.Address == "":
-		return "it names no address"
+		return "the address is empty"
 	case w.Born < 0:
-		return "its start is not a time"
+		return "the start time is negative"
 	case w.CPUMilli <= 0 || w.CPUMilli > maxCPUMilli, w.MemMB <= 0 || w.MemMB > maxMemMB, w.GPU < 0 || w.GPU > maxGPU:
-		return "its room is not that of a worker"
+		return "the capacity is out of range"
 	default:
 		return ""
 	}
@@ -106,45 +107,45 @@
 // The answers to an order.
 const (
 	Accepted       Verdict = iota
-	Fenced                 // a higher token was seen; nothing was done
-	Superseded             // a run as high was stopped or has ended there; it never starts
-	DeadlinePassed         // the order's deadline has passed; it never starts
+	Fenced                 // the worker has seen a higher fencing token; nothing was done
+	Superseded             // a run with this number or a higher one was stopped or has ended there; this one never starts
+	DeadlinePassed         // the deadline of the order has passed; the run never starts
 	NoRoom                 // nothing was done
-	Malformed              // nothing was done, and it would fail again
-	Unavailable            // nothing was done; the worker is not in order
+	Malformed              // nothing was done, and the order would fail again
+	Unavailable            // the worker cannot carry out orders at present; nothing was done
 	Replaced               // another incarnation answers at the address
-	NoAnswer               // no answer: it may have been done, or be done later
+	NoAnswer               // the order may have been carried out, or may be later
 )
 
 var verdictNames = [...]string{"accepted", "fenced", "outrun", "late", "no room", "malformed", "unwell", "gone", "silent"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// How says how a run ended.
+// EndReason is how a run ended.
 type EndReason uint8
 
-// The ends of a run.
+// The ways in which a run ends.
 const (
 	Completed    EndReason = iota
-	Failed                 // by its own fault or the worker's
-	Stopped                // on an order
-	LeaseExpired           // its lease ran out
-	GangBroken             // another member of its gang ended
-	GangTimeout            // it waited too long for the rest of its gang
+	Failed                 // through its own fault or the worker's
+	Stopped                // by a stop order
+	LeaseExpired           // its lease was not renewed in time
+	GangBroken             // another member of its gang has ended
+	GangTimeout            // it waited too long for the other members of its gang
 )
 
 var endReasonNames = [...]string{"completed", "failed", "stopped", "lapsed", "broken", "alone"}
 
-func (h EndReason) String() string { return endReasonNames[h] }
+func (r EndReason) String() string { return endReasonNames[r] }
 
 // Start is the order to run a task.
 type Start struct {
 	Task       submission.TaskRef
-	Run        uint64 // numbers the task's starts
+	Run        uint64 // number of the start, counted per task
 	Spec       string
-	Checkpoint string        // to resume from; "": none
+	Checkpoint string        // checkpoint to resume from; "": none
 	Token      uint64        // fencing token
-	Deadline   time.Duration // on the worker's clock; the order is void later
+	Deadline   time.Duration // on the worker's clock; a later arrival is refused
 }
 
 // Stop is the order to end a run.
@@ -154,25 +155,25 @@
 	Token uint64
 }
 
-// Hold extends the lease of all that runs on a worker and asks what does.
+// Hold is the order to extend the lease of all runs on a worker and to list them. It is a long poll.
 type Hold struct {
 	Token    uint64
-	AckedEnd uint64        // ends up to this number need not be listed again
-	Deadline time.Duration // on the worker's clock; 0: no extension
-	Wait     time.Duration // for the next end, before it answers
+	AckedEnd uint64        // Seq of the last end that was received; ends up to it need not be listed again
+	Deadline time.Duration // new end of the lease, on the worker's clock; 0: no extension
+	Wait     time.Duration // how long the worker may wait for the next end before it answers
 }
 
-// Running is a run under way.
+// Running is a run in progress.
 type Running struct {
 	Task       submission.TaskRef
 	Run        uint64
 	Checkpoint string
-	Percent    int // of its work
+	Percent    int // share of its work that is done
 }
 
-// Ended is a run that is over.
+// Ended is a run that has ended.
 type Ended struct {
-	Seq        uint64 // numbers the ends of this worker
+	Seq        uint64 // sequence number among the ends at this worker
 	Task       submission.TaskRef
 	Run        uint64
 	Reason     EndReason
@@ -181,22 +182,22 @@
 
 // Listing is the answer to a hold.
 type Listing struct {
-	Clock   time.Duration // the worker's, when it answered
-	Born    int64         // of the incarnation that answers, as in Info; 0: it does not say
+	Clock   time.Duration // time on the worker's clock when it answered
+	Born    int64         // start of the incarnation that answers, as in Info; 0: not given
 	Running []Running
 	Ended   []Ended
 }
 
-// Reply is the answer to an order. Clock is 0 if the worker did not say.
+// Reply is the answer to an order.
 type Reply struct {
 	Verdict Verdict
-	Clock   time.Duration
-	Born    int64 // of the incarnation that answers, as in Info; 0: it does not say
-	// Successor is the incarnation that answers in place of one that is gone; without ID: not known.
+	Clock   time.Duration // time on the worker's clock when it answered; 0: not given
+	Born    int64         // start of the incarnation that answers, as in Info; 0: not given
+	// Successor is the incarnation that answered, if the verdict is Replaced; its ID is empty if not known.
 	Successor Incarnation
 }
 
-// Orders reaches workers. Calls return Silent when ctx ends first.
+// Client sends orders to workers. Its calls return NoAnswer if ctx ends first.
 type Client interface {
 	Start(ctx context.Context, to Info, order Start) Reply
 	Stop(ctx context.Context, to Info, order Stop) Reply
