--- a/internal/kept/shard/crash.go
+++ b/internal/kept/shard/crash.go
@@ -11,11 +11,12 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// lossWindow is the most between two losses of workers that may have one cause: power, a network, or a
-// task. A lost worker is noticed when its lease is over, some tenths of a second after others.
+// lossWindow is the maximum time between the detection of two worker losses that may have the same cause:
+// a power cut, a network failure, or a task. A loss is detected when the worker's lease expires, which for
+// several workers may be some tenths of a second apart.
 const lossWindow = time.Second
 
-// lostWorker is a worker that was lost with tasks on it.
+// lostWorker is a worker that was lost while it had tasks.
 type lostWorker struct {
 	info        worker.Info
 	incarnation string
@@ -23,8 +24,8 @@
 	jobs        []*job
 }
 
-// lost counts the loss of a worker against the tasks there. A worker that had given notice was not
-// crashed by what ran there.
+// recordLoss records the loss of a worker as evidence against the tasks there. A worker that had announced
+// that it leaves was not crashed by its tasks. ended says that its incarnation has certainly ended.
 func (s *Shard) recordLoss(now time.Duration, h *host, tasks []*task, ended bool) {
 	tasks = slices.DeleteFunc(slices.Clone(tasks), func(t *task) bool { return t.state == taskStoppingForGood || t.job.state.Final() })
 	if len(tasks) == 0 || h.info.Leaving {
@@ -45,8 +46,8 @@
 	s.actions.WorkerLosses = append(s.actions.WorkerLosses, WorkerLossAction{Worker: h.incarnation, Tasks: len(tasks), Unrelated: unrelated})
 }
 
-// blame adds a loss to what a task has taken down, and has it stored, or told to its home, before the
-// task starts again.
+// addLoss adds a loss to those of a task, and has it stored or reported to the home VM before the task
+// starts again.
 func (s *Shard) addLoss(now time.Duration, t *task, l submission.Loss) {
 	t.losses = submission.AddLoss(t.losses, l)
 	t.lossChangedAt = now
@@ -58,8 +59,9 @@
 	t.job.unsavedSince = max(now-s.settings.SaveDelay, 1)
 }
 
-// unrelatedLosses reports whether another worker went at the same moment that had no submission of the
-// same ones. Then neither loss says anything of a task, and what was counted so far is taken back.
+// unrelatedLosses reports whether a worker that had none of the given submissions was lost at the same
+// moment, or is silent now and so probably is. Neither loss is evidence against a task then, and the weight
+// of the earlier ones is taken back.
 func (s *Shard) unrelatedLosses(now time.Duration, h *host, jobs []*job) bool {
 	unrelated := false
 	for _, l := range s.recentLosses {
@@ -76,11 +78,12 @@
 	return unrelated
 }
 
+// shareAny reports whether two lists of submissions have one in common.
 func shareAny(a, b []*job) bool {
 	return slices.ContainsFunc(a, func(j *job) bool { return slices.Contains(b, j) })
 }
 
-// hasTasksOf reports whether any of some submissions has a task at a worker.
+// hasTasksOf reports whether any of the submissions has a task on a worker.
 func (s *Shard) hasTasksOf(h *host, jobs []*job) bool {
 	for _, j := range jobs {
 		for _, t := range j.tasks {
@@ -92,17 +95,18 @@
 	return false
 }
 
-// reweigh takes the loss of a worker for one that says nothing of the tasks that were there.
+// discountLoss sets the weight of a worker's loss to that of an unrelated one, which is no evidence against
+// the tasks that were there.
 func (s *Shard) discountLoss(now time.Duration, incarnation string) {
 	s.updateLosses(now, incarnation, func(l *submission.Loss) { l.Weight = policy.LossContext{UnrelatedLosses: true}.Weight() })
 }
 
-// confirmLoss says that the incarnation of a worker that was lost has ended.
+// confirmLoss records that the incarnation of a lost worker has certainly ended.
 func (s *Shard) confirmLoss(now time.Duration, incarnation string) {
 	s.updateLosses(now, incarnation, func(l *submission.Loss) { l.Certain = true })
 }
 
-// confirmLossesAt says that the workers that were lost at the address of another have ended.
+// confirmLossesAt confirms the losses of workers at the address of a newer one.
 func (s *Shard) confirmLossesAt(now time.Duration, newer worker.Info) {
 	for _, l := range s.recentLosses {
 		later := l.info.ID != newer.ID || newer.Incarnation().Succeeds(l.info.Incarnation())
@@ -112,7 +116,8 @@
 	}
 }
 
-// correct changes what is known of the loss of a worker, for all tasks that were there.
+// updateLosses changes the loss of a worker in all tasks that have it, and gives up those for which it is
+// one too many.
 func (s *Shard) updateLosses(now time.Duration, incarnation string, change func(*submission.Loss)) {
 	if !s.hasLosses {
 		return
@@ -132,7 +137,7 @@
 	s.giveUpTasks(now, tasks)
 }
 
-// withdrawLoss takes back the loss of a worker that was only silent.
+// withdrawLoss takes back the loss of a worker that answers again after its lease had expired.
 func (s *Shard) withdrawLoss(now time.Duration, h *host) {
 	if !h.leaseExpired {
 		return
@@ -146,13 +151,14 @@
 	}
 }
 
-// lossOutcomeKnown reports whether it is known of a task's lost workers what became of them, if that decides
-// whether it starts again.
+// lossOutcomeKnown reports whether a task may start as far as its losses are concerned. If uncertain losses
+// would be enough to give it up, it has to wait until it is known, or no longer likely to be learnt, whether
+// the workers have ended.
 func (s *Shard) lossOutcomeKnown(now time.Duration, t *task) bool {
 	return len(t.losses) == 0 || now-t.lossChangedAt > policy.LossConfirmationTime || !s.settings.Policy.ShouldGiveUp(t.losses, true)
 }
 
-// giveUpTasks ends the submissions of tasks that take down the workers that start them.
+// giveUpTasks fails the submissions of those tasks that have lost too many workers.
 func (s *Shard) giveUpTasks(now time.Duration, tasks []*task) {
 	for _, t := range tasks {
 		if t.job.state.Final() || !s.settings.Policy.ShouldGiveUp(t.losses, t.job.rec.Transient) {
@@ -163,44 +169,46 @@
 	}
 }
 
-// suspect reports whether a task must run alone.
+// isSuspect reports whether a task must run alone on its worker, as it may have crashed earlier ones.
 func (s *Shard) isSuspect(t *task) bool {
 	return len(t.losses) > 0 && s.settings.Policy.IsSuspect(t.losses)
 }
 
-// divideCandidates returns the rooms for all tasks, and those for suspects: empty ones, which are kept while
-// suspects wait as under load no worker gets empty by itself, and those that suspects have. Beside a
-// suspect only others of its submission start: whichever of them it is, the submission has failed.
-func (s *Shard) divideCandidates(rooms []*candidate) (open, alone []*candidate) {
+// divideCandidates divides the candidates into shared ones, for all other tasks, and exclusive ones for
+// suspects. A suspect runs on a worker without other tasks. Under load no worker becomes idle by itself, so
+// while suspects wait, the least used workers are reserved for them: they get no new tasks, and become
+// exclusive once they are idle. Beside a suspect only suspects of the same submission start: whichever of
+// them crashes the worker, the submission has failed.
+func (s *Shard) divideCandidates(candidates []*candidate) (shared, exclusive []*candidate) {
 	if !s.hasLosses {
-		return rooms, nil
+		return candidates, nil
 	}
-	wait, inUse := s.countSuspects()
-	kept := min(wait, s.settings.Policy.MaxSuspectWorkers(len(s.workers))-inUse)
-	byUse := slices.SortedStableFunc(slices.Values(rooms), func(a, b *candidate) int { return cmp.Compare(a.usedCPUMilli(), b.usedCPUMilli()) })
-	for _, r := range byUse {
+	waiting, inUse := s.countSuspects()
+	reserved := min(waiting, s.settings.Policy.MaxSuspectWorkers(len(s.workers))-inUse)
+	byUse := slices.SortedStableFunc(slices.Values(candidates), func(a, b *candidate) int { return cmp.Compare(a.usedCPUMilli(), b.usedCPUMilli()) })
+	for _, c := range byUse {
 		switch {
-		case r.suspect != nil:
-			alone = append(alone, r)
-		case kept <= 0:
-			open = append(open, r)
+		case c.suspect != nil:
+			exclusive = append(exclusive, c)
+		case reserved <= 0:
+			shared = append(shared, c)
 		default:
-			kept--
-			if len(r.tasksByStep) == 0 {
-				alone = append(alone, r)
+			reserved--
+			if len(c.tasksByStep) == 0 {
+				exclusive = append(exclusive, c)
 			}
 		}
 	}
-	return open, alone
+	return shared, exclusive
 }
 
-// exclusiveCandidatesFor returns the rooms for suspects that those of a submission may have.
-func exclusiveCandidatesFor(j *job, alone []*candidate) []*candidate {
-	return slices.DeleteFunc(slices.Clone(alone), func(r *candidate) bool { return r.suspect != nil && r.suspect != j })
+// exclusiveCandidatesFor returns the exclusive candidates that suspects of a submission may use.
+func exclusiveCandidatesFor(j *job, exclusive []*candidate) []*candidate {
+	return slices.DeleteFunc(slices.Clone(exclusive), func(c *candidate) bool { return c.suspect != nil && c.suspect != j })
 }
 
-// countSuspects counts the suspects that may start, and the workers that suspects have.
-func (s *Shard) countSuspects() (wait, inUse int) {
+// countSuspects counts the suspects that wait for a worker, and the workers that suspects use.
+func (s *Shard) countSuspects() (waiting, inUse int) {
 	s.hasLosses = false
 	hosts := make(map[*host]bool)
 	for _, j := range s.jobs {
@@ -211,12 +219,12 @@
 			case t.occupies():
 				hosts[t.host] = true
 			case !j.state.Final() && j.isStartable(t):
-				wait++
+				waiting++
 			}
 		}
 	}
-	return wait, len(hosts)
+	return waiting, len(hosts)
 }
 
-// used is the processor that is taken, in thousandths of a core.
-func (r *candidate) usedCPUMilli() int64 { return r.host.info.CPUMilli - r.freeCPUMilli }
+// usedCPUMilli returns the CPU that tasks use on the worker, in thousandths of a core.
+func (c *candidate) usedCPUMilli() int64 { return c.host.info.CPUMilli - c.freeCPUMilli }
