--- a/internal/kept/vm/holding.go
+++ b/internal/kept/vm/holding.go
@@ -101,8 +101,8 @@
 	e.setEvacuated(h)
 	h.ctx, h.cancel = context.WithCancel(e.ctx)
 	e.shards[holding.Shard] = h
-	for peer, up := range e.linkUp {
-		if !up {
+	for peer, linkUp := range e.linkUp {
+		if !linkUp {
 			h.core.HomeLost(e.now, peer)
 		}
 	}
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -27,9 +27,9 @@
 	v := &VM{now: func() time.Duration { return time.Hour }}
 	v.config.Workers = s
 	v.config.MaxLease = time.Second
-	extend := &atomic.Bool{}
-	extend.Store(true)
-	h := &workerSession{vm: v, extendLeases: extend, acked: make(chan struct{}, 1)}
+	extendLeases := &atomic.Bool{}
+	extendLeases.Store(true)
+	h := &workerSession{vm: v, extendLeases: extendLeases, acked: make(chan struct{}, 1)}
 	h.info.Store(&worker.Info{ID: "w", Born: born})
 	h.born.Store(born)
 	return h, s
--- a/internal/kept/vm/lists.go
+++ b/internal/kept/vm/lists.go
@@ -55,10 +55,10 @@
 
 // workerList is the list of the workers of a failure domain.
 type workerList struct {
-	workers []worker.Info // by ID
+	infos   []worker.Info // by ID
 	askedAt time.Duration // when this VM, or the sender, asked the store for it
 	version uint64        // as numbered by this VM, or by the sender
-	sender  string        // the VM that sent it; "": this VM read it from the store
+	from    string        // the VM that sent it; "": this VM read it from the store
 
 	layout         site.ShardLayout         // that byShard follows
 	shardByAddress map[string]string        // of the workers, by address
@@ -71,7 +71,7 @@
 }
 
 // readHere reports whether this VM read the list from the store.
-func (l *workerList) readHere() bool { return l.sender == "" }
+func (l *workerList) readHere() bool { return l.from == "" }
 
 // isListReader reports whether this VM reads the list of workers for all holders of a domain.
 func (e *engine) isListReader(domain string) bool {
@@ -90,29 +90,29 @@
 // updateLists decides whether this VM reads the list of workers from the store, and sends it to the other
 // holders of the domains whose list reader this VM is.
 func (e *engine) updateLists() {
-	reading := false
+	readingWorkers := false
 	calls := e.vm.router.LastCalls()
 	for name, h := range e.shards {
 		domain := site.DomainOf(name)
 		l := e.workerLists[domain]
 		switch {
 		case e.isListReader(domain):
-			reading = true
+			readingWorkers = true
 			if l != nil {
 				e.sendWorkers(domain, l)
 			}
 		case l == nil:
-			reading = reading || e.now-h.acquiredAt > firstListTimeout
+			readingWorkers = readingWorkers || e.now-h.acquiredAt > firstListTimeout
 		default:
-			reading = reading || l.readHere() || e.isListStale(l)
+			readingWorkers = readingWorkers || l.readHere() || e.isListStale(l)
 		}
 		h.core.SetListOutdated(e.isListOutdated(l, calls))
 	}
 	e.holdersChanged = false
-	if reading != e.readingWorkers {
-		e.readingWorkers = reading
+	if readingWorkers != e.readingWorkers {
+		e.readingWorkers = readingWorkers
 		e.lastWorkersRead = workersEvent{}
-		e.vm.setReadWorkers(reading)
+		e.vm.setReadWorkers(readingWorkers)
 	}
 }
 
@@ -155,7 +155,7 @@
 		switch {
 		case all || !l.sentTo[holder]:
 			if list == nil {
-				list = encodeWorkers(l.workers)
+				list = encodeWorkers(l.infos)
 			}
 			w.List = list
 		case !due:
@@ -196,14 +196,14 @@
 	if !e.heldDomains()[w.Domain] {
 		return // this VM has just lost its shard there
 	}
-	at := e.now - time.Duration(w.AgeNs)
+	askedAt := e.now - time.Duration(w.AgeNs)
 	l := e.workerLists[w.Domain]
-	if l != nil && at < l.askedAt {
+	if l != nil && askedAt < l.askedAt {
 		return // older than the list here: from a previous reader, or one that the store does not answer
 	}
 	if len(w.List) == 0 {
-		if l != nil && l.sender == from && l.version == w.Version {
-			l.askedAt = at
+		if l != nil && l.from == from && l.version == w.Version {
+			l.askedAt = askedAt
 		}
 		return
 	}
@@ -212,7 +212,7 @@
 		klog.ErrorS(err, "kept: list of workers from a peer cannot be decoded", "peer", from, "domain", w.Domain)
 		return
 	}
-	e.setList(w.Domain, infos, at, from, w.Version)
+	e.setList(w.Domain, infos, askedAt, from, w.Version)
 }
 
 // encodeWorkers encodes a list of workers for peers. Encoding an entry cannot fail.
@@ -255,7 +255,7 @@
 
 // setList replaces the list of a domain's workers and, if it has changed, updates the workers of the shards
 // held here. from is the VM that sent it; "": this VM read it.
-func (e *engine) setList(domain string, infos []worker.Info, at time.Duration, from string, version uint64) {
+func (e *engine) setList(domain string, infos []worker.Info, askedAt time.Duration, from string, version uint64) {
 	slices.SortFunc(infos, func(a, b worker.Info) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Revision, b.Revision))
 	})
@@ -264,18 +264,18 @@
 		l = &workerList{}
 		e.workerLists[domain] = l
 	}
-	changed := l.workers == nil || !slices.EqualFunc(l.workers, infos, sameWorker)
+	changed := l.infos == nil || !slices.EqualFunc(l.infos, infos, sameWorker)
 	switch {
 	case from != "":
 		l.version = version
 	case changed || !l.readHere():
 		l.version = e.nextListVersion()
 	}
-	l.workers, l.askedAt, l.sender = infos, at, from
+	l.infos, l.askedAt, l.from = infos, askedAt, from
 	if changed {
 		l.byShard = nil
 		klog.InfoS("kept: list of workers changed", "domain", domain, "workers", len(infos), "leaving", countLeaving(infos),
-			"told_by", from, "age", e.now-at)
+			"told_by", from, "age", e.now-askedAt)
 	}
 	for name, h := range e.shards {
 		switch {
@@ -297,17 +297,17 @@
 	if l.byShard != nil {
 		return l.byShard
 	}
-	shards := make(map[string]string, len(l.workers))
+	shardByAddress := make(map[string]string, len(l.infos))
 	l.byShard = make(map[string][]worker.Info)
-	for _, info := range l.workers {
+	for _, info := range l.infos {
 		name, known := l.shardByAddress[info.Address]
 		if !known {
 			name = d.ShardOf(info.Address)
 		}
-		shards[info.Address] = name
+		shardByAddress[info.Address] = name
 		l.byShard[name] = append(l.byShard[name], info)
 	}
-	l.shardByAddress = shards
+	l.shardByAddress = shardByAddress
 	return l.byShard
 }
 
--- a/internal/kept/vm/lists_test.go
+++ b/internal/kept/vm/lists_test.go
@@ -24,7 +24,7 @@
 	d := site.ShardLayout{Domain: "a", Shards: 7}
 	check := func(infos []worker.Info) {
 		t.Helper()
-		l.workers, l.byShard = infos, nil
+		l.infos, l.byShard = infos, nil
 		n := 0
 		for name, of := range l.workersByShard(d) {
 			for _, info := range of {
@@ -47,7 +47,7 @@
 // Guards against a change of one worker that costs each holder all workers times all shards of its domain.
 func TestDividingAListAgainDoesNotGrow(t *testing.T) {
 	perWorker := func(workers int) float64 {
-		l := &workerList{workers: workersAt(workers)}
+		l := &workerList{infos: workersAt(workers)}
 		d := site.ShardLayout{Domain: "a", Shards: workers / 11}
 		l.workersByShard(d)
 		allocs := testing.AllocsPerRun(5, func() {
@@ -68,7 +68,7 @@
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			d := site.ShardLayout{Domain: "a", Shards: workers / 11}
 			infos := workersAt(workers)
-			l := &workerList{workers: infos}
+			l := &workerList{infos: infos}
 			l.workersByShard(d)
 			for b.Loop() {
 				l.byShard = nil
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -62,9 +62,9 @@
 }
 
 // startSession starts a session, which runs until ctx ends or another incarnation answers.
-func startSession(ctx context.Context, v *VM, shard string, info worker.Info, token uint64, extend *atomic.Bool) *workerSession {
+func startSession(ctx context.Context, v *VM, shard string, info worker.Info, token uint64, extendLeases *atomic.Bool) *workerSession {
 	ctx, cancel := context.WithCancel(ctx)
-	ws := &workerSession{vm: v, shard: shard, token: token, extendLeases: extend, cancel: cancel, acked: make(chan struct{}, 1)}
+	ws := &workerSession{vm: v, shard: shard, token: token, extendLeases: extendLeases, cancel: cancel, acked: make(chan struct{}, 1)}
 	ws.info.Store(&info)
 	ws.born.Store(info.Born)
 	v.spawn(func() { ws.run(ctx) })
@@ -121,8 +121,8 @@
 }
 
 // acknowledge has the next renewal acknowledge the ends up to a number.
-func (ws *workerSession) acknowledge(upTo uint64) {
-	ws.ackedEnd.Store(upTo)
+func (ws *workerSession) acknowledge(ackedEnd uint64) {
+	ws.ackedEnd.Store(ackedEnd)
 	select {
 	case ws.acked <- struct{}{}:
 	default:
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -178,7 +178,7 @@
 
 func (ev listedEvent) apply(e *engine) {
 	if l := e.workerLists[ev.domain]; l != nil {
-		ev.reply <- len(l.workers)
+		ev.reply <- len(l.infos)
 		return
 	}
 	ev.reply <- 0
