--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -10,8 +10,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// earlyEnd is an end that was listed before its transient submission came from its
-// home. Without it the task would run again after a change of the holder.
+// earlyEnd is an ended run that a worker listed before the home VM handed over its transient submission. If
+// it were not remembered, the task would run again after a change of the holder.
 type earlyEnd struct {
 	host *host
 	end  worker.Ended
@@ -20,24 +20,25 @@
 
 // Times after a change of the holder.
 const (
-	// The homes of transient submissions hand them to the new holder within some
-	// milliseconds; a home that is cut off does not.
+	// handoverTimeout is how long a new holder waits for the home VMs of transient submissions to hand
+	// them over. They do so within some milliseconds, but a home VM that is cut off does not.
 	handoverTimeout = 600 * time.Millisecond
-	// An earlier holder that lives ends the runs of homes that it has lost within
-	// 800 ms; one that does not live lets them lapse within a second.
+	// transientBarrier is the time after which an earlier holder can have left no unlisted runs of transient
+	// submissions. If it is alive, it ends the runs of home VMs that it cannot reach within 800 ms; if not,
+	// their leases expire within a second.
 	transientBarrier = 1300 * time.Millisecond
 )
 
-// sent handles a transient submission that is known here, as its caller has sent it
-// again. It reports false if it is to run again.
+// handleRepeated handles a transient submission that is known here and arrives again: its home VM hands it
+// over again, or its caller has submitted it again. It reports false if the submission is to run anew.
 func (s *Shard) handleRepeated(now time.Duration, r *submission.Record, state submission.State) bool {
 	j, open := s.jobs[r.ID]
 	switch {
 	case open && j.rec.Serial == r.Serial && r.Serial != 0:
-		s.setHome(r, state) // its home hands it over again
+		s.setHome(r, state) // the home VM hands over the same attempt again
 		return true
 	case open && extentOf(j.rec) != extentOf(r):
-		// Another part of it was here: its runs end first.
+		// Another part of the submission was here. Its runs have to end first.
 		if !j.state.Final() {
 			s.endSubmission(now, j, submission.Cancelled, "its caller has sent it again")
 		}
@@ -47,10 +48,10 @@
 		s.setHome(r, state)
 		return true
 	case !open && s.recentlyEnded[r.ID].reassignedRevision > 0:
-		return false // a stored submission of that name went elsewhere
+		return false // a stored submission of that ID was reassigned to another shard
 	case s.recentlyEnded[r.ID].serial == r.Serial:
-		// Its home hands it over again, not knowing of its end: it must not run after
-		// the caller was told that it has not.
+		// The home VM hands over the same attempt again, as it has not learned of the end. The submission
+		// must not run after its caller was told that it has not run.
 		s.setHome(r, state)
 		return true
 	case s.recentlyEnded[r.ID].part == extentOf(r) && (state == submission.Done || state == submission.Failed):
@@ -61,8 +62,8 @@
 	}
 }
 
-// extent says which part of a submission a record is: parts of it may be given to
-// several shards.
+// extent identifies the part of a submission that a record stands for, as the parts may be given to several
+// shards.
 type extent struct {
 	first, count int
 	elsewhere    string
@@ -75,23 +76,23 @@
 	return extent{first: r.Steps[0].FirstIndex, count: r.Steps[0].Count, elsewhere: fmt.Sprint(r.TasksElsewhere)}
 }
 
-// setHome makes the VM at which a caller has asked again the submission's home.
+// setHome makes the VM from which a submission arrived again its home VM, and reports the state there.
 func (s *Shard) setHome(r *submission.Record, state submission.State) {
 	if j := s.jobs[r.ID]; j != nil {
 		j.rec.Home = r.Home
 		j.rec.Serial = r.Serial
 	} else {
-		p := s.recentlyEnded[r.ID]
-		p.serial = r.Serial
-		s.recentlyEnded[r.ID] = p
+		past := s.recentlyEnded[r.ID]
+		past.serial = r.Serial
+		s.recentlyEnded[r.ID] = past
 	}
-	told, _ := s.Report(r.ID)
-	told.Home, told.State = r.Home, state
-	s.actions.States = append(s.actions.States, told)
+	report, _ := s.Report(r.ID)
+	report.Home, report.State = r.Home, state
+	s.actions.States = append(s.actions.States, report)
 }
 
-// Resume takes a transient submission that its home had given to an earlier holder.
-// Some of its tasks may still run.
+// Resume adds a transient submission that its home VM had given to an earlier holder of the shard. Some of
+// its tasks may still be running.
 func (s *Shard) Resume(now time.Duration, r *submission.Record) {
 	if state, known := s.State(r.ID); known && s.handleRepeated(now, r, state) {
 		return
@@ -104,9 +105,9 @@
 			t.state = taskUnlocated
 		}
 	}
-	for _, o := range s.earlyEnds[r.ID] {
-		if t := j.task(o.end.Task.Task); t != nil {
-			s.handleTaskEnd(now, o.host, t, o.end)
+	for _, early := range s.earlyEnds[r.ID] {
+		if t := j.task(early.end.Task.Task); t != nil {
+			s.handleTaskEnd(now, early.host, t, early.end)
 		}
 	}
 	delete(s.earlyEnds, r.ID)
@@ -119,13 +120,13 @@
 	s.placementDue = true
 }
 
-// TakeBack rejects a transient submission if nothing of it has begun; otherwise its home is
-// told how far it is.
+// TakeBack handles the recall of a transient submission by its home VM. It rejects the submission if none of
+// its tasks may have begun, and otherwise reports its state.
 func (s *Shard) TakeBack(now time.Duration, id submission.ID) {
 	j, open := s.jobs[id]
 	switch {
 	case !open || !j.rec.Transient || j.state.Final():
-		return // its home has been told, or asks
+		return // the home VM was told of the end, or will query it
 	case j.hasBegun():
 		s.reportState(j)
 	default:
@@ -133,9 +134,9 @@
 	}
 }
 
-// HomeLost ends the transient submissions of an entry VM that cannot be reached:
-// nobody waits for them here, and their callers will send them to another VM, which
-// may give them to another shard. Without it one task would run twice at once.
+// HomeLost ends the transient submissions of a home VM that cannot be reached, and returns how many. Nobody
+// waits for their results here any more. Their callers submit them again to another VM, which may give them
+// to another shard, so that otherwise a task would run twice at the same time.
 func (s *Shard) HomeLost(now time.Duration, home string) (ended int) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
