--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -25,9 +25,9 @@
 	// confirming that it still holds the shard: another VM may have replaced it unnoticed.
 	// Outages of the store are shorter.
 	holdingTrustedFor = 7 * time.Second
-	// holdingExpiredAfter is how long a new holder waits, from its claim, for runs that no
-	// worker lists, unless the previous holder's process has certainly ended. A watch may
-	// lag by a second.
+	// holdingExpiredAfter is added to the longest lease for the time that a new holder waits,
+	// from its claim, for runs that no worker lists, unless the previous holder's process has
+	// certainly ended. A watch may lag by a second.
 	holdingExpiredAfter = holdingTrustedFor + 2*time.Second
 	rescanInterval      = time.Second            // between searches of the store for records that the holder was not told of
 	loadInterval        = 300 * time.Millisecond // between reports of a shard's load that has not changed
@@ -44,7 +44,7 @@
 
 // heldShard is a shard that this VM holds.
 type heldShard struct {
-	core           *shard.Shard
+	core           *shard.Shard // decides what runs where, without I/O
 	holding        site.Holding
 	sessions       map[string]*workerSession
 	askers         map[submission.ID][]string // VMs that asked about an unfinished submission
@@ -93,7 +93,7 @@
 	waiting           waitingReports // from other VMs
 	waitingReportedAt time.Duration  // when this VM last reported the submissions that wait in its domain
 	peerIncarnations  map[string]uint64
-	probedAt          map[string]time.Duration // by shard: when one of its workers first answered a probe before a claim
+	probedAt          map[string]time.Duration // by shard: when one of its workers answered a probe before a claim
 	loads             map[string]*knownLoad    // by shard
 	workerLists       map[string]*workerList   // by failure domain, of those in which this VM holds a shard
 	lastListVersion   uint64                   // counts the lists that this VM has read
@@ -101,7 +101,7 @@
 	holdersChanged  bool
 	readingWorkers  bool                       // this VM reads the list of workers from the store
 	lastWorkersRead workersEvent               // the last list read here, of all domains
-	services        map[string]catalog.Service // all that a configuration has named, as the newest one that does defines them
+	services        map[string]catalog.Service // by name: all that any configuration has named, as last defined
 	evacuations     evacuation.Set
 	claimsInFlight  map[string]bool
 	layoutInFlight  bool
@@ -110,7 +110,7 @@
 	unplacedSent    bool                     // the last count of unplaced submissions sent to peers was not 0
 	frames          map[string]*pb.KeptFrame // by peer: to be sent at the end of this round
 	prunedAt        time.Duration
-	drained         chan struct{} // closed once all shards are handed over; nil: this VM is not draining
+	drained         chan struct{} // closed once all shards are handed over; nil: no caller of Drain waits
 }
 
 func newEngine(ctx context.Context, v *VM) *engine {
--- a/internal/kept/vm/vm.go
+++ b/internal/kept/vm/vm.go
@@ -45,10 +45,10 @@
 	Domains             []string // all failure domains of the site
 	PeerAddress         string   // where peers reach this VM
 	PeerListen          net.Listener
-	PeerDial            wire.Dialer // nil: TCP
-	StoreTransport      relay.Transport
+	PeerDial            wire.Dialer                       // nil: TCP
+	StoreTransport      relay.Transport                   // calls the store directly, without a peer
 	NewStore            func(relay.Transport) store.Store // makes a client of the store that uses a transport
-	Workers             worker.Client
+	Workers             worker.Client                     // calls workers
 	StoreLayout         StoreLayout
 	Policy              policy.Settings
 	Cores               float64 // CPU of this VM; 0: not known
