--- a/internal/kept/policy/trust.go
+++ b/internal/kept/policy/trust.go
@@ -133,11 +133,11 @@
 // Cost ranks workers for a task, the lowest first. It is roughly the factor by which the task takes
 // longer there than usual.
 func (s *Settings) Cost(p Placement) float64 {
-	slow := p.Health.slowness
-	if slow == 0 || !s.FastFirst {
-		slow = 1
+	slowness := p.Health.slowness
+	if slowness == 0 || !s.FastFirst {
+		slowness = 1
 	}
-	cost := max(slow, minSlowness)
+	cost := max(slowness, minSlowness)
 	if p.DataElsewhere {
 		cost *= remoteCostFactor
 	}
--- a/internal/kept/submission/validate.go
+++ b/internal/kept/submission/validate.go
@@ -54,7 +54,7 @@
 	bounds := []struct {
 		field string
 		value int64
-		max   int64
+		limit int64
 	}{
 		{"count", int64(s.Count), maxTasks},
 		{"first task", int64(s.FirstIndex), maxTasks},
@@ -65,8 +65,8 @@
 		{"tasks per worker", int64(s.MaxPerWorker), maxTasks},
 	}
 	for _, b := range bounds {
-		if b.value < 0 || b.value > b.max {
-			return &InvalidError{fmt.Sprintf("step %d: %s", at, b.field), fmt.Sprintf("%d is not between 0 and %d", b.value, b.max)}
+		if b.value < 0 || b.value > b.limit {
+			return &InvalidError{fmt.Sprintf("step %d: %s", at, b.field), fmt.Sprintf("%d is not between 0 and %d", b.value, b.limit)}
 		}
 	}
 	for _, a := range s.DependsOn {
