--- a/internal/kept/shard/takeback_test.go
+++ b/internal/kept/shard/takeback_test.go
@@ -51,7 +51,7 @@
 	for range 300 {
 		id := submission.ID(fmt.Sprint("part-", rng.IntN(12)))
 		if rng.IntN(8) == 0 {
-			w.shard.TakeBack(w.now, id)
+			w.shard.Recall(w.now, id)
 			w.carryOut()
 		}
 		w.step()
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -120,9 +120,9 @@
 	s.placementDue = true
 }
 
-// TakeBack handles the recall of a transient submission by its home VM. It rejects the submission if none of
+// Recall handles the recall of a transient submission by its home VM. It rejects the submission if none of
 // its tasks may have begun, and otherwise reports its state.
-func (s *Shard) TakeBack(now time.Duration, id submission.ID) {
+func (s *Shard) Recall(now time.Duration, id submission.ID) {
 	j, open := s.jobs[id]
 	switch {
 	case !open || !j.rec.Transient || j.state.Final():
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -57,7 +57,7 @@
 	t.recalledAt = e.now
 	klog.InfoS("kept: parts recalled", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.receivedAt)
 	e.notifyPartHolders(t,
-		func(own *shard.Shard) { own.TakeBack(e.now, t.record.ID) },
+		func(own *shard.Shard) { own.Recall(e.now, t.record.ID) },
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.TakenBack = append(f.TakenBack, part) })
 }
 
@@ -102,6 +102,6 @@
 // receiveRecall handles the recall of a part by its home VM.
 func (e *engine) receiveRecall(ref *pb.KeptRef) {
 	if h := e.shards[ref.Shard]; h != nil {
-		h.core.TakeBack(e.now, submission.ID(ref.Id))
+		h.core.Recall(e.now, submission.ID(ref.Id))
 	}
 }
