--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -63,17 +63,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &evacuationsEvent{sent: sent, whole: true, revision: revision, notices: v.evacuationsIn(items)}, nil
+	return &evacuationsEvent{requestedAt: sent, complete: true, revision: revision, notices: v.evacuationsIn(items)}, nil
 }
 
 func (ev evacuationsEvent) apply(e *engine) {
 	var changed []string
-	if ev.whole {
+	if ev.complete {
 		changed = e.evacuations.ApplyList(ev.revision, ev.notices)
 	} else {
 		changed = e.evacuations.ApplyAll(ev.notices)
 	}
-	e.evacuations.RecordRead(ev.sent)
+	e.evacuations.RecordRead(ev.requestedAt)
 	e.applyEvacuations(changed, "the store")
 }
 
--- a/internal/kept/vm/events.go
+++ b/internal/kept/vm/events.go
@@ -55,14 +55,14 @@
 // Events from the store: what was read, and the results of writes, which may have failed.
 type (
 	siteEvent struct {
-		sent   time.Duration // when the call left
-		whole  bool
-		items  []store.Item
-		events []store.Event
+		requestedAt time.Duration // when the call left
+		complete    bool
+		items       []store.Item
+		events      []store.Event
 	}
 	workersEvent struct {
-		sent time.Duration // when the call left
-		list []worker.Info
+		requestedAt time.Duration // when the call left
+		workers     []worker.Info
 	}
 	servicesEvent     struct{ services []catalog.Service }
 	recordStoredEvent struct {
@@ -94,10 +94,10 @@
 	}
 	// evacuationsEvent brings evacuations that were read from the store.
 	evacuationsEvent struct {
-		sent     time.Duration // when the call left
-		whole    bool          // the notices are all evacuations as of the revision, not only changes
-		revision uint64
-		notices  []evacuation.Notice
+		requestedAt time.Duration // when the call left
+		complete    bool          // the notices are all evacuations as of the revision, not only changes
+		revision    uint64
+		notices     []evacuation.Notice
 	}
 	reassignStoredEvent struct {
 		shard       string
@@ -130,9 +130,9 @@
 // Events from sessions with workers.
 type (
 	listingEvent struct {
-		session *workerSession
-		sent    time.Duration
-		listing worker.Listing
+		session     *workerSession
+		requestedAt time.Duration
+		listing     worker.Listing
 	}
 	// workerFencedEvent reports that the worker has seen a higher fencing token.
 	workerFencedEvent struct{ session *workerSession }
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -130,7 +130,7 @@
 	f.Add("domain/b", []byte(`{"n":1000}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		e := loneEngine(t)
-		siteEvent{sent: e.now, events: []store.Event{{Item: store.Item{Key: site.Prefix + key, Value: value, Revision: 9}}}}.apply(e)
+		siteEvent{requestedAt: e.now, events: []store.Event{{Item: store.Item{Key: site.Prefix + key, Value: value, Revision: 9}}}}.apply(e)
 		e.now += time.Second
 		e.site.Decide(e.now)
 		for name, h := range e.shards {
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -84,7 +84,7 @@
 		switch reply.Verdict {
 		case worker.Accepted:
 			expired = false
-			ws.vm.post(listingEvent{session: ws, sent: sent, listing: listing})
+			ws.vm.post(listingEvent{session: ws, requestedAt: sent, listing: listing})
 			ws.awaitAcks(ctx, listing)
 			continue
 		case worker.Fenced:
@@ -134,7 +134,7 @@
 	sent := ws.vm.now()
 	listing, reply := ws.renew(ctx, 0)
 	if reply.Verdict == worker.Accepted {
-		ws.vm.post(listingEvent{session: ws, sent: sent, listing: listing})
+		ws.vm.post(listingEvent{session: ws, requestedAt: sent, listing: listing})
 	}
 }
 
--- a/internal/kept/vm/shards.go
+++ b/internal/kept/vm/shards.go
@@ -28,7 +28,7 @@
 // apply takes in changes of the site's keys, or a snapshot of all of them.
 func (ev siteEvent) apply(e *engine) {
 	var err error
-	if ev.whole {
+	if ev.complete {
 		err = e.site.Reset(e.now, ev.items)
 	}
 	for _, change := range ev.events {
@@ -40,8 +40,8 @@
 	if err != nil {
 		klog.ErrorS(err, "kept: site key cannot be decoded")
 	}
-	e.site.StoreAnswered(ev.sent, e.now)
-	e.applyHoldings(ev.sent)
+	e.site.StoreAnswered(ev.requestedAt, e.now)
+	e.applyHoldings(ev.requestedAt)
 	e.updateSitePacing()
 	e.linksOutdated = true
 }
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -155,10 +155,10 @@
 func (v *VM) watchSite(ctx context.Context) {
 	f := &prefixWatcher{vm: v, prefix: site.Prefix, maxWait: siteWatchWait, pause: v.sitePause}
 	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
-		v.post(siteEvent{sent: sent, whole: true, items: items})
+		v.post(siteEvent{requestedAt: sent, complete: true, items: items})
 	}
 	f.onChanges = func(sent time.Duration, events []store.Event) {
-		v.post(siteEvent{sent: sent, events: events})
+		v.post(siteEvent{requestedAt: sent, events: events})
 	}
 	f.run(ctx)
 }
@@ -187,7 +187,7 @@
 		for _, it := range items {
 			take(it)
 		}
-		v.post(evacuationsEvent{sent: sent, whole: true, revision: revision, notices: v.evacuationsIn(items)})
+		v.post(evacuationsEvent{requestedAt: sent, complete: true, revision: revision, notices: v.evacuationsIn(items)})
 	}
 	f.onChanges = func(sent time.Duration, events []store.Event) {
 		for _, e := range events {
@@ -195,7 +195,7 @@
 				take(e.Item)
 			}
 		}
-		v.post(evacuationsEvent{sent: sent, notices: v.evacuationChanges(events)})
+		v.post(evacuationsEvent{requestedAt: sent, notices: v.evacuationChanges(events)})
 	}
 	f.run(ctx)
 }
@@ -273,7 +273,7 @@
 		}
 	}
 	send := func(sent time.Duration) {
-		v.post(workersEvent{sent: sent, list: slices.AppendSeq([]worker.Info{}, maps.Values(list))})
+		v.post(workersEvent{requestedAt: sent, workers: slices.AppendSeq([]worker.Info{}, maps.Values(list))})
 	}
 	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.WorkerPrefix, maxWait: v.config.leaveNoticeShare(listWatchShare), pause: v.workersPause}
 	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
--- a/internal/kept/vm/workerlists.go
+++ b/internal/kept/vm/workerlists.go
@@ -240,16 +240,16 @@
 func (e *engine) useLastRead(domain string) {
 	l := e.workerLists[domain]
 	switch {
-	case !e.readingWorkers, e.lastWorkersRead.list == nil, l != nil && e.lastWorkersRead.sent < l.askedAt:
+	case !e.readingWorkers, e.lastWorkersRead.workers == nil, l != nil && e.lastWorkersRead.requestedAt < l.askedAt:
 	case l != nil && !e.isListReader(domain) && !l.readHere() && !e.isListStale(l):
 	default:
 		infos := []worker.Info{}
-		for _, info := range e.lastWorkersRead.list {
+		for _, info := range e.lastWorkersRead.workers {
 			if info.Domain == domain {
 				infos = append(infos, info)
 			}
 		}
-		e.setList(domain, infos, e.lastWorkersRead.sent, "", 0)
+		e.setList(domain, infos, e.lastWorkersRead.requestedAt, "", 0)
 	}
 }
 
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -245,7 +245,7 @@
 		return
 	}
 	id := ev.session.info.Load().ID
-	for _, end := range h.core.HandleListing(e.now, id, ev.sent, ev.listing) {
+	for _, end := range h.core.HandleListing(e.now, id, ev.requestedAt, ev.listing) {
 		e.vm.metrics.countRunEnd(end.Reason.String())
 		if end.Reason != worker.Completed {
 			klog.InfoS("kept: run ended", "id", end.Task.ID, "step", end.Task.Step, "index", end.Task.Index, "run", end.Run,
