--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -7,15 +7,14 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
-// reassignRetryInterval is between two tries to store a submission under another shard.
+// reassignRetryInterval is the time between two attempts to store a submission under another shard.
 const reassignRetryInterval = 300 * time.Millisecond
 
 // SetEvacuated says whether anything may start in the shard's failure domain.
 //
-// What runs there goes on to its end. An order that is on its way is void some time later by its own
-// deadline, and one without an answer is asked for and made void as always. When the domain is used
-// again, its workers may be cold, all at once, so each takes more work only as it shows that it can
-// do it.
+// Runs that have begun go on to their end. A start order in flight is void after its own deadline, and one
+// without an answer is probed and stopped as always. When the domain is used again, all its workers may be
+// cold at once, so each begins with a slow start.
 func (s *Shard) SetEvacuated(now time.Duration, evacuated bool) {
 	if s.evacuated == evacuated {
 		return
@@ -31,9 +30,9 @@
 	}
 }
 
-// giveAwayIfEvacuated gives what waits in an evacuated domain to other shards: without it work waits for room
-// that it cannot get, while its caller's time passes and others have room.
-func (s *Shard) giveAwayIfEvacuated(now time.Duration, j *job) {
+// drainIfEvacuated gives the waiting tasks of a submission in an evacuated domain to other shards. Otherwise
+// they would wait in vain until their caller's timeout while other shards have free capacity.
+func (s *Shard) drainIfEvacuated(now time.Duration, j *job) {
 	switch {
 	case !s.evacuated, j.state.Final():
 	case j.rec.Transient:
@@ -43,17 +42,17 @@
 	}
 }
 
-// returnTasks gives up to so many tasks that certainly do not run back to their home, and returns how
-// many. Steps that wait for each other stay together, as only their holder knows which have
-// completed: they go once none runs.
-func (s *Shard) returnTasks(now time.Duration, j *job, most int) int {
-	if len(j.steps) > 1 && (!j.isIdle() || j.tasksLeft > most) {
+// returnTasks returns up to limit waiting tasks to their home VM, and reports how many. Tasks of steps that
+// depend on each other stay together, as only their holder knows which have completed: they are returned
+// all at once, when none runs.
+func (s *Shard) returnTasks(now time.Duration, j *job, limit int) int {
+	if len(j.steps) > 1 && (!j.isIdle() || j.tasksLeft > limit) {
 		return 0
 	}
 	before := len(j.returned)
 	for _, t := range j.tasks {
-		// A suspect takes down no worker of another domain.
-		if t.state == taskWaiting && len(j.returned)-before < most && (s.evacuated || !s.isSuspect(t)) {
+		// Suspects stay, so that they crash no workers of another domain, unless this one is evacuated.
+		if t.state == taskWaiting && len(j.returned)-before < limit && (s.evacuated || !s.isSuspect(t)) {
 			j.returned = append(j.returned, ReturnedTask{Task: t.ref.Task, Run: t.newestRun, FailedRuns: t.failures, Losses: t.losses})
 			j.closeTask(t, taskElsewhere)
 		}
@@ -68,12 +67,12 @@
 	return len(j.returned) - before
 }
 
-// isIdle reports whether no task of it runs, or may run.
+// isIdle reports whether none of its tasks runs or may be running.
 func (j *job) isIdle() bool {
 	return !slices.ContainsFunc(j.tasks, func(t *task) bool { return t.occupies() || t.state == taskUnlocated })
 }
 
-// reassignStored has a stored submission written under another shard once nothing of it runs here.
+// reassignStored has a stored submission stored under another shard once none of its tasks runs here.
 func (s *Shard) reassignStored(now time.Duration, j *job) {
 	if j.reassigning || j.saving || now < j.reassignAt || !j.isIdle() {
 		return
@@ -93,13 +92,13 @@
 	if !open || !j.reassigning {
 		return
 	}
-	j.endStored = true // its ends are in the record that names the other shard
+	j.endStored = true // its progress is in the record that names the other shard
 	s.recentlyEnded[id] = endedJob{reassignedRevision: revision, at: now}
 	s.acknowledge()
 	delete(s.jobs, id)
 }
 
-// ReassignFailed says that a submission stays here for now.
+// ReassignFailed records that a submission stays here for now, and is to be reassigned later.
 func (s *Shard) ReassignFailed(now time.Duration, id submission.ID) {
 	if j, open := s.jobs[id]; open {
 		j.reassigning = false
--- a/internal/kept/shard/offload.go
+++ b/internal/kept/shard/offload.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Offload gives tasks that have waited here for a time, the most pressing first, back to their homes,
-// which give them to other shards. room says how many tasks of a processor, in thousandths of a core,
-// may go: the caller knows where others have room. It is asked for the task that is next here.
+// Offload returns tasks of transient submissions that have waited here for minWait to their home VMs, which
+// give them to other shards, and reports how many. The most urgent submission comes first. roomElsewhere
+// reports how many tasks of the given CPU, in thousandths of a core, other shards have capacity for. It is
+// called once, with the CPU of the task that is served next here.
 //
-// What a home knows of a shard's room is some ten milliseconds old, and a shard may lose its workers:
-// without it tasks wait at a full shard, or at one without workers, to the end of their caller's
-// time beside others that are free.
-func (s *Shard) Offload(now, waited time.Duration, room func(milli int64) int) int {
+// A home VM knows the load of a shard with some ten milliseconds' delay, and a shard may lose its workers.
+// Otherwise tasks would wait at a full shard, or at one without workers, until their caller's timeout while
+// other shards have free capacity.
+func (s *Shard) Offload(now, minWait time.Duration, roomElsewhere func(milli int64) int) int {
 	ranked := s.byUrgency(now)
 	if len(ranked) == 0 {
 		return 0
 	}
-	given, most := 0, room(ranked[0].nextTaskCPU())
+	returned, limit := 0, roomElsewhere(ranked[0].nextTaskCPUMilli())
 	for _, j := range ranked {
-		if given >= most {
+		if returned >= limit {
 			break
 		}
-		if j.rec.Transient && now-j.waitingSince() >= waited {
-			given += s.returnTasks(now, j, most-given)
+		if j.rec.Transient && now-j.waitingSince() >= minWait {
+			returned += s.returnTasks(now, j, limit-returned)
 		}
 	}
-	return given
+	return returned
 }
 
-// waitingSince is since when a submission has waited for room: since it came to this shard, or since a
-// run of it was lost here.
+// waitingSince returns since when a submission has waited for capacity: since this shard received it, or
+// since the last of its waiting tasks was released.
 func (j *job) waitingSince() time.Duration {
 	since := j.receivedAt
 	for _, t := range j.tasks {
@@ -41,7 +42,7 @@
 	return since
 }
 
-// nextTaskCPU is the processor of its first task that may start, in thousandths of a core.
-func (j *job) nextTaskCPU() int64 {
+// nextTaskCPUMilli returns the CPU of its first startable task, in thousandths of a core.
+func (j *job) nextTaskCPUMilli() int64 {
 	return j.tasks[slices.IndexFunc(j.tasks, j.isStartable)].step.CPUMilli
 }
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -37,7 +37,7 @@
 		s.repeatOrders(now, j)
 		s.saveProgress(now, j)
 		s.rejectIfWaitTooLong(now, j)
-		s.giveAwayIfEvacuated(now, j)
+		s.drainIfEvacuated(now, j)
 	}
 	for _, h := range s.workers {
 		s.repeatRevocations(now, h)
