--- a/internal/kept/vm/peers.go
+++ b/internal/kept/vm/peers.go
@@ -63,7 +63,7 @@
 		needed[p.Name] = true
 	}
 	e.linkNeededBy.Range(func(name, byPeer any) bool {
-		if m, there := e.site.Member(name.(string)); there && byPeer.(bool) && !needed[m.Name] {
+		if m, isMember := e.site.Member(name.(string)); isMember && byPeer.(bool) && !needed[m.Name] {
 			wanted[m.Name] = site.Peer{Member: m}
 		}
 		return true
@@ -74,7 +74,7 @@
 			e.linkNeededAt[name] = e.now
 			continue
 		}
-		if m, there := e.site.Member(name); there && m.Address == l.Address() && (e.now-e.linkNeededAt[name] < unusedLinkTTL || e.hasWorkWith(name)) {
+		if m, isMember := e.site.Member(name); isMember && m.Address == l.Address() && (e.now-e.linkNeededAt[name] < unusedLinkTTL || e.hasWorkWith(name)) {
 			l.SetNeeded(false)
 			continue
 		}
@@ -113,8 +113,8 @@
 // VM.
 func (e *engine) linkTo(peer string) *link.Link {
 	if e.links[peer] == nil {
-		m, there := e.site.Member(peer)
-		if !there || peer == e.vm.config.Name {
+		m, isMember := e.site.Member(peer)
+		if !isMember || peer == e.vm.config.Name {
 			return nil
 		}
 		e.openLink(site.Peer{Member: m}, true)
--- a/internal/kept/vm/relaycalls.go
+++ b/internal/kept/vm/relaycalls.go
@@ -48,11 +48,11 @@
 		return relay.Reply{}, relay.ErrNotSent
 	}
 	defer p.unregister(seq)
-	left := c.Wait
+	timeLeft := c.Wait
 	if deadline, ok := ctx.Deadline(); ok {
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
-	call := &pb.KeptCall{Seq: seq, Method: c.Method, Target: c.Target, Body: c.Body, WaitNs: int64(left)}
+	call := &pb.KeptCall{Seq: seq, Method: c.Method, Target: c.Target, Body: c.Body, WaitNs: int64(timeLeft)}
 	if !l.Send(&pb.KeptFrame{Calls: []*pb.KeptCall{call}}) {
 		return relay.Reply{}, relay.ErrNotSent
 	}
@@ -71,20 +71,20 @@
 func (p *peerCalls) register() (*link.Link, uint64, chan *pb.KeptReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var able []*link.Link
+	var candidates []*link.Link
 	for name, ok := range p.reachesStore {
 		if l := p.links[name]; ok && l != nil {
-			able = append(able, l)
+			candidates = append(candidates, l)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return nil, 0, nil
 	}
 	p.nextPeer++
 	p.seq++
 	answer := make(chan *pb.KeptReply, 1)
 	p.waiting[p.seq] = answer
-	return able[p.nextPeer%len(able)], p.seq, answer
+	return candidates[p.nextPeer%len(candidates)], p.seq, answer
 }
 
 // unregister ends the wait for a reply.
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -165,7 +165,7 @@
 
 // watchCatalog watches the configuration and the operators' requests for evacuations.
 func (v *VM) watchCatalog(ctx context.Context) {
-	take := func(it store.Item) {
+	apply := func(it store.Item) {
 		if it.Key != v.config.StoreLayout.CatalogKey {
 			return
 		}
@@ -185,14 +185,14 @@
 	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.CatalogPrefix, maxWait: time.Duration(catalogWaitShare * float64(cmp.Or(v.config.MaxCatalogDelay, defaultCatalogDelay)))}
 	f.onSnapshot = func(sent time.Duration, revision uint64, items []store.Item) {
 		for _, it := range items {
-			take(it)
+			apply(it)
 		}
 		v.post(evacuationsEvent{requestedAt: sent, complete: true, revision: revision, notices: v.evacuationsIn(items)})
 	}
 	f.onChanges = func(sent time.Duration, events []store.Event) {
 		for _, e := range events {
 			if !e.Deleted {
-				take(e.Item)
+				apply(e.Item)
 			}
 		}
 		v.post(evacuationsEvent{requestedAt: sent, notices: v.evacuationChanges(events)})
@@ -259,15 +259,15 @@
 // watchWorkerList watches the list of workers until ctx ends, and posts the whole list after each answer.
 func (v *VM) watchWorkerList(ctx context.Context) {
 	list := make(map[string]worker.Info)
-	take := func(it store.Item) {
+	apply := func(it store.Item) {
 		info, ok := v.decodeEntry(it)
-		switch known, there := list[it.Key]; {
-		case ok && there && known.Incarnation().Succeeds(info.Incarnation()):
+		switch known, present := list[it.Key]; {
+		case ok && present && known.Incarnation().Succeeds(info.Incarnation()):
 			// A late entry of an earlier incarnation is ignored.
 		case ok && (info.Born > 0 || known.Born == 0):
 			list[it.Key] = info
-		case there:
-			// The entry no longer describes a usable worker. Its runs go on, and nothing new starts there.
+		case present:
+			// The entry no longer describes a usable worker. Its runs go on, but no new ones start there.
 			known.Leaving = true
 			list[it.Key] = known
 		}
@@ -277,12 +277,12 @@
 	}
 	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.WorkerPrefix, maxWait: v.config.leaveNoticeShare(listWatchShare), pause: v.workersPause}
 	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
-		there := make(map[string]bool, len(items))
+		present := make(map[string]bool, len(items))
 		for _, it := range items {
-			there[it.Key] = true
-			take(it)
+			present[it.Key] = true
+			apply(it)
 		}
-		maps.DeleteFunc(list, func(key string, _ worker.Info) bool { return !there[key] })
+		maps.DeleteFunc(list, func(key string, _ worker.Info) bool { return !present[key] })
 		send(sent)
 	}
 	f.onChanges = func(sent time.Duration, events []store.Event) {
@@ -290,7 +290,7 @@
 			if e.Deleted {
 				delete(list, e.Key)
 			} else {
-				take(e.Item)
+				apply(e.Item)
 			}
 		}
 		send(sent) // also without changes: that renews the age of the list
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -63,7 +63,7 @@
 // countWorkers counts the workers of a domain until two counts in a row agree, or for
 // maxWorkerCountTime.
 func (v *VM) countWorkers(ctx context.Context, domain string) (int, error) {
-	began := v.now()
+	startedAt := v.now()
 	last := -1
 	for {
 		readCtx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -73,10 +73,10 @@
 			return 0, err
 		}
 		n := len(workers)
-		switch over := v.now()-began >= maxWorkerCountTime; {
-		case n == 0 && over:
+		switch timeUp := v.now()-startedAt >= maxWorkerCountTime; {
+		case n == 0 && timeUp:
 			return 0, errNoWorkers
-		case n > 0 && (n == last || over):
+		case n > 0 && (n == last || timeUp):
 			return n, nil
 		}
 		last = n
@@ -126,23 +126,23 @@
 const maxLoggedKeys = 1024
 
 // add reports whether the key is to be logged: it is new, and there is room for it.
-func (o *loggedKeys) add(key string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if _, known := o.keys[key]; known || len(o.keys) >= maxLoggedKeys {
+func (k *loggedKeys) add(key string) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if _, known := k.keys[key]; known || len(k.keys) >= maxLoggedKeys {
 		return false
 	}
-	if o.keys == nil {
-		o.keys = make(map[string]struct{})
+	if k.keys == nil {
+		k.keys = make(map[string]struct{})
 	}
-	o.keys[key] = struct{}{}
+	k.keys[key] = struct{}{}
 	return true
 }
 
-func (o *loggedKeys) remove(key string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	delete(o.keys, key)
+func (k *loggedKeys) remove(key string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	delete(k.keys, key)
 }
 
 // apply adds the services that the configuration names. Those of earlier configurations stay, as their
@@ -185,16 +185,16 @@
 
 // updateWorkers gives a shard the workers that the list of its domain assigns to it.
 func (e *engine) updateWorkers(h *heldShard) {
-	var own []worker.Info
+	var assigned []worker.Info
 	domain := site.DomainOf(h.holding.Shard)
 	if d, known := e.site.ShardLayout(domain); known && e.workerLists[domain] != nil {
 		for _, info := range e.workerLists[domain].workersByShard(d)[h.holding.Shard] {
 			if e.isServed(info) {
-				own = append(own, info)
+				assigned = append(assigned, info)
 			}
 		}
 	}
-	h.core.UpdateWorkers(e.now, own)
+	h.core.UpdateWorkers(e.now, assigned)
 	e.syncSessions(h)
 	e.storeWorkers(h)
 }
