--- a/internal/kept/policy/health.go
+++ b/internal/kept/policy/health.go
@@ -12,13 +12,13 @@
 	failureStreak  int           // failed runs since the last completed one
 	lastFailed     submission.ID // submission of the last counted failure; "": none
 	slowness       float64       // mean ratio of run times here to the usual ones; 0: not known
-	ejectedUntil   time.Duration // it gets no tasks until then
+	ejectedUntil   time.Duration // time until which it gets no tasks
 	ejections      int           // since the last completed run, up to 4
 	slowStartLimit int           // maximum of tasks at a time; 0: as many as fit
 }
 
 // A worker that fails what completes elsewhere is ejected: it gets no tasks for a while. Otherwise a
-// worker that fails every run at once would attract all work, as it always has free capacity. On
+// worker that fails every run immediately would attract all work, as it always has free capacity. On
 // healthy workers two runs in a thousand fail, so two failures of different submissions without a
 // completed run between them suffice. After one failure a worker is the last choice and gets one
 // task at a time.
@@ -34,7 +34,7 @@
 // RecordFailure records that a run of a submission failed on the worker.
 func (s *Settings) RecordFailure(now time.Duration, h *WorkerHealth, id submission.ID) {
 	if !s.Eject || h.lastFailed == id {
-		return // ejection is off, or the failure of this submission is counted
+		return // ejection is off, or a failure of this submission was counted already
 	}
 	h.lastFailed = id
 	h.failureStreak++
--- a/internal/kept/policy/split.go
+++ b/internal/kept/policy/split.go
@@ -24,7 +24,8 @@
 
 // Split decides how many of a number of equal tasks go to each shard; task is the duration of one.
 //
-// All tasks go to one shard if it can start them all now. Otherwise each shard gets as many as it
+// All tasks go to one shard if it can start them all now; the shard of this VM's failure domain is
+// preferred while it keeps Settings.OwnReserve free. Otherwise each shard gets as many as it
 // can start now, and the rest is queued so that all shards end at about the same time. Without the
 // division a submission with many tasks would wait for its last ones at one shard while others have
 // free capacity. Tasks that are not divisible all go to the shard that would start them first.
