--- a/internal/kept/shard/load.go
+++ b/internal/kept/shard/load.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/policy"
 )
 
-// Load is what the shard could take.
+// Load returns the present capacity and queue of the shard.
 func (s *Shard) Load(now time.Duration) Load {
 	l := Load{Ready: s.recordsLoaded && s.anyAnswered() && !s.listOutdated, UnstartedByQueue: make(map[string]int)}
 	for _, h := range s.workers {
@@ -16,10 +16,10 @@
 			l.CapacityMilli += int64(float64(h.info.CPUMilli) * h.health.UsableShare())
 		}
 	}
-	open, _ := s.divideCandidates(s.candidates(now))
-	for _, r := range open {
-		if r.host.health.CanAccept(now, s.runCount(r)) {
-			l.FreeMilli = append(l.FreeMilli, r.freeCPUMilli)
+	shared, _ := s.divideCandidates(s.candidates(now))
+	for _, c := range shared {
+		if c.host.health.CanAccept(now, s.runCount(c)) {
+			l.FreeMilli = append(l.FreeMilli, c.freeCPUMilli)
 		}
 	}
 	for _, j := range s.jobs {
@@ -32,7 +32,7 @@
 	return l
 }
 
-// services returns the services of the workers.
+// services returns the services of the known workers, sorted.
 func (s *Shard) services() []string {
 	var out []string
 	for _, h := range s.workers {
@@ -44,8 +44,9 @@
 	return out
 }
 
-// queued sums what waits for room by band and priority.
-func (s *Shard) queued(now time.Duration, room int64) []QueuedWork {
+// queued sums the startable tasks by band and priority. capacity is the CPU of the usable workers, in
+// thousandths of a core.
+func (s *Shard) queued(now time.Duration, capacity int64) []QueuedWork {
 	type key struct {
 		band     policy.LatenessBand
 		priority int
@@ -65,7 +66,7 @@
 		for _, t := range j.tasks {
 			if j.isStartable(t) {
 				q.CPUMilli += t.step.CPUMilli
-				q.DrainTime += time.Duration(factor * float64(t.step.Estimate) * float64(t.step.CPUMilli) / float64(max(room, 1)))
+				q.DrainTime += time.Duration(factor * float64(t.step.Estimate) * float64(t.step.CPUMilli) / float64(max(capacity, 1)))
 			}
 		}
 	}
@@ -79,7 +80,8 @@
 	return out
 }
 
-// Fit is how many tasks of a size could start beside what is served before them.
+// FreeSlots returns how many tasks of milli thousandths of a core the free capacity has room for after
+// ahead thousandths of a core of queued work that is served first.
 func (l *Load) FreeSlots(milli, ahead int64) int {
 	if milli <= 0 {
 		return 0
--- a/internal/kept/shard/progress.go
+++ b/internal/kept/shard/progress.go
@@ -8,48 +8,50 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// maxResends is how often a task is started elsewhere as its worker holds it up. More than
-// two in a row say that the fault is the task's own.
+// maxMoves is how often a task is restarted on another worker because its worker delays it. If that happens
+// more than twice in a row, the task itself is at fault.
 const maxMoves = 2
 
-// checkProgress takes how far a worker says that a run is, and starts the task elsewhere if
-// the worker holds it up.
+// checkProgress records the progress of a run that its worker reports, and restarts the task on another
+// worker if its worker delays it. sentAt is when the hold was sent that the report answers.
 //
-// A worker may hang or turn slow while it answers calls: what it has does not end in time,
-// and one slow task is enough to make its submission late.
-func (s *Shard) checkProgress(now time.Duration, h *host, sent time.Duration, r worker.Running) {
+// A worker may hang or become slow while it still answers calls. Its tasks are not done in time then, and
+// one slow task is enough to make its submission late.
+func (s *Shard) checkProgress(now time.Duration, h *host, sentAt time.Duration, r worker.Running) {
 	j, open := s.jobs[r.Task.ID]
 	if !open || j.state.Final() {
 		return
 	}
 	t := j.task(r.Task.Task)
-	if t == nil || t.state != taskRunning || t.host != h || t.newestRun != r.Run || sent < t.stateSince {
+	if t == nil || t.state != taskRunning || t.host != h || t.newestRun != r.Run || sentAt < t.stateSince {
 		return
 	}
-	// A hold waits for an end before it answers: what it says is of now, not of when it left.
+	// A hold waits at the worker for a run to end, so the report describes the time of the answer, not that
+	// at which the hold was sent.
 	t.progress.Update(now, r.Percent)
 	if t.startedAt == 0 || t.moveCount >= maxMoves {
-		return // an earlier holder started it, or it was moved before
+		return // an earlier holder started the run, or the task was moved as often as allowed
 	}
 	switch p := &s.settings.Policy; {
 	case p.MoveStill && s.isStalled(t):
 		if !s.hasOtherProgress(h, t) {
 			h.health.RecordHang(now)
 		}
-		s.moveTask(now, t, "it stands still at its worker")
-	case p.MoveSlow && s.isHeldUp(now, t):
-		s.moveTask(now, t, "its worker is slower than those of its siblings")
+		s.moveTask(now, t, "the run makes no progress on its worker")
+	case p.MoveSlow && s.shouldMove(now, t):
+		s.moveTask(now, t, "the run is slower than its siblings on other workers")
 	}
 }
 
+// isStalled reports whether the newest run of a task has made no progress for too long.
 func (s *Shard) isStalled(t *task) bool {
 	expected := time.Duration(float64(t.step.Estimate) * s.durationFactor(t.job.rec.Queue))
 	return t.progress.IsStalled(t.startedAt, expected)
 }
 
-// isHeldUp reports whether a run that was seen now would be done sooner at another worker,
-// which has room.
-func (s *Shard) isHeldUp(now time.Duration, t *task) bool {
+// shouldMove reports whether a run whose progress was reported now would be done sooner if it were started
+// anew on another worker, and one has capacity for it.
+func (s *Shard) shouldMove(now time.Duration, t *task) bool {
 	age := t.progress.Age(t.startedAt)
 	total, known := t.progress.EstimatedTotal(age)
 	if !known {
@@ -59,15 +61,16 @@
 	return run.ShouldMove() && s.fitsElsewhere(now, t)
 }
 
-// hasOtherProgress reports whether another run at the worker has made progress since this one
-// stands still. Then the fault is the task's own.
+// hasOtherProgress reports whether another run on the worker has made progress since this one last did. In
+// that case the task is at fault, not the worker.
 func (s *Shard) hasOtherProgress(h *host, t *task) bool {
 	return slices.ContainsFunc(s.tasksOn(h), func(other *task) bool {
 		return other != t && other.progress.AdvancedAfter(t.progress)
 	})
 }
 
-// siblings is what other tasks of the same step take on other workers, as far as is known.
+// siblingDurations returns the durations of other tasks of the same step: the measured ones of completed
+// tasks, and the estimated ones of tasks that run on other workers, as far as they are known.
 func (s *Shard) siblingDurations(t *task) []time.Duration {
 	var out []time.Duration
 	for _, other := range t.job.tasks {
@@ -88,19 +91,19 @@
 	return out
 }
 
-// fitsElsewhere reports whether a worker other than its own could take a task now.
+// fitsElsewhere reports whether a task could be started now on another worker than its own.
 func (s *Shard) fitsElsewhere(now time.Duration, t *task) bool {
-	for _, r := range s.candidates(now) {
-		if r.host != t.host && s.fits(now, t, r) {
+	for _, c := range s.candidates(now) {
+		if c.host != t.host && s.fits(now, t, c) {
 			return true
 		}
 	}
 	return false
 }
 
-// move stops a run; the task starts elsewhere once it is certain that it does not run.
-func (s *Shard) moveTask(now time.Duration, t *task, why string) {
+// moveTask stops a run. The task is started elsewhere once the run has certainly ended.
+func (s *Shard) moveTask(now time.Duration, t *task, reason string) {
 	t.moveCount++
 	t.avoidHost = t.host
-	s.stopToRestart(now, t, why)
+	s.stopToRestart(now, t, reason)
 }
