--- a/internal/kept/store/kvcall/kvcall.go
+++ b/internal/kept/store/kvcall/kvcall.go
@@ -132,7 +132,7 @@
 	return b.Lease, err
 }
 
-// Keep implements store.Store.
+// KeepAlive implements store.Store.
 func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
 	return c.call(ctx, pathKeep, 0, leaseBody{Lease: lease}, nil)
 }
