--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -232,17 +232,17 @@
 // placeTasks splits a group of unassigned tasks over shards and sends each shard its part.
 func (e *engine) placeTasks(t *transientSubmission, group unassignedTasks, shards []policy.Candidate) {
 	tasks := group.tasks
-	for _, portion := range e.vm.config.Policy.Split(shards, len(tasks), isDivisible(group.record), longestEstimate(group.record)) {
-		rec := partialRecord(group.record, tasks[:portion.Tasks])
-		tasks = tasks[portion.Tasks:]
-		rec.Shard = portion.Shard
+	for _, allocation := range e.vm.config.Policy.Split(shards, len(tasks), isDivisible(group.record), longestEstimate(group.record)) {
+		rec := partialRecord(group.record, tasks[:allocation.Tasks])
+		tasks = tasks[allocation.Tasks:]
+		rec.Shard = allocation.Shard
 		rec.Serial = e.nextSerial()
-		p := &part{record: rec, shard: portion.Shard, updatedAt: e.now}
+		p := &part{record: rec, shard: allocation.Shard, updatedAt: e.now}
 		t.addPart(p)
 		l := e.loads[p.shard]
-		l.sentMilli += int64(portion.Tasks) * largestTaskMilli(rec)
+		l.sentMilli += int64(allocation.Tasks) * largestTaskMilli(rec)
 		klog.InfoS("kept: returned tasks assigned to another shard", "id", t.record.ID, "from", group.record.Shard, "shard", p.shard,
-			"holder", l.holder, "token", l.token, "tasks", portion.Tasks, "after", e.now-t.receivedAt)
+			"holder", l.holder, "token", l.token, "tasks", allocation.Tasks, "after", e.now-t.receivedAt)
 		e.sendPart(t, p, l)
 	}
 }
--- a/internal/kept/vm/takeback.go
+++ b/internal/kept/vm/takeback.go
@@ -91,11 +91,11 @@
 		other := t.part(c.Shard)
 		return other != nil && other != p
 	})
-	portions := e.vm.config.Policy.Split(shards, p.record.TaskCount(), false, longestEstimate(p.record))
-	if len(portions) == 0 {
+	allocations := e.vm.config.Policy.Split(shards, p.record.TaskCount(), false, longestEstimate(p.record))
+	if len(allocations) == 0 {
 		return nil
 	}
-	p.shard = portions[0].Shard
+	p.shard = allocations[0].Shard
 	return e.loads[p.shard]
 }
 
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -111,21 +111,21 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	portions := e.vm.config.Policy.Split(shards, startableTasks(r), isDivisible(r), longestEstimate(r))
-	if len(portions) == 1 {
-		r.Shard = portions[0].Shard
+	allocations := e.vm.config.Policy.Split(shards, startableTasks(r), isDivisible(r), longestEstimate(r))
+	if len(allocations) == 1 {
+		r.Shard = allocations[0].Shard
 		return []*part{{record: r, shard: r.Shard, updatedAt: e.now}}, nil
 	}
 	var parts []*part
 	first := r.Steps[0].FirstIndex
-	for _, portion := range portions {
+	for _, allocation := range allocations {
 		piece := *r
-		piece.Shard = portion.Shard
+		piece.Shard = allocation.Shard
 		piece.Steps = slices.Clone(r.Steps)
 		piece.Steps[0].FirstIndex = first
-		piece.Steps[0].Count = portion.Tasks
+		piece.Steps[0].Count = allocation.Tasks
 		piece.Partial = true
-		first += portion.Tasks
+		first += allocation.Tasks
 		parts = append(parts, &part{record: &piece, shard: piece.Shard, updatedAt: e.now})
 	}
 	return parts, nil
