--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -89,7 +89,7 @@
 	for _, p := range parts {
 		l := e.loads[p.shard]
 		ahead, wait := l.QueuedAhead(ev.record.Terms.Priority, false)
-		klog.InfoS("kept: taken", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
+		klog.InfoS("kept: accepted transient", "id", id, "queue", ev.record.Queue, "shard", p.shard, "holder", l.holder, "token", l.token,
 			"tasks", p.record.TaskCount(), "of", ev.record.TaskCount(), "objective", ev.record.Terms.Objective(ev.record.CriticalPath()), "free", l.FreeSlots(largestTaskMilli(p.record), ahead), "sent", l.sentMilli, "wait", wait, "load_age", e.now-l.receivedAt)
 		l.sentMilli += int64(startableTasks(p.record)) * largestTaskMilli(p.record)
 		e.sendPart(t, p, l)
--- a/internal/tool/logstory/logstory.go
+++ b/internal/tool/logstory/logstory.go
@@ -86,7 +86,8 @@
 	return out, s.Err()
 }
 
-// missing says which parts of a submission's life no line tells of.
+// missing says which parts of a submission's life no line tells of. "taken" is how older builds log "accepted
+// transient".
 func missing(all []line) []string {
 	has := func(whats ...string) bool {
 		return slices.ContainsFunc(all, func(l line) bool {
@@ -97,10 +98,10 @@
 	if len(all) == 0 {
 		return []string{"no log names it: it came to a VM whose log is not here, or never came"}
 	}
-	if !has("taken", "accepted", "accepted before", "refused") {
+	if !has("accepted", "accepted before", "accepted transient", "taken", "refused") {
 		out = append(out, "missing: the VM that took it")
 	}
-	if has("taken", "accepted") && !has("start", "refused", "abandoned") {
+	if has("accepted", "accepted transient", "taken") && !has("start", "refused", "abandoned") {
 		out = append(out, "missing: its first start; a holder's log is not here, or it never had room")
 	}
 	if !has("answered", "ended", "refused", "given up", "abandoned", "cancelled") {
--- a/internal/tool/logstory/logstory_test.go
+++ b/internal/tool/logstory/logstory_test.go
@@ -11,33 +11,52 @@
 I0907 19:39:01.500000    9274 transient.go:188] "kept: answered" id="a1" state="done"
 `
 
+// acceptedMessages are the messages for an accepted transient submission: that of this build, and that of older builds,
+// which may run beside it.
+var acceptedMessages = []string{"accepted transient", "taken"}
+
+// homeWith returns the log of the home VM with one of acceptedMessages.
+func homeWith(message string) *strings.Reader {
+	return strings.NewReader(strings.ReplaceAll(home, `"kept: taken"`, `"kept: `+message+`"`))
+}
+
 const holder = `I0907 19:39:01.102000    9275 engine.go:138] "kept: start" id="a1" step=0 index=0 run=1 worker="w1"
 `
 
 func TestStoryIsToldAcrossVMsInOrder(t *testing.T) {
-	var out strings.Builder
-	found, err := Tell("a1", []Log{{"logs/vm1.log", strings.NewReader(home)}, {"vm2.log", strings.NewReader(holder)}}, &out)
-	if err != nil || !found {
-		t.Fatal(found, err)
-	}
-	var order []string
-	for _, l := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		f := strings.Fields(l)
-		order = append(order, f[2]+" "+f[3])
-	}
-	if got := strings.Join(order, ", "); got != "vm1 taken, vm2 start, vm1 answered" {
-		t.Errorf("%s\n%s", got, out.String())
+	for _, message := range acceptedMessages {
+		var out strings.Builder
+		found, err := Tell("a1", []Log{{"logs/vm1.log", homeWith(message)}, {"vm2.log", strings.NewReader(holder)}}, &out)
+		if err != nil || !found {
+			t.Fatal(message, found, err)
+		}
+		var order []string
+		for _, l := range strings.Split(strings.TrimSpace(out.String()), "\n") {
+			f := strings.Fields(l)
+			order = append(order, f[2]+" "+f[3])
+		}
+		if got := strings.Join(order, ", "); got != "vm1 "+strings.Fields(message)[0]+", vm2 start, vm1 answered" {
+			t.Errorf("%s: %s\n%s", message, got, out.String())
+		}
+		if !strings.Contains(out.String(), " "+message+"  ") {
+			t.Errorf("%s is not in\n%s", message, out.String())
+		}
 	}
 }
 
 func TestWhatIsMissingIsSaid(t *testing.T) {
-	for id, want := range map[string]string{"b2": "its first start", "none": "no log names it"} {
-		var out strings.Builder
-		if _, err := Tell(id, []Log{{"vm1.log", strings.NewReader(home)}}, &out); err != nil {
-			t.Fatal(err)
-		}
-		if !strings.Contains(out.String(), want) {
-			t.Errorf("%s: %s", id, out.String())
+	for _, message := range acceptedMessages {
+		for id, want := range map[string]string{"b2": "its first start", "none": "no log names it"} {
+			var out strings.Builder
+			if _, err := Tell(id, []Log{{"vm1.log", homeWith(message)}}, &out); err != nil {
+				t.Fatal(err)
+			}
+			if !strings.Contains(out.String(), want) {
+				t.Errorf("%s, %s: %s", message, id, out.String())
+			}
+			if strings.Contains(out.String(), "the VM that took it") {
+				t.Errorf("%s is not read: %s", message, out.String())
+			}
 		}
 	}
 }
--- a/internal/tool/losses/losses.go
+++ b/internal/tool/losses/losses.go
@@ -1,8 +1,8 @@
 // Package losses says, from the logs of entry VMs, which submissions were not served within
 // their objective, and why.
 //
-// It reads the lines "taken", "start", "answered", "refused", "given up" and "abandoned" and
-// follows each hand-in of a submission through them. A caller that hands a submission in
+// It reads the lines "accepted transient" (older builds log it as "taken"), "start", "answered", "refused",
+// "given up" and "abandoned" and follows each hand-in of a submission through them. A caller that hands a submission in
 // again begins a new hand-in: what was lost by the first is counted once, under its cause.
 package losses
 
@@ -76,7 +76,7 @@
 }
 
 var (
-	klogLine  = regexp.MustCompile(logstory.Head + `"kept: (taken|start|answered|refused|given up|abandoned)" (.*)$`)
+	klogLine  = regexp.MustCompile(logstory.Head + `"kept: (accepted transient|taken|start|answered|refused|given up|abandoned)" (.*)$`)
 	fieldText = regexp.MustCompile(`(\w+)=(?:"((?:[^"\\]|\\.)*)"|(\S+))`)
 )
 
@@ -134,7 +134,7 @@
 		id := ev.fields["id"]
 		h := open[id]
 		switch {
-		case ev.what == "taken" && h == nil:
+		case (ev.what == "accepted transient" || ev.what == "taken") && h == nil:
 			open[id] = &handIn{queue: ev.fields["queue"], at: ev.at, objective: duration(ev.fields["objective"])}
 			continue
 		case ev.what == "refused" && h == nil:
--- a/internal/tool/losses/losses_test.go
+++ b/internal/tool/losses/losses_test.go
@@ -24,7 +24,20 @@
 `
 
 func TestEachHandInHasOneCause(t *testing.T) {
-	a, err := Read([]io.Reader{strings.NewReader(logged)}, 2*time.Second)
+	before, after, _ := strings.Cut(logged, "1] \"kept: taken\" id=\"c\"")
+	for build, log := range map[string]string{
+		"old": logged,
+		"new": strings.ReplaceAll(logged, `"kept: taken"`, `"kept: accepted transient"`),
+		// VMs of an older build beside new ones.
+		"both": before + "1] \"kept: accepted transient\" id=\"c\"" + after,
+	} {
+		t.Run(build, func(t *testing.T) { checkCauses(t, log) })
+	}
+}
+
+func checkCauses(t *testing.T, log string) {
+	t.Helper()
+	a, err := Read([]io.Reader{strings.NewReader(log)}, 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
