--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -217,7 +217,7 @@
 	}
 	call()
 	wants(true, "without a list")
-	e.workerLists["a"] = &workerList{askedAt: now}
+	e.workerLists["a"] = &workerList{requestedAt: now}
 	wants(false, "when it is new")
 	now += leavingWithin
 	call()
--- a/internal/kept/vm/session.go
+++ b/internal/kept/vm/session.go
@@ -76,7 +76,7 @@
 func (ws *workerSession) run(ctx context.Context) {
 	expired := false
 	for ctx.Err() == nil {
-		sent := ws.vm.now()
+		requestedAt := ws.vm.now()
 		listing, reply := ws.renew(ctx, renewWait)
 		if ctx.Err() != nil {
 			return
@@ -84,7 +84,7 @@
 		switch reply.Verdict {
 		case worker.Accepted:
 			expired = false
-			ws.vm.post(listingEvent{session: ws, requestedAt: sent, listing: listing})
+			ws.vm.post(listingEvent{session: ws, requestedAt: requestedAt, listing: listing})
 			ws.awaitAcks(ctx, listing)
 			continue
 		case worker.Fenced:
@@ -131,10 +131,10 @@
 
 // listNow asks the worker for a listing without waiting for the end of a run.
 func (ws *workerSession) listNow(ctx context.Context) {
-	sent := ws.vm.now()
+	requestedAt := ws.vm.now()
 	listing, reply := ws.renew(ctx, 0)
 	if reply.Verdict == worker.Accepted {
-		ws.vm.post(listingEvent{session: ws, requestedAt: sent, listing: listing})
+		ws.vm.post(listingEvent{session: ws, requestedAt: requestedAt, listing: listing})
 	}
 }
 
@@ -142,8 +142,8 @@
 // or after wait.
 func (ws *workerSession) renew(ctx context.Context, wait time.Duration) (worker.Listing, worker.Reply) {
 	order := worker.Hold{Token: ws.token, AckedEnd: ws.ackedEnd.Load(), Wait: wait}
-	sent := ws.vm.now()
-	now, known := ws.latestClock(sent)
+	requestedAt := ws.vm.now()
+	now, known := ws.latestClock(requestedAt)
 	unanswered := ws.unanswered.Load()
 	if !known || unanswered {
 		order.Wait = 0 // the call only finds out the worker's clock, or that it is back
@@ -164,7 +164,7 @@
 	listing, reply := ws.vm.config.Workers.Hold(ctx, *ws.info.Load(), order)
 	reply = ws.checkIncarnation(reply)
 	ws.unanswered.Store(reply.Verdict == worker.NoAnswer)
-	ws.recordClock(sent, reply)
+	ws.recordClock(requestedAt, reply)
 	return listing, reply
 }
 
@@ -207,8 +207,8 @@
 	ws.maxDeadline = max(ws.maxDeadline, d)
 }
 
-// recordClock keeps the worker's clock from the answer to a call that left at sent.
-func (ws *workerSession) recordClock(sent time.Duration, r worker.Reply) {
+// recordClock keeps the worker's clock from the answer to a call that left at requestedAt.
+func (ws *workerSession) recordClock(requestedAt time.Duration, r worker.Reply) {
 	if r.Clock == 0 {
 		return
 	}
@@ -220,7 +220,7 @@
 	}
 	if r.Clock > ws.lastClock {
 		ws.lastClock = r.Clock
-		ws.clockSentAt = sent
+		ws.clockSentAt = requestedAt
 		ws.clockReceivedAt = ws.vm.now()
 	}
 }
@@ -284,10 +284,10 @@
 	s.Deadline = ws.startDeadline()
 	ctx, cancel := context.WithTimeout(ctx, ws.orderTimeout())
 	defer cancel()
-	sent := ws.vm.now()
+	requestedAt := ws.vm.now()
 	r := ws.checkIncarnation(ws.vm.config.Workers.Start(ctx, *ws.info.Load(), s))
-	ws.recordClock(sent, r)
-	ws.recordOrder(ws.vm.now()-sent, r)
+	ws.recordClock(requestedAt, r)
+	ws.recordOrder(ws.vm.now()-requestedAt, r)
 	ws.vm.post(startReplyEvent{session: ws, task: s.Task, run: s.Run, reply: r})
 }
 
@@ -296,8 +296,8 @@
 	s.Token = ws.token
 	ctx, cancel := context.WithTimeout(ctx, ws.orderTimeout())
 	defer cancel()
-	sent := ws.vm.now()
+	requestedAt := ws.vm.now()
 	r := ws.checkIncarnation(ws.vm.config.Workers.Stop(ctx, *ws.info.Load(), s))
-	ws.recordClock(sent, r)
+	ws.recordClock(requestedAt, r)
 	ws.vm.post(stopReplyEvent{session: ws, task: s.Task, run: s.Run, reply: r})
 }
--- a/internal/kept/vm/shards.go
+++ b/internal/kept/vm/shards.go
@@ -61,8 +61,8 @@
 const startupPeriod = 5 * time.Second
 
 // applyHoldings acquires the shards that this VM holds according to the store and drops
-// those that it does not. sent is when the call of the store left.
-func (e *engine) applyHoldings(sent time.Duration) {
+// those that it does not. requestedAt is when the call of the store left.
+func (e *engine) applyHoldings(requestedAt time.Duration) {
 	e.holdersChanged = true
 	all := e.site.Holdings()
 	e.vm.sweepsFinals.Store(len(all) > 0 && e.site.HeldBySelf(all[0]))
@@ -74,7 +74,7 @@
 			h = nil
 		}
 		if h != nil {
-			h.confirmedAt = max(h.confirmedAt, sent)
+			h.confirmedAt = max(h.confirmedAt, requestedAt)
 		}
 		if h == nil && mine {
 			e.acquireShard(holding)
--- a/internal/kept/vm/watch.go
+++ b/internal/kept/vm/watch.go
@@ -53,8 +53,8 @@
 	// pause is how long to wait after changes, so that more gather; gathered is the time in which these
 	// did. nil: no pause.
 	pause      func(gathered time.Duration, events []store.Event) time.Duration
-	onSnapshot func(sent time.Duration, revision uint64, items []store.Item) // called with all keys
-	onChanges  func(sent time.Duration, events []store.Event)                // called with each answer of a watch, also without changes
+	onSnapshot func(requestedAt time.Duration, revision uint64, items []store.Item) // called with all keys
+	onChanges  func(requestedAt time.Duration, events []store.Event)                // called with each answer of a watch, also without changes
 }
 
 // run reads the whole prefix and then watches its changes. It starts again when the store no longer has
@@ -62,10 +62,10 @@
 func (f *prefixWatcher) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		sent := f.vm.now()
+		requestedAt := f.vm.now()
 		items, rev, err := f.vm.readAll(ctx, f.prefix, false)
 		if err == nil {
-			f.onSnapshot(sent, rev, items)
+			f.onSnapshot(requestedAt, rev, items)
 			failures = 0
 			err = f.watchChanges(ctx, rev)
 		}
@@ -86,7 +86,7 @@
 	failures := 0
 	answered := f.vm.now()
 	for {
-		sent := f.vm.now()
+		requestedAt := f.vm.now()
 		watchCtx, cancel := context.WithTimeout(ctx, f.maxWait+rangeTimeout)
 		c, err := f.vm.store.Watch(watchCtx, f.prefix, rev, f.maxWait)
 		cancel()
@@ -94,7 +94,7 @@
 		case err == nil:
 			failures = 0
 			rev = max(rev, c.Revision)
-			f.onChanges(sent, c.Events)
+			f.onChanges(requestedAt, c.Events)
 			if f.pause != nil && len(c.Events) > 0 {
 				pause.For(ctx, f.pause(f.vm.now()-answered, c.Events))
 			}
@@ -154,11 +154,11 @@
 // watchSite watches the keys of the site: members, domains and shards.
 func (v *VM) watchSite(ctx context.Context) {
 	f := &prefixWatcher{vm: v, prefix: site.Prefix, maxWait: siteWatchWait, pause: v.sitePause}
-	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
-		v.post(siteEvent{requestedAt: sent, complete: true, items: items})
+	f.onSnapshot = func(requestedAt time.Duration, _ uint64, items []store.Item) {
+		v.post(siteEvent{requestedAt: requestedAt, complete: true, items: items})
 	}
-	f.onChanges = func(sent time.Duration, events []store.Event) {
-		v.post(siteEvent{requestedAt: sent, events: events})
+	f.onChanges = func(requestedAt time.Duration, events []store.Event) {
+		v.post(siteEvent{requestedAt: requestedAt, events: events})
 	}
 	f.run(ctx)
 }
@@ -183,19 +183,19 @@
 		klog.InfoS("kept: configuration in force", "version", c.Version, "revision", it.Revision, "queues", len(c.Queues))
 	}
 	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.CatalogPrefix, maxWait: time.Duration(catalogWaitShare * float64(cmp.Or(v.config.MaxCatalogDelay, defaultCatalogDelay)))}
-	f.onSnapshot = func(sent time.Duration, revision uint64, items []store.Item) {
+	f.onSnapshot = func(requestedAt time.Duration, revision uint64, items []store.Item) {
 		for _, it := range items {
 			apply(it)
 		}
-		v.post(evacuationsEvent{requestedAt: sent, complete: true, revision: revision, notices: v.evacuationsIn(items)})
+		v.post(evacuationsEvent{requestedAt: requestedAt, complete: true, revision: revision, notices: v.evacuationsIn(items)})
 	}
-	f.onChanges = func(sent time.Duration, events []store.Event) {
+	f.onChanges = func(requestedAt time.Duration, events []store.Event) {
 		for _, e := range events {
 			if !e.Deleted {
 				apply(e.Item)
 			}
 		}
-		v.post(evacuationsEvent{requestedAt: sent, notices: v.evacuationChanges(events)})
+		v.post(evacuationsEvent{requestedAt: requestedAt, notices: v.evacuationChanges(events)})
 	}
 	f.run(ctx)
 }
@@ -258,42 +258,42 @@
 
 // watchWorkerList watches the list of workers until ctx ends, and posts the whole list after each answer.
 func (v *VM) watchWorkerList(ctx context.Context) {
-	list := make(map[string]worker.Info)
+	workers := make(map[string]worker.Info)
 	apply := func(it store.Item) {
 		info, ok := v.decodeEntry(it)
-		switch known, present := list[it.Key]; {
+		switch known, present := workers[it.Key]; {
 		case ok && present && known.Incarnation().Succeeds(info.Incarnation()):
 			// A late entry of an earlier incarnation is ignored.
 		case ok && (info.Born > 0 || known.Born == 0):
-			list[it.Key] = info
+			workers[it.Key] = info
 		case present:
 			// The entry no longer describes a usable worker. Its runs go on, but no new ones start there.
 			known.Leaving = true
-			list[it.Key] = known
+			workers[it.Key] = known
 		}
 	}
-	send := func(sent time.Duration) {
-		v.post(workersEvent{requestedAt: sent, workers: slices.AppendSeq([]worker.Info{}, maps.Values(list))})
+	send := func(requestedAt time.Duration) {
+		v.post(workersEvent{requestedAt: requestedAt, workers: slices.AppendSeq([]worker.Info{}, maps.Values(workers))})
 	}
 	f := &prefixWatcher{vm: v, prefix: v.config.StoreLayout.WorkerPrefix, maxWait: v.config.leaveNoticeShare(listWatchShare), pause: v.workersPause}
-	f.onSnapshot = func(sent time.Duration, _ uint64, items []store.Item) {
+	f.onSnapshot = func(requestedAt time.Duration, _ uint64, items []store.Item) {
 		present := make(map[string]bool, len(items))
 		for _, it := range items {
 			present[it.Key] = true
 			apply(it)
 		}
-		maps.DeleteFunc(list, func(key string, _ worker.Info) bool { return !present[key] })
-		send(sent)
+		maps.DeleteFunc(workers, func(key string, _ worker.Info) bool { return !present[key] })
+		send(requestedAt)
 	}
-	f.onChanges = func(sent time.Duration, events []store.Event) {
+	f.onChanges = func(requestedAt time.Duration, events []store.Event) {
 		for _, e := range events {
 			if e.Deleted {
-				delete(list, e.Key)
+				delete(workers, e.Key)
 			} else {
 				apply(e.Item)
 			}
 		}
-		send(sent) // also without changes: that renews the age of the list
+		send(requestedAt) // also without changes: that renews the age of the list
 	}
 	f.run(ctx)
 }
--- a/internal/kept/vm/workerlists.go
+++ b/internal/kept/vm/workerlists.go
@@ -55,10 +55,10 @@
 
 // workerList is the list of the workers of a failure domain.
 type workerList struct {
-	infos   []worker.Info // by ID
-	askedAt time.Duration // when this VM, or the sender, asked the store for it
-	version uint64        // as numbered by this VM, or by the sender
-	from    string        // the VM that sent it; "": this VM read it from the store
+	infos       []worker.Info // by ID
+	requestedAt time.Duration // when this VM, or the sender, asked the store for it
+	version     uint64        // as numbered by this VM, or by the sender
+	from        string        // the VM that sent it; "": this VM read it from the store
 
 	layout         site.ShardLayout         // that byShard follows
 	shardByAddress map[string]string        // of the workers, by address
@@ -118,7 +118,7 @@
 
 // isListStale reports whether a list from the reader is so old that this VM reads the list itself.
 func (e *engine) isListStale(l *workerList) bool {
-	return e.now-l.askedAt > e.vm.config.leaveNoticeShare(listRereadShare)
+	return e.now-l.requestedAt > e.vm.config.leaveNoticeShare(listRereadShare)
 }
 
 // isListOutdated reports whether nothing may start on a list because it is too old, or missing (nil), and
@@ -128,7 +128,7 @@
 	if l == nil {
 		return c.AnsweredAt >= c.UnansweredAt
 	}
-	return e.now-c.UnansweredAt > storeSteadyPeriod && c.AnsweredAt-l.askedAt > e.vm.config.leaveNoticeShare(listExpiryShare)
+	return e.now-c.UnansweredAt > storeSteadyPeriod && c.AnsweredAt-l.requestedAt > e.vm.config.leaveNoticeShare(listExpiryShare)
 }
 
 // sendWorkers sends the list of a domain's workers to the other holders of the domain. The full list goes to
@@ -151,7 +151,7 @@
 		if holder == e.vm.config.Name || e.links[holder] == nil {
 			continue
 		}
-		w := &pb.KeptWorkers{Domain: domain, AgeNs: uint64(e.now - l.askedAt), Version: l.version}
+		w := &pb.KeptWorkers{Domain: domain, AgeNs: uint64(e.now - l.requestedAt), Version: l.version}
 		switch {
 		case all || !l.sentTo[holder]:
 			if list == nil {
@@ -196,14 +196,14 @@
 	if !e.heldDomains()[w.Domain] {
 		return // this VM has just lost its shard there
 	}
-	askedAt := e.now - time.Duration(w.AgeNs)
+	requestedAt := e.now - time.Duration(w.AgeNs)
 	l := e.workerLists[w.Domain]
-	if l != nil && askedAt < l.askedAt {
+	if l != nil && requestedAt < l.requestedAt {
 		return // older than the list here: from a previous reader, or one that the store does not answer
 	}
 	if len(w.List) == 0 {
 		if l != nil && l.from == from && l.version == w.Version {
-			l.askedAt = askedAt
+			l.requestedAt = requestedAt
 		}
 		return
 	}
@@ -212,7 +212,7 @@
 		klog.ErrorS(err, "kept: list of workers from a peer cannot be decoded", "peer", from, "domain", w.Domain)
 		return
 	}
-	e.setList(w.Domain, infos, askedAt, from, w.Version)
+	e.setList(w.Domain, infos, requestedAt, from, w.Version)
 }
 
 // encodeWorkers encodes a list of workers for peers. Encoding an entry cannot fail.
@@ -240,7 +240,7 @@
 func (e *engine) useLastRead(domain string) {
 	l := e.workerLists[domain]
 	switch {
-	case !e.readingWorkers, e.lastWorkersRead.workers == nil, l != nil && e.lastWorkersRead.requestedAt < l.askedAt:
+	case !e.readingWorkers, e.lastWorkersRead.workers == nil, l != nil && e.lastWorkersRead.requestedAt < l.requestedAt:
 	case l != nil && !e.isListReader(domain) && !l.readHere() && !e.isListStale(l):
 	default:
 		infos := []worker.Info{}
@@ -255,7 +255,7 @@
 
 // setList replaces the list of a domain's workers and, if it has changed, updates the workers of the shards
 // held here. from is the VM that sent it; "": this VM read it.
-func (e *engine) setList(domain string, infos []worker.Info, askedAt time.Duration, from string, version uint64) {
+func (e *engine) setList(domain string, infos []worker.Info, requestedAt time.Duration, from string, version uint64) {
 	slices.SortFunc(infos, func(a, b worker.Info) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Revision, b.Revision))
 	})
@@ -271,11 +271,11 @@
 	case changed || !l.readHere():
 		l.version = e.nextListVersion()
 	}
-	l.infos, l.askedAt, l.from = infos, askedAt, from
+	l.infos, l.requestedAt, l.from = infos, requestedAt, from
 	if changed {
 		l.byShard = nil
 		klog.InfoS("kept: list of workers changed", "domain", domain, "workers", len(infos), "leaving", countLeaving(infos),
-			"told_by", from, "age", e.now-askedAt)
+			"told_by", from, "age", e.now-requestedAt)
 	}
 	for name, h := range e.shards {
 		switch {
@@ -322,7 +322,7 @@
 // is no list.
 func (e *engine) listAge(shard string) time.Duration {
 	if l := e.workerLists[site.DomainOf(shard)]; l != nil {
-		return e.now - l.askedAt
+		return e.now - l.requestedAt
 	}
 	return -1
 }
