--- a/internal/kept/shard/crash_test.go
+++ b/internal/kept/shard/crash_test.go
@@ -13,14 +13,14 @@
 )
 
 // stored makes a submission whose record is kept.
-func (w *world) stored(id submission.ID, tasks int, work runhost.Work) *submission.Record {
+func (w *world) storedSubmission(id submission.ID, tasks int, work runhost.Work) *submission.Record {
 	r := w.submission(id, tasks, work)
 	r.Transient = false
 	return r
 }
 
-// crashesOf is how many workers have crashed under the tasks of a submission.
-func (w *world) crashesOf(id submission.ID) int { return runhost.SumOf(w.ledger.Crashes, id) }
+// crashCount is how many workers have crashed under the tasks of a submission.
+func (w *world) crashCount(id submission.ID) int { return runhost.SumOf(w.ledger.Crashes, id) }
 
 // crash ends the life of a worker.
 func (w *world) crash(ids ...string) {
@@ -41,9 +41,9 @@
 			w.assign(r)
 			w.assign(w.submission("beside", 10, runhost.Work{Time: 300 * ms}))
 			w.run(8 * time.Second)
-			w.want("poison", submission.Failed)
-			w.want("beside", submission.Done)
-			if n := w.crashesOf("poison"); n != 2 {
+			w.expectState("poison", submission.Failed)
+			w.expectState("beside", submission.Done)
+			if n := w.crashCount("poison"); n != 2 {
 				t.Errorf("%d workers have crashed under it, want 2", n)
 			}
 		})
@@ -55,14 +55,14 @@
 	w := newWorld(t, 6)
 	w.run(100 * ms)
 	for i := range 4 {
-		w.assign(w.stored(submission.ID(fmt.Sprintf("poison%d", i)), 1, runhost.Work{Time: 150 * ms, Crashes: true}))
-		w.assign(w.stored(submission.ID(fmt.Sprintf("good%d", i)), 2, runhost.Work{Time: 400 * ms}))
+		w.assign(w.storedSubmission(submission.ID(fmt.Sprintf("poison%d", i)), 1, runhost.Work{Time: 150 * ms, Crashes: true}))
+		w.assign(w.storedSubmission(submission.ID(fmt.Sprintf("good%d", i)), 2, runhost.Work{Time: 400 * ms}))
 		w.run(400 * ms)
 	}
 	w.run(20 * time.Second)
 	for i := range 4 {
-		w.want(submission.ID(fmt.Sprintf("poison%d", i)), submission.Failed)
-		w.want(submission.ID(fmt.Sprintf("good%d", i)), submission.Done)
+		w.expectState(submission.ID(fmt.Sprintf("poison%d", i)), submission.Failed)
+		w.expectState(submission.ID(fmt.Sprintf("good%d", i)), submission.Done)
 	}
 }
 
@@ -74,7 +74,7 @@
 				w := newWorld(t, 8)
 				w.run(100 * ms)
 				for i := range 8 {
-					w.assign(w.stored(submission.ID(fmt.Sprint("s", i)), 2, runhost.Work{Time: 800 * ms}))
+					w.assign(w.storedSubmission(submission.ID(fmt.Sprint("s", i)), 2, runhost.Work{Time: 800 * ms}))
 				}
 				random := rand.New(rand.NewPCG(seed, 1))
 				for range 2 {
@@ -86,7 +86,7 @@
 				}
 				w.run(10 * time.Second)
 				for i := range 8 {
-					w.want(submission.ID(fmt.Sprint("s", i)), submission.Done)
+					w.expectState(submission.ID(fmt.Sprint("s", i)), submission.Done)
 				}
 			})
 		}
@@ -97,27 +97,27 @@
 func TestWorkersThatAreCutOffFailNoStoredTask(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
-	w.assign(w.stored("s", 1, runhost.Work{Time: 1500 * ms}))
+	w.assign(w.storedSubmission("s", 1, runhost.Work{Time: 1500 * ms}))
 	for range 3 {
 		w.run(200 * ms)
 		last := w.starts[len(w.starts)-1].Worker.ID
-		w.cut[last] = true
+		w.unreachable[last] = true
 		w.run(1200 * ms)
-		clear(w.cut)
+		clear(w.unreachable)
 		w.run(50 * ms)
 	}
 	if l := w.shard.jobs["s"].tasks[0].losses; len(l) > 0 {
 		t.Errorf("workers that answer again count as lost: %+v", l)
 	}
 	w.run(10 * time.Second)
-	w.want("s", submission.Done)
+	w.expectState("s", submission.Done)
 }
 
 // Guards against a loss that counts several times, as it is learnt in several ways.
 func TestCrashIsCountedOnce(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
-	w.assign(w.stored("s", 1, runhost.Work{Time: 900 * ms}))
+	w.assign(w.storedSubmission("s", 1, runhost.Work{Time: 900 * ms}))
 	w.run(50 * ms)
 	id := w.starts[0].Worker.ID
 	address := w.hosts[id].Info.Address
@@ -126,7 +126,7 @@
 	w.shard.WorkerGone(w.now, id)
 	w.addHost("next", address)
 	w.hosts["next"].Info.Revision += 1000
-	w.list()
+	w.updateList()
 	w.shard.WorkerGone(w.now, id)
 	w.run(50 * ms)
 	if l := w.shard.jobs["s"].tasks[0].losses; len(l) != 1 || !l[0].Certain {
@@ -139,8 +139,8 @@
 	w := newWorld(t, 6)
 	w.run(100 * ms)
 	var saved *submission.Record
-	w.assign(w.stored("poison", 1, runhost.Work{Time: 50 * ms, Crashes: true}))
-	for w.crashesOf("poison") == 0 || saved == nil {
+	w.assign(w.storedSubmission("poison", 1, runhost.Work{Time: 50 * ms, Crashes: true}))
+	for w.crashCount("poison") == 0 || saved == nil {
 		w.now += testTick
 		w.step()
 		for _, j := range w.shard.jobs {
@@ -155,13 +155,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 2}})
 	w.run(10 * time.Second)
 	if w.finals["poison"] != submission.Failed {
 		t.Errorf("it is %s, want failed", w.finals["poison"])
 	}
-	if n := w.crashesOf("poison"); n > runhost.CrashesMost {
+	if n := w.crashCount("poison"); n > runhost.CrashesMost {
 		t.Errorf("%d workers have crashed under it", n)
 	}
 }
@@ -171,11 +171,11 @@
 func TestLateStartThatCrashesCounts(t *testing.T) {
 	w := newWorld(t, 6)
 	w.run(100 * ms)
-	w.late = func(StartAction) time.Duration { return testTick }
-	w.assign(w.stored("poison", 1, runhost.Work{Crashes: true}))
+	w.startDelay = func(StartAction) time.Duration { return testTick }
+	w.assign(w.storedSubmission("poison", 1, runhost.Work{Crashes: true}))
 	w.run(20 * time.Second)
-	w.want("poison", submission.Failed)
-	if n := w.crashesOf("poison"); n > runhost.CrashesMost {
+	w.expectState("poison", submission.Failed)
+	if n := w.crashCount("poison"); n > runhost.CrashesMost {
 		t.Errorf("%d workers have crashed under it", n)
 	}
 }
@@ -187,16 +187,16 @@
 	done, all := 0, 0
 	for i := range 60 {
 		if i%4 == 0 {
-			w.assign(w.stored(submission.ID(fmt.Sprint("poison", i)), 1, runhost.Work{Time: 50 * ms, Crashes: true}))
+			w.assign(w.storedSubmission(submission.ID(fmt.Sprint("poison", i)), 1, runhost.Work{Time: 50 * ms, Crashes: true}))
 		}
-		w.assign(w.stored(submission.ID(fmt.Sprint("good", i)), 2, runhost.Work{Time: 100 * ms}))
+		w.assign(w.storedSubmission(submission.ID(fmt.Sprint("good", i)), 2, runhost.Work{Time: 100 * ms}))
 		all++
 		w.run(200 * ms)
 	}
 	w.run(30 * time.Second)
 	for i := range 60 {
 		if i%4 == 0 {
-			w.want(submission.ID(fmt.Sprint("poison", i)), submission.Failed)
+			w.expectState(submission.ID(fmt.Sprint("poison", i)), submission.Failed)
 		}
 		if w.states[submission.ID(fmt.Sprint("good", i))] == submission.Done {
 			done++
--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -9,8 +9,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// coldRun is by how many times tasks take longer at a cold worker of these tests.
-const coldRun = 10
+// coldSlowdown is by how many times tasks take longer at a cold worker of these tests.
+const coldSlowdown = 10
 
 // Symptom: a domain that is used again holds up what it is given for seconds. Sequence: it was
 // evacuated, its workers were replaced meanwhile and are cold, and a queue of work waits. Cause:
@@ -20,15 +20,15 @@
 	w.run(100 * ms)
 	w.shard.SetEvacuated(w.now, true)
 	w.run(time.Second)
-	w.slow["w0"] = coldRun
+	w.slowdown["w0"] = coldSlowdown
 	w.shard.SetEvacuated(w.now, false)
 	w.assign(w.submission("a", 4, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
-	if n := w.runs("a"); n != 2 {
+	if n := w.startCount("a"); n != 2 {
 		t.Errorf("%d starts on two workers that have shown nothing yet, want 2", n)
 	}
 	w.run(100 * ms)
-	if n := w.runs("a"); n != 4 {
+	if n := w.startCount("a"); n != 4 {
 		t.Errorf("%d starts once one worker has shown that it is warm, want all 4", n)
 	}
 }
@@ -38,15 +38,15 @@
 func TestColdWorkerIsTriedWithOneTask(t *testing.T) {
 	w := newWorld(t, 1)
 	w.hosts["w0"].Info.Cold = true
-	w.list()
+	w.updateList()
 	w.run(100 * ms)
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
-	if n := w.runs("a"); n != 1 {
+	if n := w.startCount("a"); n != 1 {
 		t.Errorf("%d starts at a cold worker, want 1", n)
 	}
 	w.run(400 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
 
 // Symptom: a start is carried out in an evacuated domain. Sequence: its answer is lost; before the
@@ -54,15 +54,15 @@
 func TestUnansweredStartIsVoidOnceTheDomainIsEvacuated(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
-	w.late = func(StartAction) time.Duration { return 300 * ms }
+	w.startDelay = func(StartAction) time.Duration { return 300 * ms }
 	w.assign(w.submission("a", 1, runhost.Work{Time: 100 * ms}))
 	w.step()
 	w.shard.SetEvacuated(w.now, true)
 	w.run(time.Second)
-	if n := w.runs("a"); n != 0 {
+	if n := w.startCount("a"); n != 0 {
 		t.Errorf("%d starts, the order was late", n)
 	}
-	w.want("a", submission.Returned)
+	w.expectState("a", submission.Returned)
 }
 
 // Symptom: submissions go to an evacuated domain. Cause would be: its holder tells of room there.
@@ -153,7 +153,7 @@
 		if r := w.hosts["w0"].Start(w.now, first); r.Verdict != worker.Accepted {
 			t.Fatalf("the first hand-in's task is %s", r.Verdict)
 		}
-		w.hold(2, true)
+		w.newHolder(2, true)
 		again := *rec
 		again.Serial = 9
 		again.TasksElsewhere = []submission.Task{{Index: 1}}
@@ -168,7 +168,7 @@
 				t.Fatalf("it is done and its own task is not (listed before it came: %v)", listedBefore)
 			}
 		}
-		w.want("a", submission.Done)
+		w.expectState("a", submission.Done)
 	}
 }
 
@@ -184,8 +184,8 @@
 	if r := w.hosts["w1"].Start(w.now, first); r.Verdict != worker.Accepted {
 		t.Fatalf("the first hand-in's task is %s", r.Verdict)
 	}
-	w.hold(2, true)
-	w.works["a"] = runhost.Work{Time: 400 * ms, CPUMilli: 6800}
+	w.newHolder(2, true)
+	w.workOf["a"] = runhost.Work{Time: 400 * ms, CPUMilli: 6800}
 	w.assign(rec)
 	for range 50 {
 		w.step()
@@ -196,5 +196,5 @@
 	for range 100 {
 		w.step()
 	}
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -31,17 +31,17 @@
 func TestRestartUnderTheSameIDIsOneLoss(t *testing.T) {
 	signs := map[string]func(w *world, old worker.Info){
 		"listing": func(w *world, _ worker.Info) { w.run(10 * ms) },
-		"entry":   func(w *world, _ worker.Info) { w.list() },
+		"entry":   func(w *world, _ worker.Info) { w.updateList() },
 		"lease, then listing": func(w *world, old worker.Info) {
 			w.shard.WorkerLeaseExpired(w.now, old.ID)
 			w.run(10 * ms)
 		},
 		"lease, then entry": func(w *world, old worker.Info) {
 			w.shard.WorkerLeaseExpired(w.now, old.ID)
-			w.list()
+			w.updateList()
 		},
 		"entry, then listing": func(w *world, _ worker.Info) {
-			w.list()
+			w.updateList()
 			w.run(10 * ms)
 		},
 	}
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
 			w.run(100 * ms)
-			w.assign(w.stored("a", 1, runhost.Work{Time: time.Second}))
+			w.assign(w.storedSubmission("a", 1, runhost.Work{Time: time.Second}))
 			w.run(100 * ms)
 			old := w.hosts["w0"].Info
 			w.restart("w0")
@@ -59,8 +59,8 @@
 				t.Errorf("losses %+v, want a certain one of %s", losses, old.Incarnation())
 			}
 			w.run(3 * time.Second)
-			w.want("a", submission.Done)
-			if n := w.runs("a"); n != 2 {
+			w.expectState("a", submission.Done)
+			if n := w.startCount("a"); n != 2 {
 				t.Errorf("%d runs, want 2", n)
 			}
 		})
@@ -79,8 +79,8 @@
 	w.run(50 * ms)
 	w.assign(w.submission("after", 2, runhost.Work{Time: 30 * ms}))
 	w.run(100 * ms)
-	w.want("after", submission.Done)
-	if n := w.runs("after"); n != 2 {
+	w.expectState("after", submission.Done)
+	if n := w.startCount("after"); n != 2 {
 		t.Errorf("%d runs of two tasks", n)
 	}
 }
@@ -97,7 +97,7 @@
 	l, _ := old.Hold(w.now+20*ms, worker.Hold{Token: w.shard.Token()})
 	w.shard.HandleListing(w.now+20*ms, "w0", w.now, l)
 	w.restart("w0")
-	w.list()
+	w.updateList()
 	for _, s := range w.shard.TakeActions().Acks {
 		t.Errorf("ends up to %d are acknowledged to the next incarnation", s.UpTo)
 	}
@@ -110,16 +110,16 @@
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
 			w := newWorld(t, 2)
 			w.run(50 * ms)
-			w.silent = func(StartAction) bool { return !answered }
+			w.losesStartReply = func(StartAction) bool { return !answered }
 			w.assign(w.submission("a", 4, runhost.Work{Time: 2 * time.Second}))
 			w.shard.Tick(w.now)
 			w.restart("w0") // decided for the earlier incarnation, carried out by this one
 			w.restart("w1")
-			w.carryOut()
-			w.silent = nil
+			w.execute()
+			w.losesStartReply = nil
 			w.run(5 * time.Second)
-			w.want("a", submission.Done)
-			if n := w.runs("a"); n != 4 {
+			w.expectState("a", submission.Done)
+			if n := w.startCount("a"); n != 4 {
 				t.Errorf("%d runs of four tasks", n)
 			}
 		})
@@ -133,7 +133,7 @@
 		t.Run(fmt.Sprintf("forgotten meanwhile %v", forgotten), func(t *testing.T) {
 			w := newWorld(t, 2)
 			w.run(50 * ms)
-			w.late = func(s StartAction) time.Duration {
+			w.startDelay = func(s StartAction) time.Duration {
 				if s.Run == 1 && s.Worker.ID == "w0" {
 					return 4 * time.Second
 				}
@@ -141,16 +141,16 @@
 			}
 			w.assign(w.submission("a", 2, runhost.Work{Time: 6 * time.Second, CPUMilli: 1000}))
 			w.run(300 * ms)
-			if len(w.pending) == 0 {
+			if len(w.pendingStarts) == 0 {
 				t.Fatal("no start is held up")
 			}
 			w.restart("w0")
 			if forgotten {
 				w.shard.WorkerGone(w.now, "w0")
 			}
-			w.list()
+			w.updateList()
 			w.run(8 * time.Second)
-			w.want("a", submission.Done)
+			w.expectState("a", submission.Done)
 		})
 	}
 }
@@ -161,7 +161,7 @@
 	w.run(50 * ms)
 	old := w.hosts["w0"].Info
 	w.restart("w0")
-	w.list()
+	w.updateList()
 	w.assign(w.submission("a", 2, runhost.Work{Time: 500 * ms}))
 	w.run(100 * ms)
 	old.Revision = 1000
@@ -174,10 +174,10 @@
 			t.Errorf("%+v is in force after %+v", info, late)
 		}
 	}
-	w.list()
+	w.updateList()
 	w.run(time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 2 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 2 {
 		t.Errorf("%d runs of two tasks", n)
 	}
 }
@@ -190,16 +190,16 @@
 	w.hosts["w0"].Info.CPUMilli = 7000
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(200 * ms)
-	if n := w.runs("a"); n != 0 {
+	if n := w.startCount("a"); n != 0 {
 		t.Errorf("%d starts on a guess of the room", n)
 	}
-	w.list()
+	w.updateList()
 	w.run(50 * ms)
-	if n := w.runs("a"); n != 1 {
+	if n := w.startCount("a"); n != 1 {
 		t.Errorf("%d starts in a room for one", n)
 	}
 	w.run(300 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
 
 // Guards against a listing of the earlier incarnation, which came before the records, that is held against
@@ -240,8 +240,8 @@
 	late.Born, late.Revision = 7, 1000
 	w.shard.UpdateWorkers(w.now, []worker.Info{late})
 	w.run(time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 2 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 2 {
 		t.Errorf("%d runs of two tasks", n)
 	}
 }
@@ -270,8 +270,8 @@
 			w.shard.UpdateWorkers(w.now, []worker.Info{last, earlier})
 			w.shard.UpdateWorkers(w.now, []worker.Info{earlier})
 			w.run(time.Second)
-			w.want("a", submission.Done)
-			if n := w.runs("a"); births && n != 2 {
+			w.expectState("a", submission.Done)
+			if n := w.startCount("a"); births && n != 2 {
 				t.Errorf("%d runs of two tasks", n)
 			}
 		})
@@ -290,5 +290,5 @@
 	}
 	w.assign(w.submission("a", 2, runhost.Work{Time: 50 * ms}))
 	w.run(200 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
--- a/internal/kept/shard/limits_test.go
+++ b/internal/kept/shard/limits_test.go
@@ -16,11 +16,11 @@
 	rec := w.submission("a", 1, runhost.Work{Time: 50 * ms, Fails: true})
 	rec.Transient = false
 	rec.Progress.RecordOutcome(submission.Task{}, 1)
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(2 * time.Second)
-	w.want("a", submission.Failed)
-	if n := w.runs("a"); n != 1 {
+	w.expectState("a", submission.Failed)
+	if n := w.startCount("a"); n != 1 {
 		t.Errorf("%d runs, one of two allowed had failed before", n)
 	}
 }
@@ -36,14 +36,14 @@
 	rec.Steps = append(rec.Steps, second)
 	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 7})
 	w.run(60 * ms)
-	if n := w.runs("a"); n != 2 {
+	if n := w.startCount("a"); n != 2 {
 		t.Fatalf("%d starts while the first step runs, want its 2", n)
 	}
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 4 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 4 {
 		t.Errorf("%d starts of 4 tasks", n)
 	}
 }
@@ -54,7 +54,7 @@
 	w := newWorld(t, 3)
 	w.hosts["w0"].Info.Labels = []string{"fast"}
 	w.hosts["w1"].Info.Labels = []string{"fast"}
-	w.list()
+	w.updateList()
 	w.run(100 * ms)
 	rec := w.submission("a", 4, runhost.Work{Time: 100 * ms, CPUMilli: 1000})
 	rec.Steps[0].RequiredLabel = "fast"
@@ -69,5 +69,5 @@
 		t.Errorf("started on %v, want one each on w0 and w1", began)
 	}
 	w.run(time.Second)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
--- a/internal/kept/shard/overload_test.go
+++ b/internal/kept/shard/overload_test.go
@@ -12,78 +12,78 @@
 )
 
 // kind is one kind of work of a played load.
-type kind struct {
-	name     string
-	priority int
-	tasks    int
-	time     time.Duration
-	perS     float64
+type workKind struct {
+	name      string
+	priority  int
+	tasks     int
+	time      time.Duration
+	perSecond float64
 }
 
 // Three kinds as urgent callers send them: short and wide, short, long. Their demand is
 // about a fifth, a half and a quarter of the room of twelve workers of two tasks each.
-var urgentKinds = []kind{
-	{name: "check", priority: 0, tasks: 8, time: 60 * ms, perS: 9},
-	{name: "hold", priority: 1, tasks: 2, time: 200 * ms, perS: 27},
-	{name: "price", priority: 2, tasks: 4, time: 900 * ms, perS: 1.7},
+var urgentKinds = []workKind{
+	{name: "check", priority: 0, tasks: 8, time: 60 * ms, perSecond: 9},
+	{name: "hold", priority: 1, tasks: 2, time: 200 * ms, perSecond: 27},
+	{name: "price", priority: 2, tasks: 4, time: 900 * ms, perSecond: 1.7},
 }
 
 // outcome is what the callers of one kind got.
 type outcome struct{ asked, inTime, late, refused int }
 
 // played is a load on one shard, with the callers' side of it.
-type played struct {
-	w     *world
-	rng   *rand.Rand
-	due   map[submission.ID]time.Duration // end of the objective
-	kinds map[submission.ID]int
-	got   []outcome
-	n     int
+type loadRun struct {
+	w             *world
+	rng           *rand.Rand
+	objectiveEnds map[submission.ID]time.Duration // end of the objective
+	kinds         map[submission.ID]int
+	outcomes      []outcome
+	n             int
 }
 
-// playLoad plays kinds of work at some times their rate for a while, on workers with room
+// runLoad plays kinds of work at some times their rate for a while, on workers with room
 // for two tasks each. Estimates are off by up to a half either way.
-func playLoad(t *testing.T, p policy.Settings, kinds []kind, workers int, times float64, length time.Duration, seed uint64) []outcome {
+func runLoad(t *testing.T, p policy.Settings, kinds []workKind, workers int, times float64, length time.Duration, seed uint64) []outcome {
 	t.Helper()
-	l := &played{
-		w:     newWorld(t, workers),
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		due:   make(map[submission.ID]time.Duration),
-		kinds: make(map[submission.ID]int),
-		got:   make([]outcome, len(kinds)),
+	l := &loadRun{
+		w:             newWorld(t, workers),
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		objectiveEnds: make(map[submission.ID]time.Duration),
+		kinds:         make(map[submission.ID]int),
+		outcomes:      make([]outcome, len(kinds)),
 	}
 	l.w.policy = p
-	l.w.hold(2, true)
+	l.w.newHolder(2, true)
 	l.w.run(100 * ms)
 	next := make([]time.Duration, len(kinds))
 	for i := range kinds {
-		next[i] = l.w.now + l.gap(kinds[i].perS*times)
+		next[i] = l.w.now + l.nextInterval(kinds[i].perSecond*times)
 	}
 	for end := l.w.now + length; l.w.now < end; {
 		for i := range kinds {
 			for next[i] <= l.w.now {
 				l.send(i, kinds[i])
-				next[i] += l.gap(kinds[i].perS * times)
+				next[i] += l.nextInterval(kinds[i].perSecond * times)
 			}
 		}
 		l.w.step()
-		l.collect()
+		l.countEnded()
 	}
 	for range 1000 {
 		l.w.step()
-		l.collect()
+		l.countEnded()
 	}
 	if len(l.w.ledger.Faults) > 0 {
 		t.Fatalf("%v", l.w.ledger.Faults)
 	}
-	return l.got
+	return l.outcomes
 }
 
-func (l *played) gap(perS float64) time.Duration {
+func (l *loadRun) nextInterval(perS float64) time.Duration {
 	return time.Duration(l.rng.ExpFloat64() / perS * float64(time.Second))
 }
 
-func (l *played) send(i int, k kind) {
+func (l *loadRun) send(i int, k workKind) {
 	l.n++
 	id := submission.ID(fmt.Sprintf("%s-%d", k.name, l.n))
 	rec := l.w.submission(id, k.tasks, runhost.Work{Time: k.time, CPUMilli: 8000})
@@ -92,20 +92,20 @@
 	rec.Queue = k.name
 	rec.CallerTimeout = 1500*ms + 2*k.time
 	objective := rec.Terms.Objective(k.time)
-	l.due[id] = l.w.now + objective
+	l.objectiveEnds[id] = l.w.now + objective
 	l.kinds[id] = i
-	l.got[i].asked++
+	l.outcomes[i].asked++
 	l.w.assign(rec)
 }
 
 // collect counts the submissions that have ended.
-func (l *played) collect() {
-	for id, due := range l.due {
+func (l *loadRun) countEnded() {
+	for id, due := range l.objectiveEnds {
 		state := l.w.states[id]
 		if !state.Final() {
 			continue
 		}
-		o := &l.got[l.kinds[id]]
+		o := &l.outcomes[l.kinds[id]]
 		objective := due - l.w.now
 		switch {
 		case state == submission.Rejected:
@@ -115,14 +115,14 @@
 		case state == submission.Done:
 			o.late++
 		}
-		delete(l.due, id)
+		delete(l.objectiveEnds, id)
 		delete(l.w.states, id)
 	}
 }
 
 // share is the mean share of the kinds that was done in time: each kind counts the same, as
 // each takes a like share of the room.
-func share(got []outcome) float64 {
+func inTimeShare(got []outcome) float64 {
 	sum := 0.0
 	for _, o := range got {
 		sum += float64(o.inTime) / float64(max(o.asked, 1))
@@ -141,8 +141,8 @@
 	var shares [2]float64
 	for i, p := range []policy.Settings{with, without} {
 		for seed := range uint64(2) {
-			got := playLoad(t, p, urgentKinds, 12, 1.3, 8*time.Second, seed)
-			shares[i] += share(got) / 2
+			got := runLoad(t, p, urgentKinds, 12, 1.3, 8*time.Second, seed)
+			shares[i] += inTimeShare(got) / 2
 			t.Logf("bands %v: %+v", p.Bands, got)
 		}
 	}
--- a/internal/kept/shard/progress_test.go
+++ b/internal/kept/shard/progress_test.go
@@ -8,11 +8,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// sickWorld is a world of four workers whose holder starts tasks elsewhere.
-func sickWorld(t *testing.T) *world {
+// newMovingWorld is a world of four workers whose holder starts tasks elsewhere.
+func newMovingWorld(t *testing.T) *world {
 	w := newWorld(t, 4)
 	w.policy.MoveSlow = true
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.run(100 * ms)
 	return w
 }
@@ -21,15 +21,15 @@
 // it takes tasks, renews its lease and lists them, and they make no progress. Cause: only a
 // worker that does not answer was given up.
 func TestTasksThatStandStillStartElsewhere(t *testing.T) {
-	w := sickWorld(t)
+	w := newMovingWorld(t)
 	w.hung["w0"] = true
 	w.assign(w.submission("a", 6, runhost.Work{Time: 900 * ms}))
 	w.run(1600 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 	before := len(w.starts)
 	w.assign(w.submission("b", 4, runhost.Work{Time: 100 * ms}))
 	w.run(300 * ms)
-	w.want("b", submission.Done)
+	w.expectState("b", submission.Done)
 	for _, s := range w.starts[before:] {
 		if s.Worker.ID == "w0" {
 			t.Error("the worker that hangs was given another task at once")
@@ -41,11 +41,11 @@
 // slower, and has one of its tasks. Cause: it was waited for, though a start elsewhere would
 // have been done sooner.
 func TestTasksOnASlowWorkerStartElsewhere(t *testing.T) {
-	w := sickWorld(t)
-	w.slow["w0"] = 7
+	w := newMovingWorld(t)
+	w.slowdown["w0"] = 7
 	w.assign(w.submission("a", 6, runhost.Work{Time: 900 * ms}))
 	w.run(1500 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 	if len(w.stops) == 0 || len(w.stops) > 2 {
 		t.Errorf("%d tasks were moved, 2 ran on the slow worker", len(w.stops))
 	}
@@ -54,12 +54,12 @@
 // Symptom: work is thrown away on a calm day. Sequence: a caller's estimate is far too low,
 // for all tasks of a submission alike. Cause: its tasks passed for held up by their workers.
 func TestWrongEstimatesMoveNothing(t *testing.T) {
-	w := sickWorld(t)
+	w := newMovingWorld(t)
 	rec := w.submission("a", 7, runhost.Work{Time: 2 * time.Second})
 	rec.Steps[0].Estimate = 200 * ms
 	w.assign(rec)
 	w.run(2500 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 	if len(w.stops) != 0 {
 		t.Errorf("%d tasks were moved off sound workers", len(w.stops))
 	}
@@ -68,12 +68,12 @@
 // Symptom: a sound worker gets nothing for seconds. Sequence: one task stands still by its
 // own fault, beside others that go on. Cause would be: taking the worker for hung.
 func TestATaskThatStandsStillAloneIsNotItsWorkersFault(t *testing.T) {
-	w := sickWorld(t)
+	w := newMovingWorld(t)
 	w.assign(w.submission("hangs", 1, runhost.Work{Hangs: true, Time: 500 * ms}))
 	w.run(20 * ms)
 	w.assign(w.submission("goes", 7, runhost.Work{Time: time.Second}))
 	w.run(1200 * ms)
-	w.want("goes", submission.Done)
+	w.expectState("goes", submission.Done)
 	free := w.shard.Load(w.now)
 	if n := len(free.FreeMilli); n != 4 {
 		t.Errorf("%d workers have room, want all 4", n)
@@ -85,11 +85,11 @@
 // Cause: the age of the run was taken from when the hold left, so that its siblings passed
 // for many times faster.
 func TestAnswersThatWaitedTellOfTheirOwnTime(t *testing.T) {
-	w := sickWorld(t)
-	w.waits["w1"] = 250 * ms
+	w := newMovingWorld(t)
+	w.holdWait["w1"] = 250 * ms
 	w.hosts["w1"].Info.Labels = []string{"patient", "pair"}
 	w.hosts["w2"].Info.Labels = []string{"pair"}
-	w.list()
+	w.updateList()
 	w.run(300 * ms)
 	short := w.submission("short", 1, runhost.Work{Time: 40 * ms})
 	short.Steps[0].RequiredLabel = "patient"
@@ -100,9 +100,9 @@
 	pair.Steps[0].MaxPerWorker = 1
 	w.assign(pair)
 	w.hosts["w3"].Info.Labels = []string{"pair"}
-	w.list()
+	w.updateList()
 	w.run(2 * time.Second)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 	if len(w.stops) != 0 {
 		t.Errorf("%d tasks were moved off sound workers", len(w.stops))
 	}
@@ -112,7 +112,7 @@
 // takes a hundred times its estimate, so that a percent of it takes longer than the estimate.
 // Cause: progress was expected by the estimate alone.
 func TestLongWorkDoesNotStandStill(t *testing.T) {
-	w := sickWorld(t)
+	w := newMovingWorld(t)
 	rec := w.submission("a", 8, runhost.Work{Time: 50 * time.Second})
 	rec.Steps[0].Estimate = 400 * ms
 	w.assign(rec)
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -20,16 +20,16 @@
 
 // records is the store of a world: the records of submissions under their revisions, and
 // writes that may take long. A write of a holder that has been replaced fails.
-type records struct {
-	revision uint64
-	open     map[submission.ID]StoredRecord
-	final    map[submission.ID]submission.State
-	delay    time.Duration
-	writes   []recordWrite
-	noted    map[submission.TaskRef]bool // completed, and an end of it acknowledged or stored
-	failed   map[submission.TaskRef]int  // failed runs, acknowledged
-	listed   map[string][]worker.Ended   // by worker: the newest listing
-	broken   []string
+type recordStore struct {
+	revision         uint64
+	open             map[submission.ID]StoredRecord
+	final            map[submission.ID]submission.State
+	delay            time.Duration
+	writes           []recordWrite
+	ackedCompletions map[submission.TaskRef]bool // completed, and an end of it acknowledged or stored
+	ackedFailures    map[submission.TaskRef]int  // failed runs, acknowledged
+	listed           map[string][]worker.Ended   // by worker: the newest listing
+	violations       []string
 }
 
 type recordWrite struct {
@@ -41,17 +41,17 @@
 }
 
 // take carries out the acknowledgements and puts off the writes of a holder.
-func (r *records) take(w *world, a Actions) {
+func (r *recordStore) apply(w *world, a Actions) {
 	for _, s := range a.Acks {
 		for _, e := range r.listed[s.Worker] {
 			if e.Seq <= s.UpTo {
-				r.note(e)
+				r.recordEnd(e)
 			}
 		}
 		r.listed[s.Worker] = slices.DeleteFunc(r.listed[s.Worker], func(e worker.Ended) bool { return e.Seq <= s.UpTo })
 	}
 	for _, s := range a.Starts {
-		r.check(w, s)
+		r.checkStart(w, s)
 	}
 	for _, f := range a.Finals {
 		r.writes = append(r.writes, recordWrite{at: w.now + r.delay, by: w.shard, revision: f.Revision,
@@ -71,38 +71,38 @@
 	}
 }
 
-func (r *records) note(e worker.Ended) {
+func (r *recordStore) recordEnd(e worker.Ended) {
 	switch e.Reason {
 	case worker.Completed:
-		r.noted[e.Task] = true
+		r.ackedCompletions[e.Task] = true
 	case worker.Failed:
-		r.failed[e.Task]++
+		r.ackedFailures[e.Task]++
 	}
 }
 
 // check holds a start against what was acknowledged before.
-func (r *records) check(w *world, s StartAction) {
-	if r.noted[s.Task] {
-		r.broken = append(r.broken, fmt.Sprintf("%v starts after its end was acknowledged", s.Task))
+func (r *recordStore) checkStart(w *world, s StartAction) {
+	if r.ackedCompletions[s.Task] {
+		r.violations = append(r.violations, fmt.Sprintf("%v starts after its end was acknowledged", s.Task))
 	}
 	rec := r.open[s.Task.ID].Record
 	if rec == nil {
 		return // its end is stored, and the holder will hear of it
 	}
-	if r.failed[s.Task] >= rec.Terms.Attempts {
-		r.broken = append(r.broken, fmt.Sprintf("%v starts after %d failed runs", s.Task, r.failed[s.Task]))
+	if r.ackedFailures[s.Task] >= rec.Terms.Attempts {
+		r.violations = append(r.violations, fmt.Sprintf("%v starts after %d failed runs", s.Task, r.ackedFailures[s.Task]))
 	}
 	for _, before := range rec.Steps[s.Task.Step].DependsOn {
 		for i := range rec.Steps[before].Count {
 			if w.ledger.Done(submission.TaskRef{ID: rec.ID, Task: submission.Task{Step: before, Index: i}}) == 0 {
-				r.broken = append(r.broken, fmt.Sprintf("%v starts before %d.%d is done", s.Task, before, i))
+				r.violations = append(r.violations, fmt.Sprintf("%v starts before %d.%d is done", s.Task, before, i))
 			}
 		}
 	}
 }
 
 // write carries out a write if its record is unchanged and its holder not replaced.
-func (r *records) write(w *world, o recordWrite) {
+func (r *recordStore) write(w *world, o recordWrite) {
 	if o.by != w.shard {
 		return
 	}
@@ -121,35 +121,35 @@
 	w.shard.ProgressSaved(w.now, id, r.revision)
 }
 
-func (r *records) end(id submission.ID, state submission.State) {
+func (r *recordStore) end(id submission.ID, state submission.State) {
 	delete(r.open, id)
 	r.final[id] = state
 }
 
 // play is a world whose submissions are stored, and what has been submitted.
-type play struct {
+type randomPlay struct {
 	*world
-	made map[submission.ID]runhost.Work
+	submitted map[submission.ID]runhost.Work
 }
 
-func newPlay(t *testing.T) *play {
+func newPlay(t *testing.T) *randomPlay {
 	w := newWorld(t, 3)
-	w.records = &records{
-		open:   make(map[submission.ID]StoredRecord),
-		final:  make(map[submission.ID]submission.State),
-		noted:  make(map[submission.TaskRef]bool),
-		failed: make(map[submission.TaskRef]int),
-		listed: make(map[string][]worker.Ended),
+	w.records = &recordStore{
+		open:             make(map[submission.ID]StoredRecord),
+		final:            make(map[submission.ID]submission.State),
+		ackedCompletions: make(map[submission.TaskRef]bool),
+		ackedFailures:    make(map[submission.TaskRef]int),
+		listed:           make(map[string][]worker.Ended),
 	}
-	return &play{world: w, made: make(map[submission.ID]runhost.Work)}
+	return &randomPlay{world: w, submitted: make(map[submission.ID]runhost.Work)}
 }
 
 // act is one random event: op says what happens, n how much of it.
-type act struct{ Op, N int }
+type event struct{ Op, N int }
 
-var reflectAct = reflect.TypeOf(act{})
+var reflectAct = reflect.TypeOf(event{})
 
-func (p *play) do(a act) {
+func (p *randomPlay) apply(a event) {
 	workers := slices.Sorted(maps.Keys(p.hosts))
 	id := workers[a.N%len(workers)]
 	switch a.Op {
@@ -158,20 +158,20 @@
 	case 3:
 		p.takeOver(a.N%2 == 0)
 	case 4:
-		p.rebirth(id)
+		p.replaceWorker(id)
 	case 13:
 		p.hosts[id].Crash()
-		p.back[id] = p.now
+		p.restartAt[id] = p.now
 	case 5:
-		p.cut[id] = !p.cut[id]
+		p.unreachable[id] = !p.unreachable[id]
 	case 6:
-		p.silent = func(s StartAction) bool { return (s.Task.Index+a.N)%3 == 0 }
+		p.losesStartReply = func(s StartAction) bool { return (s.Task.Index+a.N)%3 == 0 }
 	case 7:
-		p.late = func(s StartAction) time.Duration {
+		p.startDelay = func(s StartAction) time.Duration {
 			return time.Duration((s.Task.Index+a.N)%2) * 300 * ms
 		}
 	case 8:
-		p.silent, p.late = nil, nil
+		p.losesStartReply, p.startDelay = nil, nil
 	case 9:
 		p.cancel(a.N)
 	case 10:
@@ -183,21 +183,21 @@
 			p.hosts[id].Crash()
 		}
 	}
-	p.pass(time.Duration(a.N%7) * 40 * ms)
+	p.advance(time.Duration(a.N%7) * 40 * ms)
 }
 
-func (p *play) pass(d time.Duration) {
+func (p *randomPlay) advance(d time.Duration) {
 	for end := p.now + d; p.now < end; {
 		p.step()
 	}
 }
 
-func (p *play) submit(n int) {
+func (p *randomPlay) submit(n int) {
 	p.submitWork(n, runhost.Work{Time: time.Duration(20+n%5*60) * ms, Fails: n%4 == 0})
 }
 
-func (p *play) submitWork(n int, work runhost.Work) {
-	id := submission.ID(fmt.Sprintf("s%d", len(p.made)))
+func (p *randomPlay) submitWork(n int, work runhost.Work) {
+	id := submission.ID(fmt.Sprintf("s%d", len(p.submitted)))
 	rec := p.submission(id, 1+n%4, work)
 	rec.Transient = false
 	for i := range n % 3 {
@@ -206,7 +206,7 @@
 		step.DependsOn = []int{i}
 		rec.Steps = append(rec.Steps, step)
 	}
-	p.made[id] = p.works[id]
+	p.submitted[id] = p.workOf[id]
 	p.records.revision++
 	s := StoredRecord{Record: rec, Revision: p.records.revision}
 	p.records.open[id] = s
@@ -214,8 +214,8 @@
 }
 
 // takeOver replaces the holder; a clean one has certainly ended.
-func (p *play) takeOver(clean bool) {
-	p.hold(p.shard.Token()+1, clean)
+func (p *randomPlay) takeOver(clean bool) {
+	p.newHolder(p.shard.Token()+1, clean)
 	var all []StoredRecord
 	for _, id := range slices.Sorted(maps.Keys(p.records.open)) {
 		s := p.records.open[id]
@@ -229,21 +229,21 @@
 }
 
 // rebirth ends a worker's life; another begins at its address.
-func (p *play) rebirth(id string) {
-	p.noteEnded(id)
+func (p *randomPlay) replaceWorker(id string) {
+	p.recordEnded(id)
 	address := p.hosts[id].Info.Address
 	p.hosts[id].Crash()
 	delete(p.hosts, id)
-	delete(p.cut, id)
-	delete(p.back, id)
+	delete(p.unreachable, id)
+	delete(p.restartAt, id)
 	delete(p.records.listed, id)
-	p.lives++
-	p.addHost(fmt.Sprintf("%s-%d", id[:2], p.lives), address)
-	p.hosts[fmt.Sprintf("%s-%d", id[:2], p.lives)].Info.Revision += uint64(p.lives)
-	p.list()
+	p.restarts++
+	p.addHost(fmt.Sprintf("%s-%d", id[:2], p.restarts), address)
+	p.hosts[fmt.Sprintf("%s-%d", id[:2], p.restarts)].Info.Revision += uint64(p.restarts)
+	p.updateList()
 }
 
-func (p *play) cancel(n int) {
+func (p *randomPlay) cancel(n int) {
 	for i, id := range slices.Sorted(maps.Keys(p.records.open)) {
 		if i == n%3 {
 			p.records.end(id, submission.Cancelled)
@@ -253,10 +253,10 @@
 	}
 }
 
-// endedUnder is the most workers whose lives have ended under one task of a submission.
-func (p *play) endedUnder(id submission.ID) int {
+// maxWorkersEnded is the most workers whose lives have ended under one task of a submission.
+func (p *randomPlay) maxWorkersEnded(id submission.ID) int {
 	most := 0
-	for ref, workers := range p.ended {
+	for ref, workers := range p.endedUnder {
 		if ref.ID == id {
 			most = max(most, len(workers))
 		}
@@ -265,20 +265,20 @@
 }
 
 // finish lets all faults end and returns what is wrong then.
-func (p *play) finish() error {
-	p.silent, p.late = nil, nil
+func (p *randomPlay) settleAndCheck() error {
+	p.losesStartReply, p.startDelay = nil, nil
 	p.records.delay = 0
-	clear(p.cut)
-	p.pass(20 * time.Second)
-	if wrong := append(p.records.broken, p.ledger.Faults...); len(wrong) > 0 {
+	clear(p.unreachable)
+	p.advance(20 * time.Second)
+	if wrong := append(p.records.violations, p.ledger.Faults...); len(wrong) > 0 {
 		return fmt.Errorf("%v", wrong)
 	}
-	for id, work := range p.made {
+	for id, work := range p.submitted {
 		state, ended := p.records.final[id]
 		switch {
 		case !ended:
 			return fmt.Errorf("%s has not ended, it is %s", id, p.states[id])
-		case state == submission.Failed && !work.Fails && !work.Crashes && p.endedUnder(id) < 2:
+		case state == submission.Failed && !work.Fails && !work.Crashes && p.maxWorkersEnded(id) < 2:
 			return fmt.Errorf("%s has failed, its tasks do not, and no two workers have crashed under one", id)
 		case state == submission.Done && (work.Fails || work.Crashes):
 			return fmt.Errorf("%s is done, its tasks do not complete", id)
@@ -309,13 +309,13 @@
 		"Op": gen.IntRange(0, 13),
 		"N":  gen.IntRange(0, 1000),
 	}))
-	properties.Property("each task once, in order, to the end", prop.ForAll(func(acts []act) (bool, error) {
+	properties.Property("each task once, in order, to the end", prop.ForAll(func(acts []event) (bool, error) {
 		p := newPlay(t)
-		p.pass(100 * ms)
+		p.advance(100 * ms)
 		for _, a := range acts {
-			p.do(a)
+			p.apply(a)
 		}
-		err := p.finish()
+		err := p.settleAndCheck()
 		return err == nil, err
 	}, acts))
 	properties.TestingRun(t)
--- a/internal/kept/shard/room_test.go
+++ b/internal/kept/shard/room_test.go
@@ -16,17 +16,17 @@
 	for _, h := range w.hosts {
 		h.Unguarded = true
 	}
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.run(100 * ms)
 	return w
 }
 
-// setRoom changes the room of a worker, and what it says of itself.
-func (w *world) setRoom(id string, milli int64) {
+// setCapacity changes the room of a worker, and what it says of itself.
+func (w *world) setCapacity(id string, milli int64) {
 	w.revision++
 	w.hosts[id].Info.CPUMilli = milli
 	w.hosts[id].Info.Revision += 1000 * w.revision
-	w.list()
+	w.updateList()
 }
 
 // Guards against starts beyond a room that has shrunk, and against room that is not used when it has grown.
@@ -34,36 +34,36 @@
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("first", 1, runhost.Work{Time: 300 * ms}))
 	w.run(20 * ms)
-	w.setRoom("w0", 7000)
+	w.setCapacity("w0", 7000)
 	w.assign(w.submission("second", 1, runhost.Work{Time: 300 * ms}))
 	w.run(200 * ms)
-	if n := w.runs("second"); n != 0 {
+	if n := w.startCount("second"); n != 0 {
 		t.Errorf("%d starts beyond the room", n)
 	}
-	w.setRoom("w0", 0)
+	w.setCapacity("w0", 0)
 	w.run(200 * ms)
-	w.want("first", submission.Done)
-	if n := w.runs("second"); n != 0 {
+	w.expectState("first", submission.Done)
+	if n := w.startCount("second"); n != 0 {
 		t.Errorf("%d starts without any room", n)
 	}
-	w.setRoom("w0", 16000)
+	w.setCapacity("w0", 16000)
 	w.run(400 * ms)
-	w.want("second", submission.Done)
+	w.expectState("second", submission.Done)
 }
 
 // Guards against a late report of a larger room that undoes a newer one.
 func TestLateReportOfALargerRoomIsIgnored(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	old := w.hosts["w0"].Info
-	w.setRoom("w0", 7000)
+	w.setCapacity("w0", 7000)
 	w.shard.UpdateWorkers(w.now, []worker.Info{old})
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
-	if n := w.runs("a"); n != 1 {
+	if n := w.startCount("a"); n != 1 {
 		t.Errorf("%d starts in a room for one", n)
 	}
 	w.run(200 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
 
 // Guards against starts beyond the room by a new holder that does not know what runs there.
@@ -71,10 +71,10 @@
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("before", 2, runhost.Work{Time: 2 * time.Second}))
 	w.run(50 * ms)
-	w.hold(3, true)
-	w.assign(w.stored("after", 2, runhost.Work{Time: 100 * ms}))
+	w.newHolder(3, true)
+	w.assign(w.storedSubmission("after", 2, runhost.Work{Time: 100 * ms}))
 	w.run(3 * time.Second)
-	w.want("after", submission.Done)
+	w.expectState("after", submission.Done)
 }
 
 // Guards against room that is given again while a run there is being stopped.
@@ -85,5 +85,5 @@
 	w.shard.Cancel(w.now, "a")
 	w.assign(w.submission("b", 2, runhost.Work{Time: 50 * ms}))
 	w.run(300 * ms)
-	w.want("b", submission.Done)
+	w.expectState("b", submission.Done)
 }
--- a/internal/kept/shard/shard_test.go
+++ b/internal/kept/shard/shard_test.go
@@ -14,8 +14,8 @@
 	w.run(100 * ms)
 	w.assign(w.submission("a", 6, runhost.Work{Time: 100 * ms}))
 	w.run(150 * ms)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 6 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 6 {
 		t.Errorf("%d starts of 6 tasks", n)
 	}
 	w.run(100 * ms)
@@ -29,8 +29,8 @@
 	w.run(100 * ms)
 	w.assign(w.submission("a", 1, runhost.Work{Time: 50 * ms, Fails: true}))
 	w.run(time.Second)
-	w.want("a", submission.Failed)
-	if n := w.runs("a"); n != 2 {
+	w.expectState("a", submission.Failed)
+	if n := w.startCount("a"); n != 2 {
 		t.Errorf("%d runs, the queue allows 2", n)
 	}
 }
@@ -45,11 +45,11 @@
 	rec := w.submission("a", 3, runhost.Work{Time: 600 * ms})
 	w.assign(rec)
 	w.run(100 * ms)
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.shard.Resume(w.now, rec)
 	w.run(time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 3 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 3 {
 		t.Errorf("%d starts of 3 tasks: the runs were not adopted", n)
 	}
 }
@@ -62,12 +62,12 @@
 	rec := w.submission("a", 3, runhost.Work{Time: 900 * ms})
 	w.assign(rec)
 	w.run(100 * ms)
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.run(300 * ms)
 	w.shard.Resume(w.now, rec)
 	w.run(time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 3 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 3 {
 		t.Errorf("%d starts of 3 tasks: the runs were not adopted", n)
 	}
 }
@@ -82,13 +82,13 @@
 	rec.Steps[0].Estimate = 5 * time.Second
 	w.assign(rec)
 	w.run(100 * ms)
-	w.hold(2, true)
+	w.newHolder(2, true)
 	for len(w.stops) == 0 {
 		w.step()
 	}
 	w.shard.Resume(w.now, rec)
 	w.run(7 * time.Second)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
 
 // Symptom: one task runs twice at once. Sequence: the store was down and the list of
@@ -101,7 +101,7 @@
 	w.assign(rec)
 	w.run(100 * ms)
 	w.shard = New(w.now, DefaultSettings(), 2, w.now+1100*ms)
-	clear(w.seen)
+	clear(w.ackedEnds)
 	var known []worker.Info
 	for _, h := range w.hosts {
 		known = append(known, h.Info)
@@ -111,8 +111,8 @@
 	w.shard.AddRecords(w.now, nil)
 	w.shard.Resume(w.now, rec)
 	w.run(1500 * ms)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 6 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 6 {
 		t.Errorf("%d starts of 6 tasks", n)
 	}
 }
@@ -135,8 +135,8 @@
 	w.run(100 * ms)
 	w.shard.UpdateWorkers(w.now, both)
 	w.run(time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 2 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 2 {
 		t.Errorf("%d starts of 2 tasks", n)
 	}
 }
@@ -146,12 +146,12 @@
 func TestLostAnswerToAStart(t *testing.T) {
 	w := newWorld(t, 2)
 	lost := 0
-	w.silent = func(StartAction) bool { lost++; return lost%2 == 1 }
+	w.losesStartReply = func(StartAction) bool { lost++; return lost%2 == 1 }
 	w.run(100 * ms)
 	w.assign(w.submission("a", 4, runhost.Work{Time: 200 * ms}))
 	w.run(2 * time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 4 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 4 {
 		t.Errorf("%d starts of 4 tasks: runs that began were not found", n)
 	}
 }
@@ -162,7 +162,7 @@
 func TestLateStart(t *testing.T) {
 	w := newWorld(t, 2)
 	first := true
-	w.late = func(StartAction) time.Duration {
+	w.startDelay = func(StartAction) time.Duration {
 		if !first {
 			return 0
 		}
@@ -172,8 +172,8 @@
 	w.run(100 * ms)
 	w.assign(w.submission("a", 1, runhost.Work{Time: 500 * ms}))
 	w.run(2 * time.Second)
-	w.want("a", submission.Done)
-	if n := w.runs("a"); n != 1 {
+	w.expectState("a", submission.Done)
+	if n := w.startCount("a"); n != 1 {
 		t.Errorf("%d starts of one task", n)
 	}
 }
@@ -186,11 +186,11 @@
 	rec := w.submission("a", 4, runhost.Work{Time: 3 * time.Second})
 	w.assign(rec)
 	w.run(100 * ms)
-	w.cut["w0"] = true
+	w.unreachable["w0"] = true
 	w.run(6 * time.Second)
-	w.cut["w0"] = false
+	w.unreachable["w0"] = false
 	w.run(3 * time.Second)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 }
 
 // Symptom: one task runs twice at once. Sequence: a home is lost; its caller sends the
@@ -223,7 +223,7 @@
 	w.run(100 * ms)
 	w.assign(w.submission("a", 1, runhost.Work{Time: 50 * ms, Hangs: true}))
 	w.run(50 * ms)
-	w.cut["w0"] = true
+	w.unreachable["w0"] = true
 	w.run(4 * time.Second)
 	if w.states["a"] == submission.Rejected {
 		t.Error("rejected though a task of it has started")
@@ -237,8 +237,8 @@
 	w.run(20 * ms)
 	w.assign(w.submission("short", 1, runhost.Work{Time: 60 * ms}))
 	w.run(600 * ms)
-	w.want("short", submission.Rejected)
-	if w.runs("short") != 0 {
+	w.expectState("short", submission.Rejected)
+	if w.startCount("short") != 0 {
 		t.Error("it was rejected and has run")
 	}
 }
@@ -247,10 +247,10 @@
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	w.hosts["w0"].Info.Leaving = true
-	w.list()
+	w.updateList()
 	w.assign(w.submission("a", 4, runhost.Work{Time: 50 * ms}))
 	w.run(300 * ms)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 	for _, s := range w.starts {
 		if s.Worker.ID == "w0" {
 			t.Fatal("a task was started on a worker that leaves")
@@ -267,17 +267,17 @@
 	rec.Transient = false
 	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 7})
 	w.run(200 * ms)
-	if w.seen["w0"]+w.seen["w1"] != 0 {
+	if w.ackedEnds["w0"]+w.ackedEnds["w1"] != 0 {
 		t.Error("an end was acknowledged before anything of it was stored")
 	}
-	w.hold(2, true)
+	w.newHolder(2, true)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
 	w.run(time.Second)
-	w.want("a", submission.Done)
+	w.expectState("a", submission.Done)
 	if w.finals["a"] != submission.Done {
 		t.Error("its end was not stored")
 	}
-	if n := w.runs("a"); n != 4 {
+	if n := w.startCount("a"); n != 4 {
 		t.Errorf("%d starts of 4 tasks", n)
 	}
 }
@@ -293,17 +293,17 @@
 	rec.Serial = 7
 	w.assign(rec)
 	w.run(600 * ms)
-	w.want("short", submission.Rejected)
+	w.expectState("short", submission.Rejected)
 	w.assign(rec)
 	w.run(3 * time.Second)
-	if w.runs("short") != 0 {
+	if w.startCount("short") != 0 {
 		t.Error("it was rejected and has run")
 	}
 	again := *rec
 	again.Serial = 8 // its caller has sent it again
 	w.assign(&again)
 	w.run(300 * ms)
-	w.want("short", submission.Done)
+	w.expectState("short", submission.Done)
 }
 
 // Symptom: submissions are refused while workers are free. Sequence: some submissions with
--- a/internal/kept/shard/takeback_test.go
+++ b/internal/kept/shard/takeback_test.go
@@ -24,17 +24,17 @@
 	parameters.Rng.Seed(23)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("a part that is rejected never ran and never runs under that serial", prop.ForAll(
-		func(seed uint64) bool { return playTakeBack(t, seed) }, gen.UInt64()))
+		func(seed uint64) bool { return runRecalls(t, seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// playTakeBack gives parts to a crowded shard, takes them back at random moments, and
+// runRecalls gives parts to a crowded shard, takes them back at random moments, and
 // reports whether each rejection was true.
-func playTakeBack(t *testing.T, seed uint64) bool {
+func runRecalls(t *testing.T, seed uint64) bool {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	w := newWorld(t, 2)
-	w.silent = func(StartAction) bool { return rng.IntN(5) == 0 }
-	w.late = func(StartAction) time.Duration {
+	w.losesStartReply = func(StartAction) bool { return rng.IntN(5) == 0 }
+	w.startDelay = func(StartAction) time.Duration {
 		if rng.IntN(6) == 0 {
 			return time.Duration(rng.IntN(2000)) * ms
 		}
@@ -52,7 +52,7 @@
 		id := submission.ID(fmt.Sprint("part-", rng.IntN(12)))
 		if rng.IntN(8) == 0 {
 			w.shard.Recall(w.now, id)
-			w.carryOut()
+			w.execute()
 		}
 		w.step()
 		for id, state := range w.states {
@@ -61,7 +61,7 @@
 	}
 	w.run(3 * time.Second)
 	for id := range rejected {
-		if rejected[id] && w.runs(id) > 0 {
+		if rejected[id] && w.startCount(id) > 0 {
 			t.Logf("seed %d: %s was rejected and has run", seed, id)
 			return false
 		}
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -21,47 +21,47 @@
 // world is a shard with stand-in workers, on a clock of its own. Orders are carried
 // out at once; holds are made at each tick.
 type world struct {
-	t       *testing.T
-	now     time.Duration
-	ledger  *runhost.Ledger
-	hosts   map[string]*runhost.Host
-	cut     map[string]bool // workers that no order reaches
-	shard   *Shard
-	seen    map[string]uint64
-	answers map[string]time.Duration // of the newest answered hold of each worker
-	states  map[submission.ID]submission.State
-	finals  map[submission.ID]submission.State
-	starts  []StartAction
-	stops   []StopAction
-	works   map[submission.ID]runhost.Work
-	hung    map[string]bool // workers on which tasks stand still
-	slow    map[string]int  // by how many times tasks take longer at a worker
-	policy  policy.Settings
-	waits   map[string]time.Duration // for an end, before a worker answers a hold
-	left    map[string]time.Duration // when the hold left that waits at a worker
+	t              *testing.T
+	now            time.Duration
+	ledger         *runhost.Ledger
+	hosts          map[string]*runhost.Host
+	unreachable    map[string]bool // workers that no order reaches
+	shard          *Shard
+	ackedEnds      map[string]uint64
+	lastAnsweredAt map[string]time.Duration // of the newest answered hold of each worker
+	states         map[submission.ID]submission.State
+	finals         map[submission.ID]submission.State
+	starts         []StartAction
+	stops          []StopAction
+	workOf         map[submission.ID]runhost.Work
+	hung           map[string]bool // workers on which tasks stand still
+	slowdown       map[string]int  // by how many times tasks take longer at a worker
+	policy         policy.Settings
+	holdWait       map[string]time.Duration // for an end, before a worker answers a hold
+	holdSentAt     map[string]time.Duration // when the hold left that waits at a worker
 	// silent decides that the answer to a start is lost, though it was carried out.
-	silent func(StartAction) bool
+	losesStartReply func(StartAction) bool
 	// late decides that a start has no answer and is carried out later.
-	late    func(StartAction) time.Duration
-	pending []pendingStart
-	records *records // nil: all writes are done at once
+	startDelay    func(StartAction) time.Duration
+	pendingStarts []pendingStart
+	records       *recordStore // nil: all writes are done at once
 
 	unguarded bool // workers start whatever they are told to
 	revision  uint64
 	// back is when a worker that has crashed starts again, by its address.
-	back  map[string]time.Duration
-	lives int
+	restartAt map[string]time.Duration
+	restarts  int
 	// born is the start of the incarnation that the holder speaks to, by worker, if it is known; silent
 	// holds are those that had no answer.
-	born       map[string]int64
-	unanswered map[string]bool
+	knownBorn  map[string]int64
+	missedHold map[string]bool
 	// ended are the workers whose lives have ended while a task was there as far as the holder could know:
 	// an order may not have come, or the run may have lapsed behind a cut.
-	ended map[submission.TaskRef]map[string]bool
+	endedUnder map[submission.TaskRef]map[string]bool
 }
 
-// crashFor is how long a worker that has crashed is down.
-const crashFor = 2 * time.Second
+// crashDowntime is how long a worker that has crashed is down.
+const crashDowntime = 2 * time.Second
 
 type pendingStart struct {
 	at     time.Duration
@@ -71,46 +71,46 @@
 
 func newWorld(t *testing.T, workers int) *world {
 	w := &world{
-		t:       t,
-		now:     time.Hour,
-		ledger:  runhost.NewLedger(),
-		hosts:   make(map[string]*runhost.Host),
-		cut:     make(map[string]bool),
-		seen:    make(map[string]uint64),
-		answers: make(map[string]time.Duration),
-		states:  make(map[submission.ID]submission.State),
-		finals:  make(map[submission.ID]submission.State),
-		works:   make(map[submission.ID]runhost.Work),
-		hung:    make(map[string]bool),
-		slow:    make(map[string]int),
-		left:    make(map[string]time.Duration),
-		waits:   make(map[string]time.Duration),
-		policy:  policy.Defaults(),
-		back:    make(map[string]time.Duration),
-		ended:   make(map[submission.TaskRef]map[string]bool),
+		t:              t,
+		now:            time.Hour,
+		ledger:         runhost.NewLedger(),
+		hosts:          make(map[string]*runhost.Host),
+		unreachable:    make(map[string]bool),
+		ackedEnds:      make(map[string]uint64),
+		lastAnsweredAt: make(map[string]time.Duration),
+		states:         make(map[submission.ID]submission.State),
+		finals:         make(map[submission.ID]submission.State),
+		workOf:         make(map[submission.ID]runhost.Work),
+		hung:           make(map[string]bool),
+		slowdown:       make(map[string]int),
+		holdSentAt:     make(map[string]time.Duration),
+		holdWait:       make(map[string]time.Duration),
+		policy:         policy.Defaults(),
+		restartAt:      make(map[string]time.Duration),
+		endedUnder:     make(map[submission.TaskRef]map[string]bool),
 
-		born:       make(map[string]int64),
-		unanswered: make(map[string]bool),
+		knownBorn:  make(map[string]int64),
+		missedHold: make(map[string]bool),
 	}
 	for i := range workers {
 		w.addHost(fmt.Sprintf("w%d", i), fmt.Sprintf("10.0.0.%d:80", i))
 	}
-	w.hold(1, true)
+	w.newHolder(1, true)
 	return w
 }
 
 func (w *world) addHost(id, address string) {
 	info := worker.Info{ID: id, Born: int64(w.now/ms) + 1, Service: "desk", Address: address, Domain: "a", CPUMilli: 16000, MemMB: 65536, Revision: uint64(len(w.hosts) + 1)}
 	w.hosts[id] = runhost.New(info, w.ledger, func(s worker.Start) runhost.Work {
-		work := w.works[s.Task.ID]
+		work := w.workOf[s.Task.ID]
 		work.Hangs = work.Hangs || w.hung[id]
-		work.Time *= time.Duration(max(w.slow[id], 1))
+		work.Time *= time.Duration(max(w.slowdown[id], 1))
 		return work
 	})
 }
 
 // hold makes a new holder of the shard, which knows nothing.
-func (w *world) hold(token uint64, clean bool) {
+func (w *world) newHolder(token uint64, clean bool) {
 	barrier := w.now + 1100*ms
 	if !clean {
 		barrier += 9 * time.Second
@@ -119,12 +119,12 @@
 	settings.Policy = w.policy
 	settings.EnforcesCapacity = func(string) bool { return !w.unguarded }
 	w.shard = New(w.now, settings, token, barrier)
-	clear(w.seen)
-	w.list()
+	clear(w.ackedEnds)
+	w.updateList()
 	w.shard.AddRecords(w.now, nil)
 }
 
-func (w *world) list() {
+func (w *world) updateList() {
 	var infos []worker.Info
 	for _, h := range w.hosts {
 		infos = append(infos, h.Info)
@@ -137,7 +137,7 @@
 	if work.CPUMilli == 0 {
 		work.CPUMilli = 6800
 	}
-	w.works[id] = work
+	w.workOf[id] = work
 	return &submission.Record{
 		ID:        id,
 		Queue:     "q",
@@ -162,21 +162,21 @@
 
 func (w *world) step() {
 	w.now += testTick
-	for _, p := range w.pending {
-		if h := w.hosts[p.worker]; h != nil && !h.Crashed() && p.at <= w.now && !w.unmet(h) {
+	for _, p := range w.pendingStarts {
+		if h := w.hosts[p.worker]; h != nil && !h.Crashed() && p.at <= w.now && !w.isUnknownToHolder(h) {
 			h.Start(w.now, p.order)
 		}
 	}
-	w.pending = slices.DeleteFunc(w.pending, func(p pendingStart) bool { return p.at <= w.now })
+	w.pendingStarts = slices.DeleteFunc(w.pendingStarts, func(p pendingStart) bool { return p.at <= w.now })
 	for _, id := range slices.Sorted(maps.Keys(w.hosts)) {
 		w.hosts[id].Advance(w.now)
 	}
 	w.restartCrashed()
 	for _, id := range w.shard.WorkerIDs() {
-		w.holdWorker(id)
+		w.sendHold(id)
 	}
 	w.shard.Tick(w.now)
-	w.carryOut()
+	w.execute()
 }
 
 // restartCrashed begins the next lives of workers that have crashed some time ago.
@@ -187,39 +187,39 @@
 		if !h.Crashed() {
 			continue
 		}
-		at, known := w.back[id]
-		w.noteEnded(id)
+		at, known := w.restartAt[id]
+		w.recordEnded(id)
 		switch {
 		case !known:
-			w.back[id] = w.now + crashFor
+			w.restartAt[id] = w.now + crashDowntime
 		case w.now >= at:
-			delete(w.back, id)
+			delete(w.restartAt, id)
 			delete(w.hosts, id)
-			w.lives++
+			w.restarts++
 			next := id
-			if w.lives%2 == 0 {
-				next = fmt.Sprintf("%s-%d", id[:2], w.lives)
+			if w.restarts%2 == 0 {
+				next = fmt.Sprintf("%s-%d", id[:2], w.restarts)
 			}
 			w.addHost(next, h.Info.Address)
 			w.hosts[next].ClockAhead = time.Second - w.now
-			w.hosts[next].Info.Revision += uint64(1000 + w.lives)
-			listed = listed || next != id || w.lives%4 == 1 // the others write their entries later
+			w.hosts[next].Info.Revision += uint64(1000 + w.restarts)
+			listed = listed || next != id || w.restarts%4 == 1 // the others write their entries later
 		}
 	}
 	if listed {
-		w.list()
+		w.updateList()
 	}
 }
 
 // unmet reports whether the holder has not heard of a worker's incarnation, which has the ID of an earlier
 // one. Nothing can keep an order for that one from being carried out there until then.
-func (w *world) unmet(h *runhost.Host) bool {
-	born, known := w.born[h.Info.ID]
+func (w *world) isUnknownToHolder(h *runhost.Host) bool {
+	born, known := w.knownBorn[h.Info.ID]
 	return known && born != h.Info.Born
 }
 
-// noteEnded notes the tasks that a worker's life ends under.
-func (w *world) noteEnded(id string) {
+// recordEnded notes the tasks that a worker's life ends under.
+func (w *world) recordEnded(id string) {
 	name := id
 	if h := w.hosts[id]; h != nil {
 		name = h.Info.Incarnation().String()
@@ -230,59 +230,59 @@
 			for _, l := range t.losses {
 				under = under || l.Worker == name
 			}
-			if under && w.ended[t.ref] == nil {
-				w.ended[t.ref] = make(map[string]bool)
+			if under && w.endedUnder[t.ref] == nil {
+				w.endedUnder[t.ref] = make(map[string]bool)
 			}
 			if under {
-				w.ended[t.ref][name] = true
+				w.endedUnder[t.ref][name] = true
 			}
 		}
 	}
 }
 
 // reach returns a worker that answers; nil: it does not.
-func (w *world) reach(id string) *runhost.Host {
+func (w *world) answering(id string) *runhost.Host {
 	h := w.hosts[id]
-	if h == nil || w.cut[id] || h.Crashed() {
+	if h == nil || w.unreachable[id] || h.Crashed() {
 		return nil
 	}
 	return h
 }
 
-func (w *world) holdWorker(id string) {
-	h := w.reach(id)
-	w.follow(id)
+func (w *world) sendHold(id string) {
+	h := w.answering(id)
+	w.followIncarnation(id)
 	if h == nil {
-		w.unanswered[id] = true
-		if last, answered := w.answers[id]; answered && w.now-last > 1100*ms {
+		w.missedHold[id] = true
+		if last, answered := w.lastAnsweredAt[id]; answered && w.now-last > 1100*ms {
 			w.shard.WorkerLeaseExpired(w.now, id)
 		}
 		return
 	}
 	sent := w.now
-	if w.waits[id] > 0 {
-		if left, waiting := w.left[id]; waiting && w.now-left < w.waits[id] && !h.HasEnded() {
+	if w.holdWait[id] > 0 {
+		if left, waiting := w.holdSentAt[id]; waiting && w.now-left < w.holdWait[id] && !h.HasEnded() {
 			return
 		}
-		if left, waiting := w.left[id]; waiting {
+		if left, waiting := w.holdSentAt[id]; waiting {
 			sent = left
 		}
-		w.left[id] = w.now
+		w.holdSentAt[id] = w.now
 	}
-	order := worker.Hold{Token: w.shard.Token(), AckedEnd: w.seen[id], Deadline: w.now + h.ClockAhead + time.Second}
-	if w.unanswered[id] {
+	order := worker.Hold{Token: w.shard.Token(), AckedEnd: w.ackedEnds[id], Deadline: w.now + h.ClockAhead + time.Second}
+	if w.missedHold[id] {
 		order.AckedEnd = 0
 	}
 	l, r := h.Hold(w.now, order)
-	if known := w.born[id]; known > 0 && r.Born > known {
+	if known := w.knownBorn[id]; known > 0 && r.Born > known {
 		info, _ := w.shard.WorkerInfo(id)
 		w.shard.WorkerRestarted(w.now, info, worker.Incarnation{ID: id, Born: r.Born})
-		w.follow(id)
+		w.followIncarnation(id)
 		return
 	}
 	if r.Verdict == worker.Accepted {
-		w.unanswered[id] = false
-		w.answers[id] = w.now
+		w.missedHold[id] = false
+		w.lastAnsweredAt[id] = w.now
 		if w.records != nil {
 			w.records.listed[id] = slices.Clone(l.Ended)
 		}
@@ -291,30 +291,30 @@
 }
 
 // follow has the holder speak to the incarnation of a worker that its shard knows.
-func (w *world) follow(id string) {
+func (w *world) followIncarnation(id string) {
 	info, _ := w.shard.WorkerInfo(id)
-	if w.born[id] == info.Born {
+	if w.knownBorn[id] == info.Born {
 		return
 	}
-	w.born[id] = info.Born
-	delete(w.seen, id)
-	delete(w.left, id)
-	delete(w.answers, id)
+	w.knownBorn[id] = info.Born
+	delete(w.ackedEnds, id)
+	delete(w.holdSentAt, id)
+	delete(w.lastAnsweredAt, id)
 	if w.records != nil {
 		delete(w.records.listed, id)
 	}
 }
 
-func (w *world) carryOut() {
+func (w *world) execute() {
 	a := w.shard.TakeActions()
 	for _, s := range a.Acks {
-		w.seen[s.Worker] = s.UpTo
+		w.ackedEnds[s.Worker] = s.UpTo
 	}
 	for _, s := range a.States {
 		w.states[s.ID] = s.State
 	}
 	if w.records != nil {
-		w.records.take(w, a)
+		w.records.apply(w, a)
 		a.Finals, a.Saves = nil, nil
 	}
 	for _, f := range a.Finals {
@@ -325,43 +325,43 @@
 		w.shard.ProgressSaved(w.now, s.Record.ID, s.Revision+1)
 	}
 	for _, s := range a.Starts {
-		w.start(s)
+		w.sendStart(s)
 	}
 	for _, s := range a.Stops {
-		w.stop(s)
+		w.sendStop(s)
 	}
 }
 
-func (w *world) start(s StartAction) {
+func (w *world) sendStart(s StartAction) {
 	w.starts = append(w.starts, s)
 	id := s.Worker.ID
 	order := worker.Start{Task: s.Task, Run: s.Run, Token: w.shard.Token(), Deadline: w.now + 700*ms}
-	if h := w.hosts[id]; h != nil && !w.unmet(h) {
+	if h := w.hosts[id]; h != nil && !w.isUnknownToHolder(h) {
 		order.Deadline += h.ClockAhead
 	}
 	silence := worker.Reply{Verdict: worker.NoAnswer}
-	if w.late != nil {
-		if d := w.late(s); d > 0 {
-			w.pending = append(w.pending, pendingStart{at: w.now + d, worker: id, order: order})
+	if w.startDelay != nil {
+		if d := w.startDelay(s); d > 0 {
+			w.pendingStarts = append(w.pendingStarts, pendingStart{at: w.now + d, worker: id, order: order})
 			w.shard.HandleStartReply(w.now, id, s.Task, s.Run, silence)
 			return
 		}
 	}
-	h := w.reach(id)
+	h := w.answering(id)
 	if h == nil {
 		w.shard.HandleStartReply(w.now, id, s.Task, s.Run, silence)
 		return
 	}
 	r := h.Start(w.now, order)
-	if w.silent != nil && w.silent(s) {
+	if w.losesStartReply != nil && w.losesStartReply(s) {
 		r = silence
 	}
 	w.shard.HandleStartReply(w.now, id, s.Task, s.Run, r)
 }
 
-func (w *world) stop(s StopAction) {
+func (w *world) sendStop(s StopAction) {
 	w.stops = append(w.stops, s)
-	h := w.reach(s.Worker.ID)
+	h := w.answering(s.Worker.ID)
 	if h == nil {
 		w.shard.HandleStopReply(w.now, s.Worker.ID, s.Task, s.Run, worker.Reply{Verdict: worker.NoAnswer})
 		return
@@ -372,7 +372,7 @@
 
 func (w *world) assign(r *submission.Record) { w.shard.Assign(w.now, StoredRecord{Record: r}) }
 
-func (w *world) want(id submission.ID, state submission.State) {
+func (w *world) expectState(id submission.ID, state submission.State) {
 	w.t.Helper()
 	if w.states[id] != state {
 		w.t.Errorf("%s is %s, want %s", id, w.states[id], state)
@@ -380,4 +380,4 @@
 }
 
 // runs counts the starts of all tasks of a submission.
-func (w *world) runs(id submission.ID) int { return runhost.SumOf(w.ledger.Starts, id) }
+func (w *world) startCount(id submission.ID) int { return runhost.SumOf(w.ledger.Starts, id) }
