--- a/internal/kept/submission/validate.go
+++ b/internal/kept/submission/validate.go
@@ -16,7 +16,7 @@
 	maxEstimate = 30 * 24 * time.Hour
 )
 
-// InvalidError reports an invalid field of a submission.
+// InvalidError reports an invalid field of a submission. Its text is sent to callers.
 type InvalidError struct {
 	Field  string
 	Reason string
@@ -28,10 +28,10 @@
 // can hold, negative resources, which would count as free capacity, or steps that depend on themselves.
 func (r *Record) Validate() error {
 	if !validID(r.ID) {
-		return &InvalidError{"id", fmt.Sprintf("must be 1 to %d letters, digits, - or _", maxIDBytes)}
+		return &InvalidError{"id", fmt.Sprintf("1 to %d letters, digits, - or _", maxIDBytes)}
 	}
 	if len(r.Steps) == 0 || len(r.Steps) > maxSteps {
-		return &InvalidError{"steps", fmt.Sprintf("%d given, must be between 1 and %d", len(r.Steps), maxSteps)}
+		return &InvalidError{"steps", fmt.Sprintf("%d of them, 1 to %d are allowed", len(r.Steps), maxSteps)}
 	}
 	tasks := 0
 	for i := range r.Steps {
@@ -62,7 +62,7 @@
 		{"memory", s.MemMB, maxMemMB},
 		{"accelerators", s.GPU, maxGPU},
 		{"estimate", int64(s.Estimate), int64(maxEstimate)},
-		{"tasks per worker", int64(s.MaxPerWorker), maxTasks},
+		{"most per worker", int64(s.MaxPerWorker), maxTasks},
 	}
 	for _, b := range bounds {
 		if b.value < 0 || b.value > b.limit {
@@ -71,7 +71,7 @@
 	}
 	for _, a := range s.DependsOn {
 		if a < 0 || a >= at {
-			return &InvalidError{fmt.Sprintf("step %d: dependencies", at), fmt.Sprintf("%d is not an earlier step", a)}
+			return &InvalidError{fmt.Sprintf("step %d: steps before it", at), fmt.Sprintf("%d is not an earlier step", a)}
 		}
 	}
 	return nil
