--- a/internal/kept/vm/shards.go
+++ b/internal/kept/vm/shards.go
@@ -114,6 +114,8 @@
 		"workers", len(h.sessions), "barrier_in", barrierAt-e.now)
 }
 
+// shardSettings returns the settings of shards held here. Whether a service enforces its capacity is looked
+// up at each use, as the configuration may change.
 func (e *engine) shardSettings() shard.Settings {
 	s := shard.DefaultSettings()
 	s.Policy = e.vm.config.Policy
@@ -217,6 +219,7 @@
 	return false
 }
 
+// apply puts a stored claim into effect without waiting for the watch. A failed claim may be decided on again.
 func (ev claimedEvent) apply(e *engine) {
 	name := ev.claim.From.Shard
 	delete(e.claimsInFlight, name)
@@ -297,7 +300,7 @@
 	for _, r := range ev.records {
 		if !h.core.IsKnown(r) {
 			e.vm.metrics.adoptedSubmissions.Inc(1)
-			klog.InfoS("kept: adopted", "id", r.Record.ID, "shard", ev.shard, "token", ev.token,
+			klog.InfoS("kept: stored submission adopted", "id", r.Record.ID, "shard", ev.shard, "token", ev.token,
 				"revision", r.Revision, "stored_under", r.Record.Token, "home", r.Record.Home)
 		}
 	}
--- a/internal/kept/vm/workers.go
+++ b/internal/kept/vm/workers.go
@@ -239,6 +239,7 @@
 	return h
 }
 
+// apply hands a worker's listing to its shard and counts the runs that have ended.
 func (ev listingEvent) apply(e *engine) {
 	h := e.sessionShard(ev.session)
 	if h == nil {
@@ -277,6 +278,7 @@
 	e.syncSessions(h)
 }
 
+// apply gives up a worker that does not answer and whose lease has certainly expired.
 func (ev leaseExpiredEvent) apply(e *engine) {
 	h := e.sessionShard(ev.session)
 	if h == nil {
@@ -288,6 +290,7 @@
 	h.core.WorkerLeaseExpired(e.now, id)
 }
 
+// apply counts a worker's answer to a start and hands it to the shard.
 func (ev startReplyEvent) apply(e *engine) {
 	h := e.sessionShard(ev.session)
 	if h == nil {
