--- a/internal/kept/shard/shard_test.go
+++ b/internal/kept/shard/shard_test.go
@@ -35,10 +35,9 @@
 	}
 }
 
-// Symptom: one task runs on two workers at once. Sequence: a holder hands its shard
-// over; the new one gets a submission from its home before the worker that runs its
-// task has been listed. Cause: run numbers of the resumed submission began above those
-// of the earlier holder, so the listed run 1 passed for an old one.
+// Guards against a task that runs on two workers at once after a change of the holder. The home VM hands the
+// submission over before the worker that runs its task has listed it. The run numbers of the resumed
+// submission began above those of the earlier holder, so the listed run 1 was taken for an outdated one.
 func TestResumedBeforeItsWorkerIsListed(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
@@ -54,8 +53,8 @@
 	}
 }
 
-// Symptom: as above. Sequence: the new holder has listed all workers when the
-// submission comes from its home.
+// Guards against the same failure when all workers have listed their runs before the home VM hands the
+// submission over.
 func TestResumedAfterItsWorkerIsListed(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
@@ -72,9 +71,9 @@
 	}
 }
 
-// Symptom: one task runs twice at once. Sequence: a run whose submission is not known
-// is being stopped when its home hands the submission over. Cause: the task was taken
-// for startable though the run goes on until the stop has taken effect.
+// Guards against a task that runs twice at once. A run of an unknown submission is being stopped when the
+// home VM hands the submission over. The task was taken for startable, though the run goes on until the stop
+// has taken effect.
 func TestResumedWhileItsRunIsStopped(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -91,9 +90,9 @@
 	w.expectState("a", submission.Done)
 }
 
-// Symptom: one task runs twice at once. Sequence: the store was down and the list of
-// workers lapsed; a new holder sees a part of it. Cause: it had "listed all workers"
-// and took the tasks of those it had never heard of for startable.
+// Guards against a task that runs twice at once. While the store was down, entries of the list of workers
+// expired, and a new holder knows only some of the workers. Once all of these had answered, it took the tasks
+// on the others for startable.
 func TestNewHolderKnowsWorkersThatTheListLacks(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
@@ -117,9 +116,9 @@
 	}
 }
 
-// Symptom: a live worker is dropped, and its tasks start elsewhere while they run.
-// Sequence: a worker crashes and is back at its address under a new ID; its old entry
-// has not expired yet. Cause: each look at the list took the old entry for the newer.
+// Guards against the removal of a live worker, whose tasks are then started elsewhere while they run. A
+// worker crashes and restarts at its address under a new ID, while its old entry has not expired. Each read
+// of the list took the old entry for the newer one.
 func TestOldLifeOfAWorkerDoesNotReplaceItsNewOne(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -141,8 +140,8 @@
 	}
 }
 
-// Symptom: one task runs twice at once. Sequence: the answer to a start is lost, though
-// the worker carried it out. Cause would be: starting it elsewhere without asking.
+// Guards against a task that runs twice at once because the answer to a start order was lost that the worker
+// carried out. The worker has to be asked before the task is started elsewhere.
 func TestLostAnswerToAStart(t *testing.T) {
 	w := newWorld(t, 2)
 	lost := 0
@@ -156,9 +155,9 @@
 	}
 }
 
-// Symptom: one task runs twice at once. Sequence: a start has no answer and is carried
-// out a quarter of a second later, when the task runs elsewhere. Cause would be: not
-// making the first run impossible before the second starts.
+// Guards against a task that runs twice at once because a start order without an answer is carried out a
+// quarter of a second later, when the task runs elsewhere. The first run has to be stopped before the second
+// one is started.
 func TestLateStart(t *testing.T) {
 	w := newWorld(t, 2)
 	first := true
@@ -178,8 +177,8 @@
 	}
 }
 
-// Symptom: one task runs twice at once. Sequence: a worker is cut off and runs on.
-// Cause would be: starting its tasks elsewhere before its lease is over.
+// Guards against a task that runs twice at once because its worker is cut off and goes on running it until
+// its lease expires.
 func TestCutOffWorkerRunsOnUntilItsLeaseIsOver(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -193,9 +192,8 @@
 	w.expectState("a", submission.Done)
 }
 
-// Symptom: one task runs twice at once. Sequence: a home is lost; its caller sends the
-// submission to another VM, which gives it to another shard. Cause would be: the first
-// holder running on.
+// Guards against a task that runs twice at once after its home VM was lost. The caller submits again to
+// another VM, which gives the submission to another shard, so the first holder has to stop its runs.
 func TestHolderEndsTheRunsOfALostHome(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -215,9 +213,9 @@
 	}
 }
 
-// Symptom: a caller is told that its submission has not run, though a task of it has.
-// Sequence: a task starts, its run lapses with its worker, and there is no room until
-// the submission is hopeless. Cause would be: rejecting what has begun.
+// Guards against a rejection that tells the caller that its submission has not run, though a task of it has.
+// The task starts, its run ends with its worker's lease, and there is no free capacity until the submission
+// is too late.
 func TestWhatHasBegunIsNotRejected(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -253,13 +251,13 @@
 	w.expectState("a", submission.Done)
 	for _, s := range w.starts {
 		if s.Worker.ID == "w0" {
-			t.Fatal("a task was started on a worker that leaves")
+			t.Fatal("a task was started on a worker that had announced that it leaves")
 		}
 	}
 }
 
-// A stored submission goes on under a new holder from its record and the listings;
-// ends are acknowledged only when their effect is stored.
+// A stored submission goes on under a new holder, which recovers it from its record and the listings. Ended
+// runs are acknowledged only once their effect is stored.
 func TestStoredSubmissionSurvivesItsHolder(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -268,7 +266,7 @@
 	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 7})
 	w.run(200 * ms)
 	if w.ackedEnds["w0"]+w.ackedEnds["w1"] != 0 {
-		t.Error("an end was acknowledged before anything of it was stored")
+		t.Error("an ended run was acknowledged before its effect was stored")
 	}
 	w.newHolder(2, true)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 7}})
@@ -282,8 +280,8 @@
 	}
 }
 
-// Symptom: as above. Sequence: a home hands a submission over a second time, as its link
-// was lost, while its rejection is on the way. Cause would be: taking it for a new one.
+// Guards against a submission that runs after it was rejected. Its home VM hands it over a second time, after
+// a lost link, while the rejection is in flight. It must not be taken for a new one.
 func TestRejectedSubmissionHandedOverAgainDoesNotRun(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -306,9 +304,9 @@
 	w.expectState("short", submission.Done)
 }
 
-// Symptom: submissions are refused while workers are free. Sequence: some submissions with
-// many steps are under way, the first step of each is running. Cause: the tasks of their
-// later steps, which nothing can start yet, counted as waiting for room.
+// Guards against submissions that are refused while workers are free. Several submissions with many steps are
+// running their first step. The tasks of their later steps, which cannot start yet, were counted as waiting
+// for capacity.
 func TestTasksOfLaterStepsDoNotWaitForRoom(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -18,49 +18,49 @@
 	testTick = 5 * ms
 )
 
-// world is a shard with stand-in workers, on a clock of its own. Orders are carried
-// out at once; holds are made at each tick.
+// world is a shard with simulated workers, on a simulated clock. Orders are carried out at once, and each
+// worker gets a hold at each tick.
 type world struct {
 	t              *testing.T
 	now            time.Duration
 	ledger         *runhost.Ledger
 	hosts          map[string]*runhost.Host
-	unreachable    map[string]bool // workers that no order reaches
+	unreachable    map[string]bool // workers that answer no calls
 	shard          *Shard
 	ackedEnds      map[string]uint64
-	lastAnsweredAt map[string]time.Duration // of the newest answered hold of each worker
+	lastAnsweredAt map[string]time.Duration // when each worker last answered a hold
 	states         map[submission.ID]submission.State
 	finals         map[submission.ID]submission.State
 	starts         []StartAction
 	stops          []StopAction
 	workOf         map[submission.ID]runhost.Work
-	hung           map[string]bool // workers on which tasks stand still
-	slowdown       map[string]int  // by how many times tasks take longer at a worker
+	hung           map[string]bool // workers on which tasks make no progress
+	slowdown       map[string]int  // by which factor tasks take longer on a worker
 	policy         policy.Settings
-	holdWait       map[string]time.Duration // for an end, before a worker answers a hold
-	holdSentAt     map[string]time.Duration // when the hold left that waits at a worker
-	// silent decides that the answer to a start is lost, though it was carried out.
+	holdWait       map[string]time.Duration // how long a worker waits for a run to end before it answers a hold
+	holdSentAt     map[string]time.Duration // when the hold was sent that waits at a worker
+	// losesStartReply reports whether the answer to a start order that was carried out is lost.
 	losesStartReply func(StartAction) bool
-	// late decides that a start has no answer and is carried out later.
+	// startDelay returns by how much a start order is delayed, which then has no answer; 0: it is not.
 	startDelay    func(StartAction) time.Duration
 	pendingStarts []pendingStart
-	records       *recordStore // nil: all writes are done at once
+	records       *recordStore // nil: writes are carried out at once
 
-	unguarded bool // workers start whatever they are told to
+	unguarded bool // workers start tasks that exceed their capacity
 	revision  uint64
-	// back is when a worker that has crashed starts again, by its address.
+	// restartAt is when a crashed worker restarts, by its ID.
 	restartAt map[string]time.Duration
 	restarts  int
-	// born is the start of the incarnation that the holder speaks to, by worker, if it is known; silent
-	// holds are those that had no answer.
+	// knownBorn is the start time of the incarnation that the holder knows, by worker ID. missedHold says
+	// that the last hold of a worker had no answer.
 	knownBorn  map[string]int64
 	missedHold map[string]bool
-	// ended are the workers whose lives have ended while a task was there as far as the holder could know:
-	// an order may not have come, or the run may have lapsed behind a cut.
+	// endedUnder are the workers whose incarnations have ended while the holder had to assume that a task
+	// was there: the order may not have arrived, or the run may have ended with its lease during a partition.
 	endedUnder map[submission.TaskRef]map[string]bool
 }
 
-// crashDowntime is how long a worker that has crashed is down.
+// crashDowntime is how long a crashed worker is down.
 const crashDowntime = 2 * time.Second
 
 type pendingStart struct {
@@ -109,7 +109,8 @@
 	})
 }
 
-// hold makes a new holder of the shard, which knows nothing.
+// newHolder replaces the holder of the shard by one that knows nothing. clean says that the previous one
+// has certainly stopped, so that its leases expire sooner.
 func (w *world) newHolder(token uint64, clean bool) {
 	barrier := w.now + 1100*ms
 	if !clean {
@@ -132,7 +133,7 @@
 	w.shard.UpdateWorkers(w.now, infos)
 }
 
-// submission makes a transient submission of equal tasks.
+// submission returns a transient submission of equal tasks.
 func (w *world) submission(id submission.ID, tasks int, work runhost.Work) *submission.Record {
 	if work.CPUMilli == 0 {
 		work.CPUMilli = 6800
@@ -179,7 +180,7 @@
 	w.execute()
 }
 
-// restartCrashed begins the next lives of workers that have crashed some time ago.
+// restartCrashed restarts the workers that crashed crashDowntime ago, every second one under a new ID.
 func (w *world) restartCrashed() {
 	listed := false
 	for _, id := range slices.Sorted(maps.Keys(w.hosts)) {
@@ -203,7 +204,7 @@
 			w.addHost(next, h.Info.Address)
 			w.hosts[next].ClockAhead = time.Second - w.now
 			w.hosts[next].Info.Revision += uint64(1000 + w.restarts)
-			listed = listed || next != id || w.restarts%4 == 1 // the others write their entries later
+			listed = listed || next != id || w.restarts%4 == 1 // the entries of the others are listed later
 		}
 	}
 	if listed {
@@ -211,14 +212,14 @@
 	}
 }
 
-// unmet reports whether the holder has not heard of a worker's incarnation, which has the ID of an earlier
-// one. Nothing can keep an order for that one from being carried out there until then.
+// isUnknownToHolder reports whether the holder knows only an earlier incarnation of a worker under the same
+// ID. Until it knows the present one, nothing can prevent that it carries out an order for the earlier one.
 func (w *world) isUnknownToHolder(h *runhost.Host) bool {
 	born, known := w.knownBorn[h.Info.ID]
 	return known && born != h.Info.Born
 }
 
-// recordEnded notes the tasks that a worker's life ends under.
+// recordEnded records the end of a worker's incarnation under all tasks that may have been there.
 func (w *world) recordEnded(id string) {
 	name := id
 	if h := w.hosts[id]; h != nil {
@@ -240,7 +241,7 @@
 	}
 }
 
-// reach returns a worker that answers; nil: it does not.
+// answering returns a worker, or nil if it does not answer.
 func (w *world) answering(id string) *runhost.Host {
 	h := w.hosts[id]
 	if h == nil || w.unreachable[id] || h.Crashed() {
@@ -249,6 +250,8 @@
 	return h
 }
 
+// sendHold sends a hold to a worker and gives the answer to the shard.
+// sendHold sends a hold to a worker and gives the answer to the shard.
 func (w *world) sendHold(id string) {
 	h := w.answering(id)
 	w.followIncarnation(id)
@@ -290,7 +293,7 @@
 	}
 }
 
-// follow has the holder speak to the incarnation of a worker that its shard knows.
+// followIncarnation resets what is known of a worker when the shard knows another incarnation of it.
 func (w *world) followIncarnation(id string) {
 	info, _ := w.shard.WorkerInfo(id)
 	if w.knownBorn[id] == info.Born {
@@ -305,6 +308,8 @@
 	}
 }
 
+// execute carries out the actions of the shard.
+// execute carries out the actions of the shard.
 func (w *world) execute() {
 	a := w.shard.TakeActions()
 	for _, s := range a.Acks {
@@ -379,5 +384,5 @@
 	}
 }
 
-// runs counts the starts of all tasks of a submission.
+// startCount returns the number of starts of all tasks of a submission.
 func (w *world) startCount(id submission.ID) int { return runhost.SumOf(w.ledger.Starts, id) }
