--- a/internal/kept/shard/crash_test.go
+++ b/internal/kept/shard/crash_test.go
@@ -19,10 +19,10 @@
 	return r
 }
 
-// crashCount is how many workers have crashed under the tasks of a submission.
+// crashCount returns how many workers the tasks of a submission have crashed.
 func (w *world) crashCount(id submission.ID) int { return runhost.SumOf(w.ledger.Crashes, id) }
 
-// crash ends the life of a worker.
+// crash crashes workers.
 func (w *world) crash(ids ...string) {
 	for _, id := range ids {
 		w.hosts[id].Advance(w.now)
@@ -30,7 +30,7 @@
 	}
 }
 
-// Guards against a task that takes down one worker after the other.
+// Guards against a task that crashes one worker after the other.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, stored := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stored %v", stored), func(t *testing.T) {
@@ -44,13 +44,13 @@
 			w.expectState("poison", submission.Failed)
 			w.expectState("beside", submission.Done)
 			if n := w.crashCount("poison"); n != 2 {
-				t.Errorf("%d workers have crashed under it, want 2", n)
+				t.Errorf("it has crashed %d workers, want 2", n)
 			}
 		})
 	}
 }
 
-// Guards against a submission that fails as its neighbours crash their workers.
+// Guards against a submission that fails because tasks of others crash the workers that it shares with them.
 func TestNeighboursOfCrashesAreServed(t *testing.T) {
 	w := newWorld(t, 6)
 	w.run(100 * ms)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Guards against submissions that fail as their workers lose power together, twice in a row.
+// Guards against submissions that fail because several workers lose power at once, twice in a row.
 func TestWorkersLostTogetherFailNoTask(t *testing.T) {
 	for _, share := range []int{2, 3, 8} {
 		for seed := range uint64(20) {
@@ -93,7 +93,8 @@
 	}
 }
 
-// Guards against a submission that fails as workers are cut off, which run on.
+// Guards against a submission that fails because its workers are cut off one after the other, though they go
+// on running.
 func TestWorkersThatAreCutOffFailNoStoredTask(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
@@ -113,7 +114,7 @@
 	w.expectState("s", submission.Done)
 }
 
-// Guards against a loss that counts several times, as it is learnt in several ways.
+// Guards against a loss that is counted several times because it is detected in several ways.
 func TestCrashIsCountedOnce(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
@@ -122,7 +123,7 @@
 	id := w.starts[0].Worker.ID
 	address := w.hosts[id].Info.Address
 	w.crash(id)
-	w.run(1500 * ms) // its lease is over
+	w.run(1500 * ms) // its lease expires
 	w.shard.WorkerGone(w.now, id)
 	w.addHost("next", address)
 	w.hosts["next"].Info.Revision += 1000
@@ -134,7 +135,7 @@
 	}
 }
 
-// Guards against a count that is lost when the shard changes hands between two crashes.
+// Guards against losses that are forgotten when the holder changes between two crashes.
 func TestLossesSurviveATakeover(t *testing.T) {
 	w := newWorld(t, 6)
 	w.run(100 * ms)
@@ -162,12 +163,12 @@
 		t.Errorf("it is %s, want failed", w.finals["poison"])
 	}
 	if n := w.crashCount("poison"); n > runhost.CrashesMost {
-		t.Errorf("%d workers have crashed under it", n)
+		t.Errorf("it has crashed %d workers", n)
 	}
 }
 
-// Guards against a start that has no answer, is carried out late, and crashes its worker at once without
-// being counted.
+// Guards against a loss that is not counted because the start order had no answer, was carried out late and
+// crashed its worker at once.
 func TestLateStartThatCrashesCounts(t *testing.T) {
 	w := newWorld(t, 6)
 	w.run(100 * ms)
@@ -176,11 +177,11 @@
 	w.run(20 * time.Second)
 	w.expectState("poison", submission.Failed)
 	if n := w.crashCount("poison"); n > runhost.CrashesMost {
-		t.Errorf("%d workers have crashed under it", n)
+		t.Errorf("it has crashed %d workers", n)
 	}
 }
 
-// Guards against submissions that crash workers, one after the other, and starve the rest.
+// Guards against a sequence of submissions that crash workers and so leave no capacity for others.
 func TestManyTasksThatCrashLeaveRoomForOthers(t *testing.T) {
 	w := newWorld(t, 16)
 	w.run(100 * ms)
--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -9,12 +9,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// coldSlowdown is by how many times tasks take longer at a cold worker of these tests.
+// coldSlowdown is the factor by which tasks take longer on a cold worker in these tests.
 const coldSlowdown = 10
 
-// Symptom: a domain that is used again holds up what it is given for seconds. Sequence: it was
-// evacuated, its workers were replaced meanwhile and are cold, and a queue of work waits. Cause:
-// each was given all that fits at once.
+// Guards against a domain that delays tasks for seconds when it is used again after an evacuation. Its workers
+// were replaced meanwhile and are cold, and each was given as many queued tasks as fit at once.
 func TestWorkersOfAReturnedDomainAreTriedWithOneTask(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -25,16 +24,16 @@
 	w.assign(w.submission("a", 4, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
 	if n := w.startCount("a"); n != 2 {
-		t.Errorf("%d starts on two workers that have shown nothing yet, want 2", n)
+		t.Errorf("%d starts on two workers in slow start, want 2", n)
 	}
 	w.run(100 * ms)
 	if n := w.startCount("a"); n != 4 {
-		t.Errorf("%d starts once one worker has shown that it is warm, want all 4", n)
+		t.Errorf("%d starts after one worker has completed a run in the usual time, want all 4", n)
 	}
 }
 
-// Symptom: a worker that has just started holds up three tasks at each try. Sequence: its entry
-// says that it is cold.
+// Guards against a worker that delays several tasks at once because it has just started and is cold, as its
+// entry says.
 func TestColdWorkerIsTriedWithOneTask(t *testing.T) {
 	w := newWorld(t, 1)
 	w.hosts["w0"].Info.Cold = true
@@ -43,14 +42,14 @@
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
 	if n := w.startCount("a"); n != 1 {
-		t.Errorf("%d starts at a cold worker, want 1", n)
+		t.Errorf("%d starts on a cold worker, want 1", n)
 	}
 	w.run(400 * ms)
 	w.expectState("a", submission.Done)
 }
 
-// Symptom: a start is carried out in an evacuated domain. Sequence: its answer is lost; before the
-// worker was asked, the domain is evacuated. Cause would be: it is only looked whether it runs.
+// Guards against a start order that is carried out in an evacuated domain. The domain is evacuated while the
+// order has no answer yet. The run has to be stopped, as a probe alone does not prevent a late start.
 func TestUnansweredStartIsVoidOnceTheDomainIsEvacuated(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -60,28 +59,27 @@
 	w.shard.SetEvacuated(w.now, true)
 	w.run(time.Second)
 	if n := w.startCount("a"); n != 0 {
-		t.Errorf("%d starts, the order was late", n)
+		t.Errorf("%d starts by an order that arrived after the evacuation", n)
 	}
 	w.expectState("a", submission.Returned)
 }
 
-// Symptom: submissions go to an evacuated domain. Cause would be: its holder tells of room there.
+// Guards against submissions that are sent to an evacuated domain because its load report shows capacity.
 func TestEvacuatedShardHasNoRoom(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	w.shard.SetEvacuated(w.now, true)
 	if l := w.shard.Load(w.now); l.CapacityMilli != 0 || len(l.FreeMilli) != 0 {
-		t.Errorf("it tells of room: %+v", l)
+		t.Errorf("it reports capacity while evacuated: %+v", l)
 	}
 	w.shard.SetEvacuated(w.now, false)
 	if l := w.shard.Load(w.now); l.CapacityMilli == 0 || len(l.FreeMilli) != 2 {
-		t.Errorf("it tells of no room after its return: %+v", l)
+		t.Errorf("it reports no capacity after the evacuation: %+v", l)
 	}
 }
 
-// Symptom: steps of a submission start before those that they wait for. Sequence: it has steps
-// that wait for each other and is half done when the domain is evacuated. What is left goes as a
-// whole, once nothing of it runs.
+// Guards against steps of a submission that start before those that they depend on. The submission is half
+// done when its domain is evacuated: the rest has to be returned as a whole, once none of its tasks runs.
 func TestStepsLeaveTogether(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -93,23 +91,23 @@
 	w.run(50 * ms)
 	w.shard.SetEvacuated(w.now, true)
 	w.run(100 * ms)
-	if told, _ := w.shard.Report("a"); len(told.Returned) != 0 {
-		t.Errorf("%d tasks were given back while its first step runs", len(told.Returned))
+	if report, _ := w.shard.Report("a"); len(report.Returned) != 0 {
+		t.Errorf("%d tasks were returned while its first step runs", len(report.Returned))
 	}
 	w.run(200 * ms)
-	told, _ := w.shard.Report("a")
-	if told.State != submission.Returned || len(told.Returned) != 2 {
-		t.Errorf("it is %s with %d tasks given back, want the 2 of its last step", told.State, len(told.Returned))
+	report, _ := w.shard.Report("a")
+	if report.State != submission.Returned || len(report.Returned) != 2 {
+		t.Errorf("it is %s with %d tasks returned, want the 2 of its last step", report.State, len(report.Returned))
 	}
-	for _, r := range told.Returned {
+	for _, r := range report.Returned {
 		if r.Task.Step != 1 {
-			t.Errorf("%v was given back, it has completed", r.Task)
+			t.Errorf("%v was returned, though it has completed", r.Task)
 		}
 	}
 }
 
-// Symptom: a stored submission is forgotten. Sequence: it went to another shard, and comes back
-// within the time for which this one remembers that it had left.
+// Guards against a stored submission that is ignored because it was reassigned to another shard and comes back
+// while this one still remembers that it left.
 func TestStoredSubmissionThatCameBackIsTaken(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
@@ -118,14 +116,14 @@
 	rec.Transient = false
 	w.shard.Assign(w.now, StoredRecord{Record: rec, Revision: 5})
 	w.shard.Tick(w.now + 10*ms)
-	moves := w.shard.TakeActions().Reassigns
-	if len(moves) != 1 || moves[0].Revision != 5 {
-		t.Fatalf("moves: %v, want the one submission", moves)
+	reassigns := w.shard.TakeActions().Reassigns
+	if len(reassigns) != 1 || reassigns[0].Revision != 5 {
+		t.Fatalf("reassigned: %v, want the one submission", reassigns)
 	}
 	w.shard.Reassigned(w.now, "a", 8)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 5}}) // read before it left
 	if n := len(w.shard.Unfinished()); n != 0 {
-		t.Errorf("%d submissions, it had left", n)
+		t.Errorf("%d submissions, want none as it was reassigned", n)
 	}
 	w.shard.SetEvacuated(w.now, false)
 	w.shard.AddRecords(w.now, []StoredRecord{{Record: rec, Revision: 9}})
@@ -135,10 +133,9 @@
 	}
 }
 
-// Symptom: a caller gets an answer before all tasks have completed. Sequence: a submission is
-// handed in again after all VMs were off; a worker still lists the end of a task of the first
-// hand-in, which now is another shard's. Cause: the end counted against what this shard has, so that
-// its part passed for complete with a task to go.
+// Guards against an answer to the caller before all tasks have completed. A submission is submitted again after
+// all VMs were off, and a worker still lists the end of a task of the first attempt, which another shard has
+// now. If the end counted here, this shard's part would be taken for complete with a task left.
 func TestEndOfATaskThatAnotherShardHasCountsForNothing(t *testing.T) {
 	for _, listedBefore := range []bool{true, false} {
 		w := newWorld(t, 1)
@@ -151,7 +148,7 @@
 			Deadline: w.now + 700*ms,
 		}
 		if r := w.hosts["w0"].Start(w.now, first); r.Verdict != worker.Accepted {
-			t.Fatalf("the first hand-in's task is %s", r.Verdict)
+			t.Fatalf("the start of the first attempt's task is %s", r.Verdict)
 		}
 		w.newHolder(2, true)
 		again := *rec
@@ -163,26 +160,25 @@
 		w.shard.Resume(w.now, &again)
 		for range 200 {
 			w.step()
-			told, _ := w.shard.Report("a")
-			if told.State == submission.Done && w.ledger.Done(submission.TaskRef{ID: "a"}) == 0 {
-				t.Fatalf("it is done and its own task is not (listed before it came: %v)", listedBefore)
+			report, _ := w.shard.Report("a")
+			if report.State == submission.Done && w.ledger.Done(submission.TaskRef{ID: "a"}) == 0 {
+				t.Fatalf("it is done and its own task is not (end listed before it was resumed: %v)", listedBefore)
 			}
 		}
 		w.expectState("a", submission.Done)
 	}
 }
 
-// Symptom: a caller gets an answer before the tasks of its submission have completed. Sequence: all
-// VMs were off, and the caller sends its submission again; a worker that has not answered the new
-// holder yet then lists the end of a task of the first hand-in. Cause: the end counted for the second
-// hand-in, which begins from the start.
+// Guards against an answer to the caller before all tasks have completed. All VMs were off, the caller has
+// submitted again, and a worker that has not answered the new holder yet then lists the end of a task of the
+// first attempt. The end must not count for the second attempt, which begins from the start.
 func TestEndOfAnEarlierHandInCountsForNothing(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	rec := w.submission("a", 1, runhost.Work{Time: 150 * ms})
 	first := worker.Start{Task: submission.TaskRef{ID: "a"}, Run: 1, Token: w.shard.Token(), Deadline: w.now + 700*ms}
 	if r := w.hosts["w1"].Start(w.now, first); r.Verdict != worker.Accepted {
-		t.Fatalf("the first hand-in's task is %s", r.Verdict)
+		t.Fatalf("the start of the first attempt's task is %s", r.Verdict)
 	}
 	w.newHolder(2, true)
 	w.workOf["a"] = runhost.Work{Time: 400 * ms, CPUMilli: 6800}
@@ -190,8 +186,8 @@
 	for range 50 {
 		w.step()
 	}
-	if told, _ := w.shard.Report("a"); told.State == submission.Done {
-		t.Error("it is done by the end of an earlier hand-in's run")
+	if report, _ := w.shard.Report("a"); report.State == submission.Done {
+		t.Error("it is done by the end of a run of an earlier attempt")
 	}
 	for range 100 {
 		w.step()
