--- a/internal/kept/vm/ends.go
+++ b/internal/kept/vm/ends.go
@@ -17,6 +17,7 @@
 	return store.Condition{Key: site.ShardKey(h.holding.Shard), Revision: h.holding.Revision}
 }
 
+// storeFinal writes the final state of a submission to the store through the journal.
 func (e *engine) storeFinal(name string, h *heldShard, f shard.FinalAction) {
 	token := h.holding.Token
 	klog.InfoS("kept: ended", "id", f.ID, "shard", name, "state", f.State.String(), "why", f.Reason)
@@ -70,6 +71,8 @@
 	return false
 }
 
+// storeProgress writes the record of an unfinished submission, with its progress, to the store through the
+// journal.
 func (e *engine) storeProgress(name string, h *heldShard, s shard.SaveAction) {
 	token := h.holding.Token
 	id := string(s.Record.ID)
--- a/internal/kept/vm/home.go
+++ b/internal/kept/vm/home.go
@@ -115,6 +115,7 @@
 	}
 }
 
+// refuse answers the callers of a submission that was not stored and forgets it, unless a lookup still needs it.
 func (e *engine) refuse(h *trackedSubmission, o Outcome) {
 	if !h.lookupInFlight {
 		delete(e.tracked, h.record.ID)
--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -33,8 +33,8 @@
 // the submission would wait there for ever.
 func (e *engine) eligibleShards(r *submission.Record) []policy.Candidate {
 	var out []policy.Candidate
-	size := largestTaskMilli(r)
-	task := longestEstimate(r)
+	sizeMilli := largestTaskMilli(r)
+	taskTime := longestEstimate(r)
 	for _, name := range slices.Sorted(maps.Keys(e.loads)) {
 		l := e.loads[name]
 		if !e.reachable(name) || e.evacuations.Evacuated(site.DomainOf(name)) || !slices.Contains(l.Services, r.Terms.Service) {
@@ -43,12 +43,12 @@
 		_, queue := l.QueuedAhead(0, true)
 		ahead, wait := l.QueuedAhead(r.Terms.Priority, !e.vm.config.Policy.ByPriority)
 		// Tasks that this VM has sent there since the shard's last load report count as waiting there.
-		sent := time.Duration(float64(task) * float64(l.sentMilli) / float64(max(l.CapacityMilli, 1)))
+		sent := time.Duration(float64(taskTime) * float64(l.sentMilli) / float64(max(l.CapacityMilli, 1)))
 		out = append(out, policy.Candidate{
 			Shard:       name,
 			InOwnDomain: site.DomainOf(name) == e.vm.config.Domain,
-			Free:        max(l.FreeSlots(size, ahead)-int(l.sentMilli/size), 0),
-			Capacity:    int(l.CapacityMilli / size),
+			Free:        max(l.FreeSlots(sizeMilli, ahead)-int(l.sentMilli/sizeMilli), 0),
+			Capacity:    int(l.CapacityMilli / sizeMilli),
 			Wait:        wait + sent,
 			QueueTime:   queue + sent,
 		})
@@ -112,10 +112,10 @@
 // broadcastLoads sends the loads of this VM's shards to the peers: soon after a change, and at intervals. Peers
 // of other failure domains get them less often on a large site.
 func (e *engine) broadcastLoads() {
-	pace := max(minLoadInterval, time.Duration(len(e.links))*loadIntervalPerPeer)
+	minInterval := max(minLoadInterval, time.Duration(len(e.links))*loadIntervalPerPeer)
 	for name, h := range e.shards {
 		since := e.now - h.loadSentAt
-		if since < pace {
+		if since < minInterval {
 			continue
 		}
 		load := h.core.Load(e.now)
@@ -126,19 +126,19 @@
 		h.sentLoad = load
 		e.vm.metrics.shard(name).set(len(h.sessions), &load)
 		e.updateLoad(e.vm.config.Name, name, h.holding.Token, load)
-		far := e.now-h.loadSentFarAt >= farLoadInterval || len(e.links) <= site.MaxFullMeshPeers
-		if far {
+		allDomains := e.now-h.loadSentFarAt >= farLoadInterval || len(e.links) <= site.MaxFullMeshPeers
+		if allDomains {
 			h.loadSentFarAt = e.now
 		}
-		e.sendLoad(name, encodeLoad(name, h.holding.Token, &load), far)
+		e.sendLoad(name, encodeLoad(name, h.holding.Token, &load), allDomains)
 	}
 }
 
-// sendLoad sends a load report to the peers of the shard's failure domain, and to all others too if far is set.
-func (e *engine) sendLoad(name string, out *pb.KeptLoad, far bool) {
+// sendLoad sends a load report to the peers of the shard's failure domain, or of all domains.
+func (e *engine) sendLoad(name string, out *pb.KeptLoad, allDomains bool) {
 	domain := site.DomainOf(name)
 	for peer := range e.links {
-		if m, _ := e.site.Member(peer); far || m.Domain == domain {
+		if m, _ := e.site.Member(peer); allDomains || m.Domain == domain {
 			f := e.frame(peer)
 			f.Loads = append(f.Loads, out)
 		}
@@ -176,6 +176,7 @@
 		slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Services, b.Services) && maps.Equal(a.UnstartedByQueue, b.UnstartedByQueue)
 }
 
+// updateLoad stores a load report unless one of a newer holder is known.
 func (e *engine) updateLoad(holder, name string, token uint64, load shard.Load) {
 	l := e.loads[name]
 	if l == nil {
--- a/internal/kept/vm/states.go
+++ b/internal/kept/vm/states.go
@@ -13,6 +13,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/submission"
 )
 
+// finalState decodes a final state from the store; Unknown if that is not possible.
 func finalState(it store.Item) submission.State {
 	state, ok := submission.ParseState(string(it.Value))
 	if !ok || !state.Final() {
@@ -32,6 +33,7 @@
 	}
 }
 
+// queryHolder asks the holder of a submission's shard for the state.
 func (e *engine) queryHolder(h *trackedSubmission) {
 	h.queriedAt = e.now
 	if own := e.shards[h.shard]; own != nil {
@@ -66,9 +68,9 @@
 	id := submission.ID(ref.Id)
 	report := stateReport{shard: ref.Shard}
 	if h := e.shards[ref.Shard]; h != nil {
-		if said, known := h.core.Report(id); known {
-			e.sendState(from, id, h.report(said))
-			if !said.State.Final() {
+		if action, known := h.core.Report(id); known {
+			e.sendState(from, id, h.report(action))
+			if !action.State.Final() {
 				h.addAsker(id, from)
 			}
 			return
@@ -99,43 +101,43 @@
 	return stateReport{shard: h.holding.Shard, token: h.holding.Token, state: a.State, serial: a.Serial, returned: a.Returned}
 }
 
-func (e *engine) sendState(peer string, id submission.ID, w stateReport) {
+func (e *engine) sendState(peer string, id submission.ID, report stateReport) {
 	f := e.frame(peer)
 	f.States = append(f.States, &pb.KeptState{
 		Id:       string(id),
-		State:    uint32(w.state),
-		Shard:    w.shard,
-		Token:    w.token,
-		Serial:   w.serial,
-		Returned: encodeReturned(w.returned),
+		State:    uint32(report.state),
+		Shard:    report.shard,
+		Token:    report.token,
+		Serial:   report.serial,
+		Returned: encodeReturned(report.returned),
 	})
 }
 
 // reportState tells a VM the state of a submission: its home VM or one that asked.
-func (e *engine) reportState(id submission.ID, homeVM string, w stateReport) {
-	if homeVM == e.vm.config.Name {
-		e.applyStateReport(id, w)
+func (e *engine) reportState(id submission.ID, entryVM string, report stateReport) {
+	if entryVM == e.vm.config.Name {
+		e.applyStateReport(id, report)
 		return
 	}
-	e.sendState(homeVM, id, w)
+	e.sendState(entryVM, id, report)
 }
 
 // applyStateReport applies a report of a submission's state. Unknown means that the queried peer does not run
 // the submission.
-func (e *engine) applyStateReport(id submission.ID, w stateReport) {
+func (e *engine) applyStateReport(id submission.ID, report stateReport) {
 	if t := e.transients[id]; t != nil {
-		if p := t.part(w.shard); p != nil {
-			e.applyPartReport(t, p, w)
+		if p := t.part(report.shard); p != nil {
+			e.applyPartReport(t, p, report)
 		}
 		return
 	}
-	state := w.state
+	state := report.state
 	h := e.tracked[id]
 	if h == nil {
 		if state == submission.Unknown || state == submission.Rejected {
 			return
 		}
-		h = &trackedSubmission{id: id, shard: w.shard, stored: true, receivedAt: e.now}
+		h = &trackedSubmission{id: id, shard: report.shard, stored: true, receivedAt: e.now}
 		e.tracked[id] = h
 	}
 	if h.state.Final() {
@@ -221,18 +223,18 @@
 		return
 	}
 	h.lookupInFlight = false
-	askers := h.stateWaiters
+	waiters := h.stateWaiters
 	h.stateWaiters = nil
 	switch {
 	case ev.err != nil:
 		klog.InfoS("kept: could not read a submission's state from the store", "id", ev.id, "why", ev.err)
-		replyAll(askers, StateAnswer{Err: ErrUnavailable})
+		replyAll(waiters, StateAnswer{Err: ErrUnavailable})
 		if !h.stored && len(h.outcomeWaiters) == 0 {
 			delete(e.tracked, ev.id)
 		}
 	case ev.found.state.Final():
 		e.applyStateReport(ev.id, stateReport{shard: h.shard, state: ev.found.state})
-		replyAll(askers, StateAnswer{State: h.state})
+		replyAll(waiters, StateAnswer{State: h.state})
 	case ev.found.record != nil:
 		if h.record == nil {
 			h.record = ev.found.record
@@ -243,7 +245,7 @@
 		h.state = max(h.state, submission.Queued)
 		h.updatedAt = e.now
 		e.queryHolder(h)
-		replyAll(askers, StateAnswer{State: h.state})
+		replyAll(waiters, StateAnswer{State: h.state})
 	default:
 		if h.stored {
 			klog.ErrorS(nil, "kept: an accepted submission is missing in the store", "id", ev.id, "shard", h.shard)
@@ -251,12 +253,12 @@
 		if len(h.outcomeWaiters) == 0 {
 			delete(e.tracked, ev.id)
 		}
-		replyAll(askers, StateAnswer{State: submission.Unknown})
+		replyAll(waiters, StateAnswer{State: submission.Unknown})
 	}
 }
 
-func replyAll(askers []chan StateAnswer, a StateAnswer) {
-	for _, c := range askers {
+func replyAll(waiters []chan StateAnswer, a StateAnswer) {
+	for _, c := range waiters {
 		c <- a
 	}
 }
@@ -282,13 +284,13 @@
 }
 
 // notifyAskers reports the end of a submission to the VMs that asked for it.
-func (e *engine) notifyAskers(h *heldShard, s shard.StateAction, w stateReport) {
+func (e *engine) notifyAskers(h *heldShard, s shard.StateAction, report stateReport) {
 	if !s.State.Final() {
 		return
 	}
 	for _, entryVM := range h.askers[s.ID] {
 		if entryVM != s.Home {
-			e.reportState(s.ID, entryVM, w)
+			e.reportState(s.ID, entryVM, report)
 		}
 	}
 	delete(h.askers, s.ID)
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -56,6 +56,8 @@
 	state            submission.State
 }
 
+// submitTransient accepts or refuses a transient submission. If the submission is known already, the caller
+// gets its result, or waits for it together with the earlier callers.
 func (e *engine) submitTransient(ev submitEvent) {
 	id := ev.record.ID
 	if t := e.transients[id]; t != nil {
@@ -197,13 +199,14 @@
 	}
 }
 
+// resendPart sends a part once more: to the new holder of its shard, or to the same one that did not get it.
 func (e *engine) resendPart(t *transientSubmission, p *part, l *knownLoad) {
 	p.resends++
 	if p.resends > maxResends {
 		e.giveUp(t, "a shard of it keeps changing its holder")
 		return
 	}
-	klog.InfoS("kept: part sent again, or to a new holder", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "from", p.holder)
+	klog.InfoS("kept: part sent again, to the same or a new holder", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "from", p.holder)
 	e.sendPart(t, p, l)
 }
 
@@ -229,8 +232,8 @@
 func (e *engine) queryPart(t *transientSubmission, p *part) {
 	p.queriedAt = e.now
 	if own := e.shards[p.shard]; own != nil {
-		said, _ := own.core.Report(t.record.ID)
-		e.applyPartReport(t, p, own.report(said))
+		action, _ := own.core.Report(t.record.ID)
+		e.applyPartReport(t, p, own.report(action))
 		return
 	}
 	f := e.frame(p.holder)
@@ -238,10 +241,10 @@
 }
 
 // giveUp cancels all parts of a submission and tells the callers that it may have run.
-func (e *engine) giveUp(t *transientSubmission, why string) {
+func (e *engine) giveUp(t *transientSubmission, reason string) {
 	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.receivedAt)
-	klog.InfoS("kept: given up", "id", t.record.ID, "why", why, "after", e.now-t.receivedAt, "parts", len(t.parts))
-	e.dropTransient(t, Outcome{Kind: Indeterminate, Reason: why})
+	klog.InfoS("kept: given up", "id", t.record.ID, "why", reason, "after", e.now-t.receivedAt, "parts", len(t.parts))
+	e.dropTransient(t, Outcome{Kind: Indeterminate, Reason: reason})
 }
 
 // dropTransient cancels all parts, answers the callers, and keeps no result.
@@ -265,19 +268,19 @@
 		func(f *pb.KeptFrame, part *pb.KeptRef) { f.Cancelled = append(f.Cancelled, part) })
 }
 
-// notifyPartHolders calls here for each unfinished part whose shard this VM holds, and there with the frame
+// notifyPartHolders calls ownShard for each unfinished part whose shard this VM holds, and peer with the frame
 // to the holder of each other unfinished part.
-func (e *engine) notifyPartHolders(t *transientSubmission, here func(*shard.Shard), there func(*pb.KeptFrame, *pb.KeptRef)) {
+func (e *engine) notifyPartHolders(t *transientSubmission, ownShard func(*shard.Shard), peer func(*pb.KeptFrame, *pb.KeptRef)) {
 	for _, p := range t.parts {
 		if p.state.Final() {
 			continue
 		}
 		if own := e.shards[p.shard]; own != nil {
-			here(own.core)
+			ownShard(own.core)
 			continue
 		}
 		if p.holder != "" && p.holder != e.vm.config.Name {
-			there(e.frame(p.holder), &pb.KeptRef{Id: string(t.record.ID), Shard: p.shard})
+			peer(e.frame(p.holder), &pb.KeptRef{Id: string(t.record.ID), Shard: p.shard})
 		}
 	}
 }
@@ -307,21 +310,21 @@
 // the same shard, has arrived, it reports the earlier one: the caller would be told that the submission has
 // not run while it does, or that it is done while a part of it is not. A final state with another serial is
 // therefore taken to mean that the holder does not have the part.
-func (e *engine) applyPartReport(t *transientSubmission, p *part, w stateReport) {
+func (e *engine) applyPartReport(t *transientSubmission, p *part, report stateReport) {
 	if t.state.Final() || p.state.Final() {
 		return
 	}
-	state := w.state
-	own := w.serial == p.record.Serial
-	if state.Final() && !own {
+	state := report.state
+	sameAttempt := report.serial == p.record.Serial
+	if state.Final() && !sameAttempt {
 		state = submission.Unknown
 	}
-	if w.token != p.holderToken && state != submission.Done && state != submission.Failed {
+	if report.token != p.holderToken && state != submission.Done && state != submission.Failed {
 		return
 	}
 	p.updatedAt = e.now
-	if own {
-		e.reassignReturned(t, p, w.returned)
+	if sameAttempt {
+		e.reassignReturned(t, p, report.returned)
 	}
 	if e.transients[t.record.ID] != t {
 		return // no shard could take the returned tasks
@@ -359,18 +362,18 @@
 // the callers are told that the submission may have run.
 func (e *engine) endRejected(t *transientSubmission) {
 	if t.started {
-		e.giveUp(t, "what is left of it cannot be done in time")
+		e.giveUp(t, "its remaining tasks cannot be done in time")
 		return
 	}
 	e.refuseTransient(t, policy.TooLateByNow)
 }
 
 // refuseTransient refuses a submission of which no task has started, and tells the callers when to retry.
-func (e *engine) refuseTransient(t *transientSubmission, why policy.Reason) {
+func (e *engine) refuseTransient(t *transientSubmission, reason policy.Reason) {
 	after := e.retryDelay(t.record, e.eligibleShards(t.record))
 	e.vm.metrics.queue(t.record.Queue).countEnd("refused", e.now-t.receivedAt)
-	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", why, "after", e.now-t.receivedAt, "retry_after", after, "parts", len(t.parts))
-	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Reason: string(why)})
+	klog.InfoS("kept: refused", "id", t.record.ID, "queue", t.record.Queue, "why", reason, "after", e.now-t.receivedAt, "retry_after", after, "parts", len(t.parts))
+	e.dropTransient(t, Outcome{Kind: Refused, RetryAfter: after, Reason: string(reason)})
 }
 
 // completeIfDone ends a submission whose tasks have all completed. Unassigned tasks that waited for the end
@@ -385,6 +388,7 @@
 	}
 }
 
+// endTransient ends a submission, answers the callers, and keeps the result for resultRetention.
 func (e *engine) endTransient(t *transientSubmission, state submission.State) {
 	t.state = state
 	t.endedAt = e.now
@@ -410,12 +414,12 @@
 }
 
 // applyTaskOutcome records a task's completion or failed runs, for the next holder.
-func (e *engine) applyTaskOutcome(ref submission.TaskRef, fails int) {
-	e.updateProgress(ref, func(p *submission.Progress) { p.RecordOutcome(ref.Task, fails) })
+func (e *engine) applyTaskOutcome(ref submission.TaskRef, failedRuns int) {
+	e.updateProgress(ref, func(p *submission.Progress) { p.RecordOutcome(ref.Task, failedRuns) })
 }
 
 // updateProgress changes the progress in the record of the part that has a task.
-func (e *engine) updateProgress(ref submission.TaskRef, note func(*submission.Progress)) {
+func (e *engine) updateProgress(ref submission.TaskRef, change func(*submission.Progress)) {
 	t := e.transients[ref.ID]
 	if t == nil || t.state.Final() {
 		return
@@ -423,7 +427,7 @@
 	for _, p := range t.parts {
 		if p.record.HasTask(ref.Task) {
 			p.updatedAt = e.now
-			note(&p.record.Progress)
+			change(&p.record.Progress)
 		}
 	}
 }
