--- a/internal/kept/vm/cancel_property_test.go
+++ b/internal/kept/vm/cancel_property_test.go
@@ -22,40 +22,40 @@
 
 // Bounds of the users' rule on cancelled work.
 const (
-	cancelInForce = 4 * time.Second // after the acknowledgement, or after a late start counts
-	stopInForce   = 50 * ms
+	maxCancelDelay = 4 * time.Second // after the acknowledgement, or after a late start counts
+	maxStopDelay   = 50 * ms
 )
 
 // cancellations is a play of submissions that hang and are cancelled, beside orders that are held up, VMs
 // that are lost for good, stores that turn VMs away, and workers that start again under their ID.
-type cancellations struct {
+type cancellationRun struct {
 	*world
-	log       *startLog
-	stored    []submission.ID
-	cancelled map[submission.ID]time.Time // when that was acknowledged
-	away      map[string]bool             // VMs that the store does not serve
-	lastFault time.Time
-	lives     int
+	log          *startLog
+	stored       []submission.ID
+	cancelledAt  map[submission.ID]time.Time // when that was acknowledged
+	withoutStore map[string]bool             // VMs that the store does not serve
+	lastFault    time.Time
+	bootCount    int
 }
 
 // cancelAct is one random event: Op says what happens, N how much of it.
 type cancelAct struct{ Op, N int }
 
-func (p *cancellations) do(a cancelAct) error {
+func (p *cancellationRun) do(a cancelAct) error {
 	vms := slices.Sorted(maps.Keys(p.vms))
 	name := vms[a.N%len(vms)]
 	switch a.Op {
 	case 0, 1, 2:
-		p.hand(name, a.N)
+		p.submitHanging(name, a.N)
 	case 3, 4, 5:
 		p.cancel(name, a.N)
 	case 6:
-		p.fault()
+		p.recordFault()
 		p.kill(name)
-		p.lives++
-		p.boot(fmt.Sprintf("%s-next%d", name[:1], p.lives))
+		p.bootCount++
+		p.boot(fmt.Sprintf("%s-next%d", name[:1], p.bootCount))
 	case 7:
-		p.fault()
+		p.recordFault()
 		info := p.fleet.Reborn(fmt.Sprintf("worker-a%d", a.N%3), fmt.Sprintf("w-a%d", a.N%3))
 		if a.N%2 == 0 {
 			p.addEntry(info)
@@ -65,68 +65,68 @@
 	case 9:
 		p.fleet.DelayStarts(nil)
 	case 10:
-		p.fault()
-		p.away[name] = true
-		p.doors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[a.N%3])
+		p.recordFault()
+		p.withoutStore[name] = true
+		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[a.N%3])
 	case 11:
-		p.serve()
+		p.restoreStore()
 	}
 	for range 1 + a.N%6 {
 		time.Sleep(200 * ms)
-		if err := p.judge(); err != nil {
+		if err := p.checkCancelled(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *cancellations) fault() { p.lastFault = time.Now() }
+func (p *cancellationRun) recordFault() { p.lastFault = time.Now() }
 
-func (p *cancellations) serve() {
-	p.fault()
-	clear(p.away)
-	for _, d := range p.doors {
+func (p *cancellationRun) restoreStore() {
+	p.recordFault()
+	clear(p.withoutStore)
+	for _, d := range p.storeDoors {
 		d.Set(kvstore.Serves)
 	}
 }
 
 // hand hands in a submission whose tasks hang.
-func (p *cancellations) hand(at string, n int) {
+func (p *cancellationRun) submitHanging(at string, n int) {
 	id := submission.ID(fmt.Sprintf("s%d", len(p.stored)))
 	p.stored = append(p.stored, id)
 	out := p.submit(at, id, 1+n%4, runhost.Work{Time: 50 * ms, Hangs: true}, false)
 	go func() { <-out }()
 }
 
-func (p *cancellations) cancel(at string, n int) {
+func (p *cancellationRun) cancel(at string, n int) {
 	if len(p.stored) == 0 {
 		return
 	}
 	id := p.stored[n%len(p.stored)]
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	if s, err := p.vms[at].Cancel(ctx, id); err == nil && s == submission.Cancelled && p.cancelled[id].IsZero() {
-		p.cancelled[id] = time.Now()
+	if s, err := p.vms[at].Cancel(ctx, id); err == nil && s == submission.Cancelled && p.cancelledAt[id].IsZero() {
+		p.cancelledAt[id] = time.Now()
 	}
 }
 
 // judge holds what runs against what was cancelled.
-func (p *cancellations) judge() error {
-	if len(p.away) > 0 || time.Since(p.lastFault) < touchFor {
+func (p *cancellationRun) checkCancelled() error {
+	if len(p.withoutStore) > 0 || time.Since(p.lastFault) < faultSettleTime {
 		return nil
 	}
 	for _, id := range p.stored {
-		at := p.cancelled[id]
+		at := p.cancelledAt[id]
 		if at.IsZero() || p.fleet.Running(id) == 0 {
 			continue
 		}
 		counts := at
-		for _, s := range p.log.of(id) {
-			if late := s.at.Add(touchFor); late.After(counts) {
+		for _, s := range p.log.ofSubmission(id) {
+			if late := s.at.Add(faultSettleTime); late.After(counts) {
 				counts = late
 			}
 		}
-		if over := time.Since(counts) - cancelInForce - stopInForce; over > 0 && time.Since(p.lastFault) > touchFor+cancelInForce {
+		if over := time.Since(counts) - maxCancelDelay - maxStopDelay; over > 0 && time.Since(p.lastFault) > faultSettleTime+maxCancelDelay {
 			return fmt.Errorf("%s runs on %v after its cancelling must be in force", id, over)
 		}
 	}
@@ -134,12 +134,12 @@
 }
 
 // finish lets all faults end, and says what is wrong.
-func (p *cancellations) finish() error {
-	p.serve()
+func (p *cancellationRun) finish() error {
+	p.restoreStore()
 	p.fleet.DelayStarts(nil)
 	for range 100 {
 		time.Sleep(200 * ms)
-		if err := p.judge(); err != nil {
+		if err := p.checkCancelled(); err != nil {
 			return err
 		}
 	}
@@ -163,7 +163,7 @@
 	}))
 	properties.Property("nothing cancelled runs on", prop.ForAll(func(acts []cancelAct) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
-			p := &cancellations{world: newBornWorld(t, 3), cancelled: make(map[submission.ID]time.Time), away: make(map[string]bool)}
+			p := &cancellationRun{world: newWorldWithIncarnations(t, 3), cancelledAt: make(map[submission.ID]time.Time), withoutStore: make(map[string]bool)}
 			p.log = watchStarts(p.world)
 			for _, a := range acts {
 				if err = p.do(a); err != nil {
--- a/internal/kept/vm/catalog_test.go
+++ b/internal/kept/vm/catalog_test.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/kvstore"
 )
 
-func (w *world) configure(version int) {
+func (w *world) putCatalog(version int) {
 	w.store.Put("config/catalog", []byte(strconv.Itoa(version)))
 }
 
@@ -26,13 +26,13 @@
 // the store turns one VM away and is silent for another.
 func TestConfigurationIsInForceEverywhereWithinTwoSeconds(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.configure(5)
+		w.putCatalog(5)
 		time.Sleep(100 * ms)
 		w.wantVersion(5, "after a change")
-		w.doors["a2"].Set(kvstore.Refuses)
-		w.doors["b1"].Set(kvstore.Silent)
+		w.storeDoors["a2"].Set(kvstore.Refuses)
+		w.storeDoors["b1"].Set(kvstore.Silent)
 		for version := 10; version <= 40; version += 3 {
-			w.configure(version)
+			w.putCatalog(version)
 			time.Sleep(100 * ms)
 		}
 		time.Sleep(1900 * ms)
@@ -44,12 +44,12 @@
 // from a copy of the store that is behind; then the VM starts again.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.configure(9)
+		w.putCatalog(9)
 		time.Sleep(100 * ms)
-		w.configure(3)
+		w.putCatalog(3)
 		time.Sleep(time.Second)
 		w.wantVersion(9, "after an older one was read")
-		w.configure(12)
+		w.putCatalog(12)
 		time.Sleep(100 * ms)
 		w.kill("a1")
 		w.boot("a1")
@@ -63,14 +63,14 @@
 // goes on from the old revision has nothing to go on from.
 func TestConfigurationArrivesThoughItsHistoryWasDropped(t *testing.T) {
 	testWorld(t, func(w *world) {
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Silent)
 		}
 		time.Sleep(2 * time.Second)
-		w.configure(7)
+		w.putCatalog(7)
 		w.store.Compact()
 		time.Sleep(2 * time.Second)
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Serves)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/kept/vm/dark_test.go
+++ b/internal/kept/vm/dark_test.go
@@ -48,7 +48,7 @@
 // Symptom: short work is late when one of its starts is lost. Sequence: a start has no answer
 // and was not carried out; the worker is asked, the start is made void, and the task starts
 // again. Cause: the answer was waited for a hundred times as long as answers take.
-func TestALostStartIsMadeUpForInTime(t *testing.T) {
+func TestLostStartIsRetriedInTime(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for i := range 8 {
 			w.wantEnd(w.submit("a1", submission.ID(fmt.Sprint("warm-", i)), 4, runhost.Work{Time: 20 * ms}, true), submission.Done)
--- a/internal/kept/vm/early_test.go
+++ b/internal/kept/vm/early_test.go
@@ -34,7 +34,7 @@
 // Symptom: a VM that is cut off from everything keeps its callers waiting. Sequence: it is
 // up for some time, then it is cut off, and a submission comes. What cannot be served is
 // refused at once.
-func TestOnlyTheFirstMomentsOfAVMAreWaitedFor(t *testing.T) {
+func TestSubmissionsAreQueuedOnlyAtStartup(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, name := range []string{"a2", "b1", "b2"} {
 			w.kill(name)
@@ -52,7 +52,7 @@
 // Symptom: a submission runs for a caller that has left. Sequence: it comes to a VM that
 // has just started, waits for the first shard, and its caller goes. Cause would be: it is
 // kept where nobody looks for it.
-func TestACallerMayGoBeforeAShardIsKnown(t *testing.T) {
+func TestCallerLeavesBeforeAShardIsKnown(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, name := range []string{"a1", "a2", "b1", "b2"} {
 			w.kill(name)
--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -21,58 +21,58 @@
 
 // Bounds of the users' rule on evacuations.
 const (
-	evacuateWithin = 5 * time.Second // whatever happens, but for VMs that are cut off
-	touchFor       = 4 * time.Second // without a fault, for a VM to count as in touch
+	maxEvacuationDelayAfterFault = 5 * time.Second // whatever happens, but for VMs that are cut off
+	faultSettleTime              = 4 * time.Second // without a fault, for a VM to count as in touch
 )
 
 // span is a time; its end is zero while it goes on.
 type span struct{ from, to time.Time }
 
-func (s span) has(at time.Time) bool {
+func (s span) contains(at time.Time) bool {
 	return !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to))
 }
 
 // evacuations is a play of random requests of operators beside random faults.
-type evacuations struct {
+type evacuationRun struct {
 	*world
-	log      *startLog
-	asked    map[string][]span // evacuations, from the acknowledgement
-	cuts     map[string][]span
-	faults   []time.Time
-	away     span                 // the store was, for some VM
-	notices  map[string]time.Time // of workers that leave
-	hand     int
-	attempts []*attempt
-	tasks    map[submission.ID]int
-	stored   []submission.ID
+	log          *startLog
+	evacuated    map[string][]span // evacuations, from the acknowledgement
+	cuts         map[string][]span
+	faults       []time.Time
+	storeOutage  span                 // the store was, for some VM
+	leavingSince map[string]time.Time // of workers that leave
+	lastID       int
+	callers      []*caller
+	tasks        map[submission.ID]int
+	stored       []submission.ID
 }
 
 // evacuationAct is one random event: Op says what happens, N how much of it.
 type evacuationAct struct{ Op, N int }
 
-var names = []string{"a1", "a2", "b1", "b2"}
+var vmNames = []string{"a1", "a2", "b1", "b2"}
 
-func (p *evacuations) do(a evacuationAct) {
+func (p *evacuationRun) do(a evacuationAct) {
 	domain := []string{"a", "b"}[a.N%2]
-	name := names[a.N%len(names)]
+	name := vmNames[a.N%len(vmNames)]
 	switch a.Op {
 	case 0, 1:
-		p.ask(domain)
+		p.startEvacuation(domain)
 	case 2:
-		p.withdraw(domain)
+		p.stopEvacuation(domain)
 	case 3:
-		p.cutOff(name)
+		p.killVM(name)
 		p.boot(name)
 	case 4:
 		p.toggleCut(domain)
 	case 5:
-		p.fault()
-		p.beginAway()
-		p.doors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[a.N%3])
+		p.recordFault()
+		p.beginStoreOutage()
+		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[a.N%3])
 	case 6:
-		p.fault()
-		p.endAway()
-		for _, d := range p.doors {
+		p.recordFault()
+		p.endStoreOutage()
+		for _, d := range p.storeDoors {
 			d.Set(kvstore.Serves)
 		}
 	case 7:
@@ -86,72 +86,72 @@
 			p.restartAll()
 		}
 	case 11:
-		p.notice("w-" + domain + "0")
+		p.letLeave("w-" + domain + "0")
 	default:
-		p.load(a.N)
+		p.submitSome(a.N)
 	}
 	time.Sleep(time.Duration(a.N%5) * 150 * ms)
-	p.callers()
+	p.pollCallers()
 }
 
-func (p *evacuations) fault() { p.faults = append(p.faults, time.Now()) }
+func (p *evacuationRun) recordFault() { p.faults = append(p.faults, time.Now()) }
 
-// beginAway notes that the store does not serve a VM.
-func (p *evacuations) beginAway() {
-	if p.away.from.IsZero() || !p.away.to.IsZero() {
-		p.away = span{from: time.Now()}
+// beginStoreOutage notes that the store does not serve a VM.
+func (p *evacuationRun) beginStoreOutage() {
+	if p.storeOutage.from.IsZero() || !p.storeOutage.to.IsZero() {
+		p.storeOutage = span{from: time.Now()}
 	}
 }
 
-// endAway notes that the store serves all VMs again. What VMs did while it did not, and soon after, is not
+// endStoreOutage notes that the store serves all VMs again. What VMs did while it did not, and soon after, is not
 // held against them.
-func (p *evacuations) endAway() {
-	if !p.away.from.IsZero() && p.away.to.IsZero() {
-		p.away.to = time.Now()
+func (p *evacuationRun) endStoreOutage() {
+	if !p.storeOutage.from.IsZero() && p.storeOutage.to.IsZero() {
+		p.storeOutage.to = time.Now()
 	}
 }
 
 // notice has a worker leave, which serves on.
-func (p *evacuations) notice(id string) {
-	if p.notices[id].IsZero() {
-		p.giveNotice(id)
-		p.notices[id] = time.Now()
+func (p *evacuationRun) letLeave(id string) {
+	if p.leavingSince[id].IsZero() {
+		p.announceLeaving(id)
+		p.leavingSince[id] = time.Now()
 	}
 }
 
-// judgeNotice holds a start against its worker's notice.
-func (p *evacuations) judgeNotice(s startSeen) error {
-	asked, left := p.notices[s.worker]
-	if !left || s.at.Sub(asked) <= leavingWithin || p.unsettled(s) {
+// checkLeaveNotice holds a start against its worker's notice.
+func (p *evacuationRun) checkLeaveNotice(s observedStart) error {
+	asked, left := p.leavingSince[s.worker]
+	if !left || s.at.Sub(asked) <= maxLeaveNoticeDelay || p.isUnsettled(s) {
 		return nil
 	}
 	return fmt.Errorf("%v starts at %s %v after its notice", s.task, s.worker, s.at.Sub(asked))
 }
 
 // unsettled reports whether the store was away, or the domain cut off, within a time before a start.
-func (p *evacuations) unsettled(s startSeen) bool {
-	spans := append(slices.Clone(p.cuts[s.domain]), p.away)
+func (p *evacuationRun) isUnsettled(s observedStart) bool {
+	spans := append(slices.Clone(p.cuts[s.domain]), p.storeOutage)
 	return slices.ContainsFunc(spans, func(c span) bool {
-		return !c.from.IsZero() && s.at.After(c.from) && (c.to.IsZero() || s.at.Sub(c.to) < touchFor)
+		return !c.from.IsZero() && s.at.After(c.from) && (c.to.IsZero() || s.at.Sub(c.to) < faultSettleTime)
 	})
 }
 
-func (p *evacuations) ask(domain string) {
+func (p *evacuationRun) startEvacuation(domain string) {
 	p.evacuate(domain)
-	if s := p.asked[domain]; len(s) == 0 || !s[len(s)-1].to.IsZero() {
-		p.asked[domain] = append(s, span{from: time.Now()})
+	if s := p.evacuated[domain]; len(s) == 0 || !s[len(s)-1].to.IsZero() {
+		p.evacuated[domain] = append(s, span{from: time.Now()})
 	}
 }
 
-func (p *evacuations) withdraw(domain string) {
-	p.giveBack(domain)
-	if s := p.asked[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
+func (p *evacuationRun) stopEvacuation(domain string) {
+	p.endEvacuation(domain)
+	if s := p.evacuated[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
 		s[len(s)-1].to = time.Now()
 	}
 }
 
-func (p *evacuations) toggleCut(domain string) {
-	p.fault()
+func (p *evacuationRun) toggleCut(domain string) {
+	p.recordFault()
 	if s := p.cuts[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
 		p.cut(domain, false)
 		s[len(s)-1].to = time.Now()
@@ -162,98 +162,98 @@
 }
 
 // load hands in a few submissions at a VM, every third of them a stored one.
-func (p *evacuations) load(n int) {
+func (p *evacuationRun) submitSome(n int) {
 	for range 1 + n%4 {
-		p.hand++
-		id := submission.ID(fmt.Sprintf("s%d", p.hand))
-		transient := p.hand%3 > 0
+		p.lastID++
+		id := submission.ID(fmt.Sprintf("s%d", p.lastID))
+		transient := p.lastID%3 > 0
 		work := runhost.Work{Time: time.Duration(30+n%6*40) * ms}
-		at := (n + p.hand) % len(names)
+		at := (n + p.lastID) % len(vmNames)
 		p.tasks[id] = 1 + n%5
 		if transient {
-			p.insist(at, id, work)
+			p.submitWithRetries(at, id, work)
 			continue
 		}
-		out := p.submit(names[at], id, p.tasks[id], work, false)
+		out := p.submit(vmNames[at], id, p.tasks[id], work, false)
 		if o := <-out; o.Kind == Accepted {
 			p.stored = append(p.stored, id)
 		}
 	}
 }
 
-// sendAgain is after how long a caller without an answer sends its submission again.
-const sendAgain = 1300 * time.Millisecond
+// callerRetryDelay is after how long a caller without an answer sends its submission again.
+const callerRetryDelay = 1300 * time.Millisecond
 
 // attempt is a caller that waits for the answer to a transient submission.
-type attempt struct {
-	id      submission.ID
-	work    runhost.Work
-	at      int // index of its VM in names
-	out     chan Outcome
-	tries   int
-	againAt time.Time // zero: it waits for its answer
-	end     *Outcome
+type caller struct {
+	id       submission.ID
+	work     runhost.Work
+	at       int // index of its VM in names
+	out      chan Outcome
+	attempts int
+	retryAt  time.Time // zero: it waits for its answer
+	outcome  *Outcome
 }
 
 // insist hands a transient submission in. Its caller sends it again, to the next VM, each time that
 // it gets no answer.
-func (p *evacuations) insist(at int, id submission.ID, work runhost.Work) {
-	p.attempts = append(p.attempts, &attempt{id: id, work: work, at: at, tries: 1, out: p.submit(names[at], id, p.tasks[id], work, true)})
+func (p *evacuationRun) submitWithRetries(at int, id submission.ID, work runhost.Work) {
+	p.callers = append(p.callers, &caller{id: id, work: work, at: at, attempts: 1, out: p.submit(vmNames[at], id, p.tasks[id], work, true)})
 }
 
 // callers lets the callers take their answers, and those whose time has come try again.
-func (p *evacuations) callers() {
-	for _, a := range p.attempts {
-		if a.end != nil {
+func (p *evacuationRun) pollCallers() {
+	for _, a := range p.callers {
+		if a.outcome != nil {
 			continue
 		}
-		if !a.againAt.IsZero() {
-			if !time.Now().Before(a.againAt) {
-				a.at = (a.at + 1) % len(names)
-				a.tries++
-				a.againAt = time.Time{}
-				a.out = p.submit(names[a.at], a.id, p.tasks[a.id], a.work, true)
+		if !a.retryAt.IsZero() {
+			if !time.Now().Before(a.retryAt) {
+				a.at = (a.at + 1) % len(vmNames)
+				a.attempts++
+				a.retryAt = time.Time{}
+				a.out = p.submit(vmNames[a.at], a.id, p.tasks[a.id], a.work, true)
 			}
 			continue
 		}
 		select {
 		case o := <-a.out:
-			if o.Kind == Indeterminate && a.tries < 5 {
-				a.againAt = time.Now().Add(sendAgain)
+			if o.Kind == Indeterminate && a.attempts < 5 {
+				a.retryAt = time.Now().Add(callerRetryDelay)
 				continue
 			}
-			a.end = &o
+			a.outcome = &o
 		default:
 		}
 	}
 }
 
-// cutOff is told of a VM whose connections break.
-func (p *evacuations) cutOff(name string) {
-	p.fault()
+// killVM is told of a VM whose connections break.
+func (p *evacuationRun) killVM(name string) {
+	p.recordFault()
 	p.kill(name)
-	for _, a := range p.attempts {
-		if a.end == nil && a.againAt.IsZero() && names[a.at] == name {
-			a.againAt = time.Now().Add(sendAgain)
+	for _, a := range p.callers {
+		if a.outcome == nil && a.retryAt.IsZero() && vmNames[a.at] == name {
+			a.retryAt = time.Now().Add(callerRetryDelay)
 		}
 	}
 }
 
 // restartAll has all VMs lose power at once, and start again.
-func (p *evacuations) restartAll() {
-	for _, name := range names {
-		p.cutOff(name)
+func (p *evacuationRun) restartAll() {
+	for _, name := range vmNames {
+		p.killVM(name)
 	}
 	time.Sleep(300 * ms)
-	for _, name := range names {
+	for _, name := range vmNames {
 		p.boot(name)
 	}
 }
 
 // finish lets all faults end, and says what is wrong.
-func (p *evacuations) finish() error {
+func (p *evacuationRun) finish() error {
 	for _, domain := range p.domains {
-		p.withdraw(domain)
+		p.stopEvacuation(domain)
 		if s := p.cuts[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
 			p.toggleCut(domain)
 		}
@@ -262,20 +262,20 @@
 	p.do(evacuationAct{Op: 8})
 	for range 60 {
 		time.Sleep(500 * ms)
-		p.callers()
+		p.pollCallers()
 	}
-	for _, a := range p.attempts {
+	for _, a := range p.callers {
 		switch {
-		case a.end == nil:
-			return fmt.Errorf("%s has no answer after %d tries", a.id, a.tries)
-		case a.end.Kind == Refused && a.tries == 1 && p.fleet.Starts(a.id) > 0:
-			return fmt.Errorf("%s was refused as not run (%s), and has run", a.id, a.end.Reason)
-		case a.end.Kind == Ended && !p.whole(a.id):
-			return fmt.Errorf("%s was answered as %s, and not all of its tasks have completed", a.id, a.end.State)
+		case a.outcome == nil:
+			return fmt.Errorf("%s has no answer after %d tries", a.id, a.attempts)
+		case a.outcome.Kind == Refused && a.attempts == 1 && p.fleet.Starts(a.id) > 0:
+			return fmt.Errorf("%s was refused as not run (%s), and has run", a.id, a.outcome.Reason)
+		case a.outcome.Kind == Ended && !p.allCompleted(a.id):
+			return fmt.Errorf("%s was answered as %s, and not all of its tasks have completed", a.id, a.outcome.State)
 		}
 	}
 	for _, id := range p.stored {
-		if s := p.state("a1", id); s != submission.Done || !p.whole(id) {
+		if s := p.state("a1", id); s != submission.Done || !p.allCompleted(id) {
 			return fmt.Errorf("%s was accepted and is %s", id, s)
 		}
 	}
@@ -283,8 +283,8 @@
 		return fmt.Errorf("%v", f)
 	}
 	for _, domain := range p.domains {
-		for _, s := range p.log.in(domain, time.Time{}, time.Now()) {
-			if err := errors.Join(p.judge(s), p.judgeNotice(s)); err != nil {
+		for _, s := range p.log.inDomain(domain, time.Time{}, time.Now()) {
+			if err := errors.Join(p.checkStart(s), p.checkLeaveNotice(s)); err != nil {
 				return err
 			}
 		}
@@ -293,7 +293,7 @@
 }
 
 // whole reports whether each task of a submission has completed.
-func (p *evacuations) whole(id submission.ID) bool {
+func (p *evacuationRun) allCompleted(id submission.ID) bool {
 	for i := range p.tasks[id] {
 		if p.fleet.Done(submission.TaskRef{ID: id, Task: submission.Task{Index: i}}) == 0 {
 			return false
@@ -303,20 +303,20 @@
 }
 
 // judge holds a start against the evacuations of its domain.
-func (p *evacuations) judge(s startSeen) error {
+func (p *evacuationRun) checkStart(s observedStart) error {
 	for _, c := range p.cuts[s.domain] {
-		if c.has(s.at) || !c.to.IsZero() && s.at.After(c.to) && s.at.Sub(c.to) < touchFor {
+		if c.contains(s.at) || !c.to.IsZero() && s.at.After(c.to) && s.at.Sub(c.to) < faultSettleTime {
 			return nil // its VMs could not know
 		}
 	}
-	for _, asked := range p.asked[s.domain] {
-		within := inForce
+	for _, asked := range p.evacuated[s.domain] {
+		within := maxEvacuationDelay
 		for _, f := range p.faults {
-			if f.After(asked.from.Add(-touchFor)) && f.Before(s.at) {
-				within = evacuateWithin
+			if f.After(asked.from.Add(-faultSettleTime)) && f.Before(s.at) {
+				within = maxEvacuationDelayAfterFault
 			}
 		}
-		if asked.has(s.at) && s.at.Sub(asked.from) > within {
+		if asked.contains(s.at) && s.at.Sub(asked.from) > within {
 			return fmt.Errorf("%v starts in domain %s %v after its evacuation was acknowledged", s.task, s.domain, s.at.Sub(asked.from))
 		}
 	}
@@ -337,16 +337,16 @@
 	}))
 	properties.Property("nothing starts, nothing is lost", prop.ForAll(func(acts []evacuationAct) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
-			p := &evacuations{
-				world: newTwoDomains(t),
-				asked: make(map[string][]span),
-				cuts:  make(map[string][]span),
-				tasks: make(map[submission.ID]int),
+			p := &evacuationRun{
+				world:     newTwoDomains(t),
+				evacuated: make(map[string][]span),
+				cuts:      make(map[string][]span),
+				tasks:     make(map[submission.ID]int),
 
-				notices: make(map[string]time.Time),
+				leavingSince: make(map[string]time.Time),
 			}
 			p.log = watchStarts(p.world)
-			p.slowLists(100 * ms)
+			p.delayWorkerList(100 * ms)
 			for _, a := range acts {
 				p.do(a)
 			}
--- a/internal/kept/vm/evacuate_test.go
+++ b/internal/kept/vm/evacuate_test.go
@@ -14,25 +14,25 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// inForce is how soon after its acknowledgement an evacuation holds at every VM that is in touch.
-const inForce = time.Second
+// maxEvacuationDelay is how soon after its acknowledgement an evacuation holds at every VM that is in touch.
+const maxEvacuationDelay = time.Second
 
-func (w *world) evacuate(domain string) { w.store.Put("config/evacuated/"+domain, []byte("{}")) }
-func (w *world) giveBack(domain string) { w.store.Delete("config/evacuated/" + domain) }
+func (w *world) evacuate(domain string)      { w.store.Put("config/evacuated/"+domain, []byte("{}")) }
+func (w *world) endEvacuation(domain string) { w.store.Delete("config/evacuated/" + domain) }
 
 func wantNoStarts(t *testing.T, l *startLog, domain string, from, to time.Time) {
 	t.Helper()
-	if late := l.in(domain, from, to); len(late) > 0 {
+	if late := l.inDomain(domain, from, to); len(late) > 0 {
 		t.Errorf("%d starts in the evacuated domain, the first %v after it was in force", len(late), late[0].at.Sub(from))
 	}
 }
 
-// wantUsedAgain checks that work starts in the first domain once its return is in force.
-func wantUsedAgain(t *testing.T, w *world, l *startLog, every time.Duration) {
+// wantStartsAfterReturn checks that work starts in the first domain once its return is in force.
+func wantStartsAfterReturn(t *testing.T, w *world, l *startLog, every time.Duration) {
 	t.Helper()
-	back := time.Now().Add(inForce)
-	w.stream("a1", "after", every, 2*time.Second)
-	if len(l.in("a", back, time.Now())) == 0 {
+	back := time.Now().Add(maxEvacuationDelay)
+	w.submitRepeatedly("a1", "after", every, 2*time.Second)
+	if len(l.inDomain("a", back, time.Now())) == 0 {
 		t.Error("nothing starts in the domain after it was given back")
 	}
 }
@@ -43,20 +43,20 @@
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
 		w.evacuate("a")
-		from := time.Now().Add(inForce)
-		if done, other := w.stream("a1", "during", 50*ms, 4*time.Second); other > 0 {
+		from := time.Now().Add(maxEvacuationDelay)
+		if done, other := w.submitRepeatedly("a1", "during", 50*ms, 4*time.Second); other > 0 {
 			t.Errorf("%d done, %d not, while another domain has room", done, other)
 		}
 		wantNoStarts(t, l, "a", from, time.Now())
-		w.giveBack("a")
-		wantUsedAgain(t, w, l, 50*ms)
+		w.endEvacuation("a")
+		wantStartsAfterReturn(t, w, l, 50*ms)
 	})
 }
 
 // Symptom: callers wait for room in an emptied domain while others are free. Sequence: both
 // domains are full, a submission waits in the first; that one is evacuated, and the second gets
 // free. What runs in the first goes on to its end.
-func TestWhatWaitsInAnEvacuatedDomainMovesAtOnce(t *testing.T) {
+func TestQueuedTasksLeaveAnEvacuatedDomainAtOnce(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
 		long := w.submit("a1", "long", 6, runhost.Work{Time: 3 * time.Second}, true)
@@ -69,7 +69,7 @@
 		}
 		time.Sleep(50 * ms)
 		w.evacuate("a")
-		from := time.Now().Add(inForce)
+		from := time.Now().Add(maxEvacuationDelay)
 		w.wantEnd(short, submission.Done)
 		for i, out := range waiting {
 			w.wantEnd(out, submission.Done)
@@ -78,7 +78,7 @@
 			}
 		}
 		if took := time.Since(from); took > time.Second {
-			t.Errorf("what waited ended %v after the evacuation, want within 1.5 s of room for all", took+inForce)
+			t.Errorf("what waited ended %v after the evacuation, want within 1.5 s of room for all", took+maxEvacuationDelay)
 		}
 		w.wantEnd(long, submission.Done)
 		if n := w.fleet.Starts("long"); n != 6 {
@@ -94,17 +94,17 @@
 func TestPartOfASubmissionLeavesAnEvacuatedDomain(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("b")
-		time.Sleep(inForce)
+		time.Sleep(maxEvacuationDelay)
 		half := w.submit("a1", "half", 10, runhost.Work{Time: 500 * ms}, true) // six of them fit
 		time.Sleep(100 * ms)
 		l := watchStarts(w)
-		w.giveBack("b")
+		w.endEvacuation("b")
 		w.evacuate("a")
 		w.wantEnd(half, submission.Done)
 		if n := w.fleet.Starts("half"); n != 10 {
 			t.Errorf("%d starts of 10 tasks", n)
 		}
-		if n := len(l.in("b", time.Time{}, time.Now())); n != 4 {
+		if n := len(l.inDomain("b", time.Time{}, time.Now())); n != 4 {
 			t.Errorf("%d tasks started in the other domain, want the 4 that waited", n)
 		}
 		for i := range 10 {
@@ -119,7 +119,7 @@
 // Symptom: a VM that has just started fills an emptied domain. Sequence: the evacuation is old when
 // all VMs are killed and start again. Cause would be: a shard's new holder starts what comes
 // before its watch has answered.
-func TestRestartedVMsAskBeforeTheirFirstStart(t *testing.T) {
+func TestRestartedVMsReadEvacuationsBeforeFirstStart(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("a")
 		time.Sleep(2 * time.Second)
@@ -131,9 +131,9 @@
 		for _, name := range []string{"a1", "a2", "b1", "b2"} {
 			w.boot(name)
 		}
-		w.stream("a1", "job", 20*ms, 3*time.Second)
+		w.submitRepeatedly("a1", "job", 20*ms, 3*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
-		if len(l.in("b", from, time.Now())) == 0 {
+		if len(l.inDomain("b", from, time.Now())) == 0 {
 			t.Error("nothing starts in the other domain either")
 		}
 	})
@@ -146,13 +146,13 @@
 		l := watchStarts(w)
 		run := w.submit("b1", "runs", 6, runhost.Work{Time: 2 * time.Second}, true)
 		time.Sleep(20 * ms)
-		w.wantTaken(w.submit("b1", "kept", 6, runhost.Work{Time: 300 * ms}, false))
+		w.wantAccepted(w.submit("b1", "kept", 6, runhost.Work{Time: 300 * ms}, false))
 		w.evacuate("a")
-		from := time.Now().Add(inForce)
-		time.Sleep(inForce)
+		from := time.Now().Add(maxEvacuationDelay)
+		time.Sleep(maxEvacuationDelay)
 		w.kill(w.holderOf("a"))
 		at := "b1"
-		w.stream(at, "more", 40*ms, 4*time.Second)
+		w.submitRepeatedly(at, "more", 40*ms, 4*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
 		w.wantEnd(run, submission.Done)
 		if s := w.state("b2", "kept"); s != submission.Done {
@@ -161,8 +161,8 @@
 	})
 }
 
-// configWatch reports whether a call follows the operators' configuration.
-func configWatch(c relay.Call) bool {
+// isConfigWatch reports whether a call follows the operators' configuration.
+func isConfigWatch(c relay.Call) bool {
 	return strings.Contains(string(c.Body), `"config/"`)
 }
 
@@ -173,8 +173,8 @@
 	testWorld(t, func(w *world) {
 		asked := make(chan struct{}, 64)
 		for _, name := range []string{"a1", "a2"} {
-			w.doors[name].Silence(func(c relay.Call) bool {
-				if !configWatch(c) {
+			w.storeDoors[name].Silence(func(c relay.Call) bool {
+				if !isConfigWatch(c) {
 					return false
 				}
 				asked <- struct{}{}
@@ -185,8 +185,8 @@
 		<-asked // both watches have begun and will hear nothing
 		l := watchStarts(w)
 		w.evacuate("a")
-		from := time.Now().Add(inForce)
-		w.stream("a1", "job", 20*ms, 3*time.Second)
+		from := time.Now().Add(maxEvacuationDelay)
+		w.submitRepeatedly("a1", "job", 20*ms, 3*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
 	})
 }
@@ -194,18 +194,18 @@
 // Symptom: a VM that has just started fills an emptied domain. Sequence: all VMs are off; one
 // starts, takes the domain's shard, and the connection on which it watches the configuration is
 // silent. No peer is there to tell it.
-func TestNewHolderAsksForEvacuationsItself(t *testing.T) {
+func TestNewHolderReadsEvacuationsFromTheStore(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("a")
-		time.Sleep(inForce)
+		time.Sleep(maxEvacuationDelay)
 		for _, name := range []string{"a1", "a2", "b1", "b2"} {
 			w.kill(name)
 		}
 		l := watchStarts(w)
-		w.doors["a1"].Silence(configWatch)
+		w.storeDoors["a1"].Silence(isConfigWatch)
 		from := time.Now()
 		w.boot("a1")
-		w.stream("a1", "job", 20*ms, 4*time.Second)
+		w.submitRepeatedly("a1", "job", 20*ms, 4*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
 		w.holderOf("a")
 	})
@@ -213,17 +213,17 @@
 
 // Symptom: an evacuation, or its end, is missed for ever. Sequence: the store drops its history
 // with the change in it, and with it what the watches wait for.
-func TestEvacuationSurvivesALostHistory(t *testing.T) {
+func TestEvacuationSurvivesStoreCompaction(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
 		w.evacuate("a")
 		w.store.Compact()
-		from := time.Now().Add(inForce)
-		w.stream("a1", "during", 20*ms, 2*time.Second)
+		from := time.Now().Add(maxEvacuationDelay)
+		w.submitRepeatedly("a1", "during", 20*ms, 2*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
-		w.giveBack("a")
+		w.endEvacuation("a")
 		w.store.Compact()
-		wantUsedAgain(t, w, l, 20*ms)
+		wantStartsAfterReturn(t, w, l, 20*ms)
 	})
 }
 
@@ -234,7 +234,7 @@
 		l := watchStarts(w)
 		full := w.submit("a1", "full", 12, runhost.Work{Time: 1500 * ms}, true)
 		time.Sleep(50 * ms)
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
 		waits := w.submit("b1", "waits", 2, runhost.Work{Time: 400 * ms}, true)
 		time.Sleep(20 * ms)
 		w.evacuate("a")
@@ -246,7 +246,7 @@
 		if took := time.Since(began); took > 100*ms {
 			t.Errorf("it was told after %v", took)
 		}
-		time.Sleep(inForce)
+		time.Sleep(maxEvacuationDelay)
 		began = time.Now()
 		o := <-w.submit("a1", "late", 1, runhost.Work{Time: 40 * ms}, true)
 		if o.Kind != Refused || o.RetryAfter == 0 || time.Since(began) > 20*ms {
@@ -259,7 +259,7 @@
 		if w.fleet.Starts("waits")+w.fleet.Starts("late") > 0 {
 			t.Error("a refused submission has run")
 		}
-		w.giveBack("b")
+		w.endEvacuation("b")
 		time.Sleep(3 * time.Second)
 		if s := w.state("a1", "kept"); s != submission.Done {
 			t.Errorf("the stored submission is %s after a domain was given back", s)
@@ -272,14 +272,14 @@
 func TestStoredSubmissionLeavesAnEvacuatedDomain(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("b")
-		time.Sleep(inForce)
-		w.wantTaken(w.submit("a1", "half", 9, runhost.Work{Time: 500 * ms}, false))
-		w.wantTaken(w.submit("a2", "none", 2, runhost.Work{Time: 500 * ms}, false))
-		w.giveBack("b")
+		time.Sleep(maxEvacuationDelay)
+		w.wantAccepted(w.submit("a1", "half", 9, runhost.Work{Time: 500 * ms}, false))
+		w.wantAccepted(w.submit("a2", "none", 2, runhost.Work{Time: 500 * ms}, false))
+		w.endEvacuation("b")
 		time.Sleep(100 * ms)
 		l := watchStarts(w)
 		w.evacuate("a")
-		from := time.Now().Add(inForce)
+		from := time.Now().Add(maxEvacuationDelay)
 		time.Sleep(3500 * ms)
 		wantNoStarts(t, l, "a", from, time.Now())
 		for id, tasks := range map[submission.ID]int{"half": 9, "none": 2} {
@@ -299,14 +299,14 @@
 	testWorld(t, func(w *world) {
 		full := w.submit("b1", "full", 12, runhost.Work{Time: 2 * time.Second}, true)
 		time.Sleep(50 * ms)
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
 		for range 3 {
 			w.evacuate("a")
 			time.Sleep(300 * ms)
-			w.giveBack("a")
+			w.endEvacuation("a")
 			w.evacuate("b")
 			time.Sleep(300 * ms)
-			w.giveBack("b")
+			w.endEvacuation("b")
 		}
 		w.wantEnd(full, submission.Done)
 		time.Sleep(3 * time.Second)
@@ -327,10 +327,10 @@
 		w.cut("a", true)
 		time.Sleep(time.Second)
 		w.evacuate("a")
-		w.stream("a1", "cut", 50*ms, 2*time.Second)
+		w.submitRepeatedly("a1", "cut", 50*ms, 2*time.Second)
 		w.cut("a", false)
-		from := time.Now().Add(2 * inForce)
-		w.stream("a1", "healed", 50*ms, 4*time.Second)
+		from := time.Now().Add(2 * maxEvacuationDelay)
+		w.submitRepeatedly("a1", "healed", 50*ms, 4*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
 	})
 }
@@ -388,12 +388,12 @@
 			t.Fatalf("before the evacuation: %+v", o)
 		}
 		w.evacuate("a")
-		time.Sleep(inForce)
+		time.Sleep(maxEvacuationDelay)
 		if o, took := ask("during"); o.Kind != Refused || o.RetryAfter == 0 || took > 20*ms {
 			t.Errorf("answered %+v after %v, want busy at once", o, took)
 		}
-		w.giveBack("a")
-		time.Sleep(inForce)
+		w.endEvacuation("a")
+		time.Sleep(maxEvacuationDelay)
 		if o, _ := ask("after"); o.Kind != Ended || o.State != submission.Done {
 			t.Errorf("after it was given back: %+v", o)
 		}
--- a/internal/kept/vm/follow_test.go
+++ b/internal/kept/vm/follow_test.go
@@ -30,7 +30,7 @@
 func (w *world) countWatches(names []string) *atomic.Int64 {
 	var n atomic.Int64
 	for _, name := range names {
-		w.doors[name].Silence(func(c relay.Call) bool {
+		w.storeDoors[name].Silence(func(c relay.Call) bool {
 			if c.Target == "/store/watch" && bytes.Contains(c.Body, []byte(site.Prefix)) {
 				n.Add(1)
 			}
@@ -59,8 +59,8 @@
 			time.Sleep(20 * ms)
 		}
 		rate := float64(n.Load()) / during.Seconds()
-		if atRest := float64(len(calm)) / siteWatchWait.Seconds(); rate > siteReadShare*w.storeReads+atRest {
-			t.Errorf("%.0f watches a second by %d VMs, want %.0f at most", rate, len(calm), siteReadShare*w.storeReads+atRest)
+		if atRest := float64(len(calm)) / siteWatchWait.Seconds(); rate > siteReadShare*w.storeReadsPerSecond+atRest {
+			t.Errorf("%.0f watches a second by %d VMs, want %.0f at most", rate, len(calm), siteReadShare*w.storeReadsPerSecond+atRest)
 		}
 		w.store.Delete(site.MemberKey("x"))
 		for name := range holders { // what matters to callers is heard all the same
--- a/internal/kept/vm/foreign_test.go
+++ b/internal/kept/vm/foreign_test.go
@@ -43,22 +43,22 @@
 		w.store.Put("workers/w-a9", value)
 		time.Sleep(2 * time.Second)
 		holder := w.vms[w.holderOf("a")]
-		if n := sessionsOf(holder, "a/0"); n != 3 {
+		if n := sessionCount(holder, "a/0"); n != 3 {
 			t.Errorf("%d workers are held, want 3", n)
 		}
 	})
 }
 
-// sessionsOf counts the workers that a VM holds of a shard.
-func sessionsOf(v *VM, shard string) int {
+// sessionCount counts the workers that a VM holds of a shard.
+func sessionCount(v *VM, shard string) int {
 	reply := make(chan int, 1)
-	v.post(sessionsEvent{shard: shard, reply: reply})
+	v.post(sessionCountEvent{shard: shard, reply: reply})
 	return <-reply
 }
 
-type sessionsEvent struct {
+type sessionCountEvent struct {
 	shard string
 	reply chan int
 }
 
-func (ev sessionsEvent) apply(e *engine) { ev.reply <- len(e.shards[ev.shard].sessions) }
+func (ev sessionCountEvent) apply(e *engine) { ev.reply <- len(e.shards[ev.shard].sessions) }
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -41,8 +41,8 @@
 	return worker.Listing{}, worker.Reply{Verdict: worker.NoAnswer}
 }
 
-// loneEngine is an engine that holds a shard of two workers and knows another's, and is reached by events only.
-func loneEngine(t *testing.T) *engine {
+// newIsolatedEngine is an engine that holds a shard of two workers and knows another's, and is reached by events only.
+func newIsolatedEngine(t *testing.T) *engine {
 	t.Helper()
 	now := time.Hour
 	v := &VM{
@@ -109,7 +109,7 @@
 		if proto.Unmarshal(data, &frame) != nil {
 			return
 		}
-		e := loneEngine(t)
+		e := newIsolatedEngine(t)
 		scannedEvent{shard: "a/0", token: 4}.apply(e)
 		for range 2 {
 			frameEvent{from: "b1", frame: &frame}.apply(e)
@@ -129,7 +129,7 @@
 	f.Add("shard/nowhere", []byte(`{"h":"a1","t":1}`))
 	f.Add("domain/b", []byte(`{"n":1000}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		e := loneEngine(t)
+		e := newIsolatedEngine(t)
 		siteEvent{requestedAt: e.now, events: []store.Event{{Item: store.Item{Key: site.Prefix + key, Value: value, Revision: 9}}}}.apply(e)
 		e.now += time.Second
 		e.site.Decide(e.now)
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -10,20 +10,20 @@
 )
 
 // scripted answers holds one after the other as a script says, and remembers them.
-type scripted struct {
+type scriptedClient struct {
 	worker.Client
 	answers []worker.Reply
 	holds   []worker.Hold
 }
 
-func (s *scripted) Hold(_ context.Context, _ worker.Info, h worker.Hold) (worker.Listing, worker.Reply) {
+func (s *scriptedClient) Hold(_ context.Context, _ worker.Info, h worker.Hold) (worker.Listing, worker.Reply) {
 	r := s.answers[len(s.holds)]
 	s.holds = append(s.holds, h)
 	return worker.Listing{Clock: r.Clock, Born: r.Born}, r
 }
 
-func scriptedSession(born int64, answers ...worker.Reply) (*workerSession, *scripted) {
-	s := &scripted{answers: answers}
+func newScriptedSession(born int64, answers ...worker.Reply) (*workerSession, *scriptedClient) {
+	s := &scriptedClient{answers: answers}
 	v := &VM{now: func() time.Duration { return time.Hour }}
 	v.config.Workers = s
 	v.config.MaxLease = time.Second
@@ -38,7 +38,7 @@
 // Guards against ends of the next incarnation that are forgotten as they have numbers of earlier ones.
 func TestHoldAfterSilenceAcknowledgesNothing(t *testing.T) {
 	answer := worker.Reply{Clock: time.Second, Born: 5}
-	h, s := scriptedSession(5, answer, answer, worker.Reply{Verdict: worker.NoAnswer}, answer, answer)
+	h, s := newScriptedSession(5, answer, answer, worker.Reply{Verdict: worker.NoAnswer}, answer, answer)
 	h.acknowledge(57)
 	for range s.answers {
 		h.renew(t.Context(), time.Second)
@@ -64,7 +64,7 @@
 		"an earlier one":     {5, 3, worker.Reply{Verdict: worker.NoAnswer}},
 		"nobody's was known": {0, 0, worker.Reply{}},
 	} {
-		h, _ := scriptedSession(c.known)
+		h, _ := newScriptedSession(c.known)
 		if got := h.checkIncarnation(worker.Reply{Born: c.answers}); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -17,11 +17,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// leavingWithin is how soon after its notice a worker gets nothing new from a VM that is in touch.
-const leavingWithin = 2 * time.Second
+// maxLeaveNoticeDelay is how soon after its notice a worker gets nothing new from a VM that is in touch.
+const maxLeaveNoticeDelay = 2 * time.Second
 
-// giveNotice has a worker say in the list that it leaves. It goes on serving.
-func (w *world) giveNotice(id string) {
+// announceLeaving has a worker say in the list that it leaves. It goes on serving.
+func (w *world) announceLeaving(id string) {
 	w.t.Helper()
 	it, err := w.store.Get(context.Background(), "workers/"+id)
 	if err != nil || it.Revision == 0 {
@@ -44,7 +44,7 @@
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	late := slices.DeleteFunc(slices.Clone(l.seen), func(s startSeen) bool {
+	late := slices.DeleteFunc(slices.Clone(l.starts), func(s observedStart) bool {
 		return !slices.Contains(ids, s.worker) || s.at.Before(from)
 	})
 	if len(late) > 0 {
@@ -65,18 +65,18 @@
 	for name, change := range changes {
 		for _, shard := range []string{"a/0", "a/1"} {
 			t.Run(name+" "+shard, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testNewHolderOf(t, shard, change) })
+				synctest.Test(t, func(t *testing.T) { testNewHolderAfter(t, shard, change) })
 			})
 		}
 	}
 }
 
-// testNewHolderOf has half of the workers give notice, and the holder of a shard change once it is
+// testNewHolderAfter has half of the workers give notice, and the holder of a shard change once it is
 // known. The rest has no room for all that comes.
-func testNewHolderOf(t *testing.T, shard string, change func(w *world, holder string)) {
+func testNewHolderAfter(t *testing.T, shard string, change func(w *world, holder string)) {
 	w := newWorld(t, "a")
 	defer w.end()
-	w.weights = map[string]float64{"a1": 0.2, "a2": 0.2, "a3": 0.2}
+	w.cores = map[string]float64{"a1": 0.2, "a2": 0.2, "a3": 0.2}
 	var leaving []string
 	for i := range 24 {
 		w.addDeskWorker(fmt.Sprint(i), "a")
@@ -84,20 +84,20 @@
 			leaving = append(leaving, fmt.Sprintf("w-%d", i))
 		}
 	}
-	for name := range w.weights {
+	for name := range w.cores {
 		w.boot(name)
 	}
 	time.Sleep(5 * time.Second)
 	l := watchStarts(w)
 	for _, id := range leaving {
-		w.giveNotice(id)
+		w.announceLeaving(id)
 	}
-	from := time.Now().Add(leavingWithin)
-	time.Sleep(leavingWithin + time.Second)
+	from := time.Now().Add(maxLeaveNoticeDelay)
+	time.Sleep(maxLeaveNoticeDelay + time.Second)
 	var outs []chan Outcome
 	home := ""
 	holder := w.holderOfShard(shard)
-	for name := range w.weights {
+	for name := range w.cores {
 		if name != holder {
 			home = name
 		}
@@ -107,7 +107,7 @@
 	}
 	time.Sleep(10 * ms)
 	change(w, holder)
-	if done, _ := w.stream(home, "after", 5*ms, 1500*ms); done == 0 {
+	if done, _ := w.submitRepeatedly(home, "after", 5*ms, 1500*ms); done == 0 {
 		t.Error("nothing was served after the change")
 	}
 	for _, out := range outs {
@@ -116,25 +116,25 @@
 	wantNoStartsOn(t, l, leaving, from)
 }
 
-// listCall reports whether a call reads or follows the list of workers.
-func listCall(c relay.Call) bool { return strings.Contains(string(c.Body), `"workers/"`) }
+// isWorkerListCall reports whether a call reads or follows the list of workers.
+func isWorkerListCall(c relay.Call) bool { return strings.Contains(string(c.Body), `"workers/"`) }
 
-// silenceList has no VM hear of the list of workers.
-func (w *world) silenceList(silent bool) {
-	for _, d := range w.doors {
+// silenceWorkerList has no VM hear of the list of workers.
+func (w *world) silenceWorkerList(silent bool) {
+	for _, d := range w.storeDoors {
 		if silent {
-			d.Silence(listCall)
+			d.Silence(isWorkerListCall)
 		} else {
 			d.Silence(nil)
 		}
 	}
 }
 
-// slowLists has each call for the list of workers take longer.
-func (w *world) slowLists(by time.Duration) {
-	for _, d := range w.doors {
+// delayWorkerList has each call for the list of workers take longer.
+func (w *world) delayWorkerList(by time.Duration) {
+	for _, d := range w.storeDoors {
 		d.Slow(func(c relay.Call) time.Duration {
-			if listCall(c) {
+			if isWorkerListCall(c) {
 				return by
 			}
 			return 0
@@ -151,19 +151,19 @@
 		}
 		leaving := []string{"w-a0", "w-a1", "w-b0", "w-b1"}
 		for _, id := range leaving {
-			w.giveNotice(id)
+			w.announceLeaving(id)
 		}
-		time.Sleep(leavingWithin)
+		time.Sleep(maxLeaveNoticeDelay)
 		l := watchStarts(w)
 		from := time.Now()
 		for _, name := range all {
 			w.boot(name)
 		}
-		w.silenceList(true) // the list comes some time after all else
-		w.stream("a1", "early", 10*ms, time.Second)
-		w.silenceList(false)
+		w.silenceWorkerList(true) // the list comes some time after all else
+		w.submitRepeatedly("a1", "early", 10*ms, time.Second)
+		w.silenceWorkerList(false)
 		time.Sleep(time.Second)
-		if done, _ := w.stream("a1", "job", 10*ms, time.Second); done == 0 {
+		if done, _ := w.submitRepeatedly("a1", "job", 10*ms, time.Second); done == 0 {
 			t.Error("nothing was served")
 		}
 		wantNoStartsOn(t, l, leaving, from)
@@ -171,26 +171,26 @@
 }
 
 // Guards against an idle shard, and starts at leaving workers, when the store fails right after a takeover.
-func TestNewHolderWithoutTheStoreGoesByWhatIsStored(t *testing.T) {
+func TestNewHolderWithoutTheStoreUsesStoredWorkers(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.giveNotice("w-a0")
-		time.Sleep(leavingWithin)
+		w.announceLeaving("w-a0")
+		time.Sleep(maxLeaveNoticeDelay)
 		l := watchStarts(w)
 		from := time.Now()
 		holder := w.holderOf("a")
 		next := other(holder)
-		w.silenceList(true)
+		w.silenceWorkerList(true)
 		w.kill(holder)
 		time.Sleep(20 * ms)
 		for !w.vms[next].HoldsShard("a/0") {
 			time.Sleep(10 * ms)
 		}
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Silent)
 		}
 		time.Sleep(2 * time.Second)
 		w.wantEnd(w.submit(next, "job", 8, runhost.Work{Time: 100 * ms}, true), submission.Done)
-		if n := len(l.in("a", from, time.Now())); n == 0 {
+		if n := len(l.inDomain("a", from, time.Now())); n == 0 {
 			t.Error("nothing started in the domain")
 		}
 		wantNoStartsOn(t, l, []string{"w-a0"}, from)
@@ -198,10 +198,10 @@
 }
 
 // Guards against starts on an old list: the reader is silent though its link stands.
-func TestNothingStartsOnAnOldList(t *testing.T) {
+func TestWorkerListIsOutdated(t *testing.T) {
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
-	direct := &answering{}
+	direct := &fakeTransport{}
 	v.router = relay.New(direct, noPeers{direct}, v.now)
 	e := newEngine(context.Background(), v)
 	wants := func(outdated bool, when string) {
@@ -219,7 +219,7 @@
 	wants(true, "without a list")
 	e.workerLists["a"] = &workerList{requestedAt: now}
 	wants(false, "when it is new")
-	now += leavingWithin
+	now += maxLeaveNoticeDelay
 	call()
 	wants(true, "when it is as old as the bound")
 	direct.fails = true
@@ -238,15 +238,15 @@
 }
 
 // answering is a store's transport that answers each call, or none.
-type answering struct{ fails bool }
+type fakeTransport struct{ fails bool }
 
-func (a *answering) Do(context.Context, relay.Call) (relay.Reply, error) {
+func (a *fakeTransport) Do(context.Context, relay.Call) (relay.Reply, error) {
 	if a.fails {
 		return relay.Reply{}, relay.ErrNotSent
 	}
 	return relay.Reply{Status: 200}, nil
 }
 
-type noPeers struct{ *answering }
+type noPeers struct{ *fakeTransport }
 
 func (noPeers) AnyReachesStore() bool { return false }
--- a/internal/kept/vm/lists_test.go
+++ b/internal/kept/vm/lists_test.go
@@ -9,7 +9,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-func workersAt(n int) []worker.Info {
+func newWorkers(n int) []worker.Info {
 	var out []worker.Info
 	for i := range n {
 		id := fmt.Sprintf("w%d", i)
@@ -19,7 +19,7 @@
 }
 
 // Guards against a worker that is held in a shard of which it is not, as shards are worked out once for an address.
-func TestListIsDividedLikeItsAddresses(t *testing.T) {
+func TestWorkersAreInTheShardOfTheirAddress(t *testing.T) {
 	l := &workerList{}
 	d := site.ShardLayout{Domain: "a", Shards: 7}
 	check := func(infos []worker.Info) {
@@ -38,16 +38,16 @@
 			t.Errorf("%d of %d workers are in shards, %d addresses are remembered", n, len(infos), len(l.shardByAddress))
 		}
 	}
-	check(workersAt(40))
-	check(workersAt(60)[10:])
+	check(newWorkers(40))
+	check(newWorkers(60)[10:])
 	d.Shards = 9
-	check(workersAt(60)[10:])
+	check(newWorkers(60)[10:])
 }
 
 // Guards against a change of one worker that costs each holder all workers times all shards of its domain.
-func TestDividingAListAgainDoesNotGrow(t *testing.T) {
+func TestListUpdateCostPerWorkerIsConstant(t *testing.T) {
 	perWorker := func(workers int) float64 {
-		l := &workerList{infos: workersAt(workers)}
+		l := &workerList{infos: newWorkers(workers)}
 		d := site.ShardLayout{Domain: "a", Shards: workers / 11}
 		l.workersByShard(d)
 		allocs := testing.AllocsPerRun(5, func() {
@@ -67,7 +67,7 @@
 	for _, workers := range []int{100, 418, 836, 1670} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			d := site.ShardLayout{Domain: "a", Shards: workers / 11}
-			infos := workersAt(workers)
+			infos := newWorkers(workers)
 			l := &workerList{infos: infos}
 			l.workersByShard(d)
 			for b.Loop() {
--- a/internal/kept/vm/losses_test.go
+++ b/internal/kept/vm/losses_test.go
@@ -10,8 +10,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// wantGivenUp checks how many workers a submission that crashes them has taken down.
-func (w *world) wantGivenUp(id submission.ID, most int) {
+// wantCrashes checks how many workers a submission that crashes them has taken down.
+func (w *world) wantCrashes(id submission.ID, most int) {
 	w.t.Helper()
 	if n := w.fleet.Crashes(id); n == 0 || n > most {
 		w.t.Errorf("%d workers have crashed under %s, want 1 to %d", n, id, most)
@@ -25,13 +25,13 @@
 func TestSubmissionThatCrashesWorkersFails(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "poison", 1, runhost.Work{Time: 50 * ms, Crashes: true}, true), submission.Failed)
-		w.wantGivenUp("poison", 2)
+		w.wantCrashes("poison", 2)
 		w.wantEnd(w.submit("a1", "next", 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
 	})
 }
 
 // Guards against a count that is lost when holders change between the crashes.
-func TestLossesAreCountedOnAfterATakeover(t *testing.T) {
+func TestLossCountSurvivesATakeover(t *testing.T) {
 	for name, transient := range map[string]bool{"stored": false, "transient": true} {
 		t.Run(name, func(t *testing.T) {
 			testWorld(t, func(w *world) {
@@ -49,13 +49,13 @@
 				if transient {
 					<-out // failed, or to be sent again as the holder is away
 				} else {
-					w.wantTaken(out)
+					w.wantAccepted(out)
 					time.Sleep(12 * time.Second)
 					if s := w.state(home, "poison"); s != submission.Failed {
 						t.Errorf("it is %s, want failed", s)
 					}
 				}
-				w.wantGivenUp("poison", runhost.CrashesMost)
+				w.wantCrashes("poison", runhost.CrashesMost)
 			})
 		})
 	}
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -16,7 +16,7 @@
 	testWorld(t, func(w *world) {
 		v := w.vms["a1"]
 		reply := make(chan submission.State, 1)
-		v.post(engineCall(func(e *engine) {
+		v.post(engineFunc(func(e *engine) {
 			rec := equalTasks("job", 2, runhost.Work{Time: 50 * ms})
 			rec.Serial = 9
 			p := &part{record: rec, shard: "b/0", holderToken: e.loads["b/0"].token, holder: e.loads["b/0"].holder}
@@ -32,10 +32,10 @@
 	})
 }
 
-// engineCall looks into an engine, on its goroutine.
-type engineCall func(*engine)
+// engineFunc looks into an engine, on its goroutine.
+type engineFunc func(*engine)
 
-func (f engineCall) apply(e *engine) { f(e) }
+func (f engineFunc) apply(e *engine) { f(e) }
 
 // Symptom: an answer before all tasks have completed. Sequence: after a restart of all VMs a shard
 // rejects its part of a submission, as it cannot be done in time; tasks that another shard gave back
@@ -45,7 +45,7 @@
 	testWorld(t, func(w *world) {
 		v := w.vms["a1"]
 		reply := make(chan int, 1)
-		v.post(engineCall(func(e *engine) {
+		v.post(engineFunc(func(e *engine) {
 			whole := equalTasks("job", 2, runhost.Work{Time: 50 * ms})
 			rejected, gone := *whole, *whole
 			rejected.TasksElsewhere = []submission.Task{{Index: 1}}
--- a/internal/kept/vm/reborn_test.go
+++ b/internal/kept/vm/reborn_test.go
@@ -12,17 +12,17 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// bornWorld is a site whose workers say when they were born.
-func bornWorld(t *testing.T, workers int, play func(w *world)) {
+// testWorldWithIncarnations is a site whose workers say when they were born.
+func testWorldWithIncarnations(t *testing.T, workers int, play func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newBornWorld(t, workers)
+		w := newWorldWithIncarnations(t, workers)
 		play(w)
 		w.end()
 	})
 }
 
-func newBornWorld(t testing.TB, workers int) *world {
+func newWorldWithIncarnations(t testing.TB, workers int) *world {
 	w := newWorld(t, "a")
 	for i := range workers {
 		name := fmt.Sprintf("a%d", i)
@@ -39,7 +39,7 @@
 
 // restart ends a worker's incarnation and begins the next one under the same ID; listed: it writes its entry
 // at once.
-func (w *world) restart(name string, listed bool) {
+func (w *world) restartWorker(name string, listed bool) {
 	w.t.Helper()
 	info := w.fleet.Reborn("worker-"+name, "w-"+name)
 	if listed {
@@ -52,13 +52,13 @@
 func TestRestartUnderTheSameIDEndsAllRuns(t *testing.T) {
 	for _, listed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("entry first %v", listed), func(t *testing.T) {
-			bornWorld(t, 1, func(w *world) {
+			testWorldWithIncarnations(t, 1, func(w *world) {
 				for i := range 6 {
 					w.wantEnd(w.submit("a1", submission.ID(fmt.Sprintf("before%d", i)), 2, runhost.Work{Time: 50 * ms}, true), submission.Done)
 				}
 				out := w.submit("a1", "during", 2, runhost.Work{Time: 400 * ms}, true)
 				time.Sleep(200 * ms)
-				w.restart("a0", listed)
+				w.restartWorker("a0", listed)
 				w.wantEnd(out, submission.Done)
 				if n := w.fleet.Starts("during"); n != 4 {
 					t.Errorf("%d starts of two tasks whose runs were ended once, want 4", n)
@@ -74,20 +74,20 @@
 
 // Guards against a restart under the same ID that nobody notices while the store is away.
 func TestRestartUnderTheSameIDWithoutTheStore(t *testing.T) {
-	bornWorld(t, 2, func(w *world) {
+	testWorldWithIncarnations(t, 2, func(w *world) {
 		w.wantEnd(w.submit("a1", "before", 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Silent)
 		}
 		time.Sleep(time.Second)
 		out := w.submit("a1", "during", 4, runhost.Work{Time: 300 * ms}, true)
 		time.Sleep(100 * ms)
-		w.restart("a0", false)
+		w.restartWorker("a0", false)
 		w.wantEnd(out, submission.Done)
 		if n := w.fleet.Starts("during"); n > 6 {
 			t.Errorf("%d starts of four tasks of which two were ended", n)
 		}
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Serves)
 		}
 		time.Sleep(2 * time.Second)
@@ -98,7 +98,7 @@
 // Guards against a second run of a task whose start, held up on its way, is carried out by the next
 // incarnation: its clock starts anew, so the order is not too late for it.
 func TestLateStartReachesTheNextIncarnation(t *testing.T) {
-	bornWorld(t, 2, func(w *world) {
+	testWorldWithIncarnations(t, 2, func(w *world) {
 		delayed := 0
 		w.fleet.DelayStarts(func(s worker.Start) time.Duration {
 			if s.Task.ID == "late" && s.Run == 1 && delayed < 2 {
@@ -109,8 +109,8 @@
 		})
 		out := w.submit("a1", "late", 4, runhost.Work{Time: 3 * time.Second}, true)
 		time.Sleep(500 * ms)
-		w.restart("a0", false)
-		w.restart("a1", false)
+		w.restartWorker("a0", false)
+		w.restartWorker("a1", false)
 		w.wantEnd(out, submission.Done)
 		if delayed == 0 {
 			t.Error("no start was held up")
@@ -120,11 +120,11 @@
 
 // Guards against a holder that takes the entry of an earlier incarnation, which came late, for the newest.
 func TestLateEntryOfAnEarlierIncarnation(t *testing.T) {
-	bornWorld(t, 1, func(w *world) {
+	testWorldWithIncarnations(t, 1, func(w *world) {
 		old := w.fleet.Reborn("worker-a0", "w-a0")
 		w.addEntry(old)
 		time.Sleep(time.Second)
-		w.restart("a0", true)
+		w.restartWorker("a0", true)
 		time.Sleep(time.Second)
 		out := w.submit("a1", "job", 2, runhost.Work{Time: 2 * time.Second}, true)
 		time.Sleep(300 * ms)
@@ -139,13 +139,13 @@
 
 // Guards against a takeover that misses a restart: the next holder has never heard of the earlier incarnation.
 func TestTakeoverAfterARestartUnderTheSameID(t *testing.T) {
-	bornWorld(t, 2, func(w *world) {
+	testWorldWithIncarnations(t, 2, func(w *world) {
 		holder := w.holderOf("a")
 		other := map[string]string{"a1": "a2", "a2": "a1"}[holder]
-		w.wantTaken(w.submit(other, "stored", 4, runhost.Work{Time: time.Second}, false))
+		w.wantAccepted(w.submit(other, "stored", 4, runhost.Work{Time: time.Second}, false))
 		time.Sleep(300 * ms)
 		w.kill(holder)
-		w.restart("a0", true)
+		w.restartWorker("a0", true)
 		time.Sleep(6 * time.Second)
 		if got := w.state(other, "stored"); got != submission.Done {
 			t.Errorf("the submission is %s", got)
--- a/internal/kept/vm/session_test.go
+++ b/internal/kept/vm/session_test.go
@@ -49,7 +49,7 @@
 // Symptom: a VM whose processor is busy makes its own starts void and repeats them, and has
 // still more to do. Sequence: answers take longer than they are waited for. Cause: only
 // answers that came in time told how long to wait.
-func TestWaitForOrdersGrowsWithoutAnswers(t *testing.T) {
+func TestOrderTimeoutGrowsWithoutAnswers(t *testing.T) {
 	h := &workerSession{vm: &VM{}}
 	for range 10 {
 		h.recordRTT(time.Millisecond)
@@ -79,7 +79,7 @@
 // Symptom: under load on a small link sound workers pass for silent, their starts are made void and
 // repeated, and nothing is served any more. Sequence: the VM's link fills; the answers of all workers
 // take 60 ms, longer than orders wait. Cause: a wait has a bound for a worker that may be dead.
-func TestOrdersWaitLongerWhereAllAnswersTakeLong(t *testing.T) {
+func TestOrderTimeoutGrowsWhenAllAnswersAreSlow(t *testing.T) {
 	const queue = 60 * time.Millisecond // of the VM's own link
 	v := &VM{}
 	var hands []*workerSession
@@ -109,7 +109,7 @@
 
 // Symptom: what is lost with a dead worker is found out late. Sequence: a tenth of the workers die at
 // once; the others answer as before. Cause: orders without an answer count as slow answers of all.
-func TestDeadWorkersDoNotHoldUpOrdersToOthers(t *testing.T) {
+func TestDeadWorkersDoNotRaiseOrderTimeoutOfOthers(t *testing.T) {
 	v := &VM{}
 	dead, sound := &workerSession{vm: v}, &workerSession{vm: v}
 	for i := range 300 {
--- a/internal/kept/vm/site_bench_test.go
+++ b/internal/kept/vm/site_bench_test.go
@@ -23,10 +23,10 @@
 	for _, size := range []struct{ vms, workers, rate int }{{8, 48, 0}, {8, 48, 140}, {34, 350, 0}, {34, 350, 800}, {100, 700, 0}, {100, 700, 800}} {
 		b.Run(fmt.Sprintf("vms=%d/workers=%d/rate=%d", size.vms, size.workers, size.rate), func(b *testing.B) {
 			for b.Loop() {
-				w := benchWorld(b, size.vms, size.workers)
-				cpu, began := coresUsed(), time.Now()
-				done := w.load(size.rate, 4*time.Second)
-				b.ReportMetric((coresUsed()-cpu).Seconds()/time.Since(began).Seconds(), "cores")
+				w := newBenchWorld(b, size.vms, size.workers)
+				cpu, began := processorTime(), time.Now()
+				done := w.submitAtRate(size.rate, 4*time.Second)
+				b.ReportMetric((processorTime()-cpu).Seconds()/time.Since(began).Seconds(), "cores")
 				b.ReportMetric(done, "done")
 				for name := range w.vms {
 					w.kill(name)
@@ -36,18 +36,18 @@
 	}
 }
 
-// benchWorld is a site in real time, after its shards have holders.
-func benchWorld(b *testing.B, vms, workers int) *world {
+// newBenchWorld is a site in real time, after its shards have holders.
+func newBenchWorld(b *testing.B, vms, workers int) *world {
 	w := newWorld(b, "a", "b", "c", "d")
 	for i := range workers {
 		w.addDeskWorker(fmt.Sprint(i), w.domains[i%len(w.domains)])
 	}
-	w.weights = make(map[string]float64)
+	w.cores = make(map[string]float64)
 	for i := range vms {
 		name := fmt.Sprintf("%s%d", w.domains[i%len(w.domains)], i)
-		w.weights[name] = 0.8
+		w.cores[name] = 0.8
 		if i >= 12 && vms >= 100 {
-			w.weights[name] = 0.192
+			w.cores[name] = 0.192
 		}
 		w.boot(fmt.Sprintf("%s%d", w.domains[i%len(w.domains)], i))
 	}
@@ -56,7 +56,7 @@
 }
 
 // load submits at a rate a second for some time, and returns the share that was done.
-func (w *world) load(rate int, span time.Duration) float64 {
+func (w *world) submitAtRate(rate int, span time.Duration) float64 {
 	var vms []*VM
 	for _, v := range w.vms {
 		vms = append(vms, v)
@@ -84,8 +84,8 @@
 	return float64(done) / float64(max(sent, 1))
 }
 
-// coresUsed is the processor time of this process.
-func coresUsed() time.Duration {
+// processorTime is the processor time of this process.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -101,22 +101,22 @@
 		var with, without time.Duration
 		for range 3 {
 			log := oplog.Start(io.Discard, 0)
-			with += loadedSite(b)
+			with += processorTimeUnderLoad(b)
 			log.Stop()
 			klog.SetLogger(klog.Logger{}) // writes nothing
-			without += loadedSite(b)
+			without += processorTimeUnderLoad(b)
 			klog.ClearLogger()
 		}
 		b.ReportMetric(float64(with)/float64(without), "with/without")
 	}
 }
 
-// loadedSite is the processor that eight VMs take for four seconds of full load.
-func loadedSite(b *testing.B) time.Duration {
-	w := benchWorld(b, 8, 48)
-	cpu := coresUsed()
-	w.load(140, 4*time.Second)
-	used := coresUsed() - cpu
+// processorTimeUnderLoad is the processor that eight VMs take for four seconds of full load.
+func processorTimeUnderLoad(b *testing.B) time.Duration {
+	w := newBenchWorld(b, 8, 48)
+	cpu := processorTime()
+	w.submitAtRate(140, 4*time.Second)
+	used := processorTime() - cpu
 	for name := range w.vms {
 		w.kill(name)
 	}
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -21,8 +21,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c", "d")
-		w.weights = make(map[string]float64)
-		w.storeReads = 4000
+		w.cores = make(map[string]float64)
+		w.storeReadsPerSecond = 4000
 		for _, d := range w.domains {
 			for i := range 24 {
 				w.addDeskWorker(fmt.Sprintf("%s%d", d, i), d)
@@ -30,9 +30,9 @@
 		}
 		for i := range vms {
 			name := fmt.Sprintf("%s%d", w.domains[i%4], i/4)
-			w.weights[name] = small
+			w.cores[name] = small
 			if i < 4 {
-				w.weights[name] = 0.8
+				w.cores[name] = 0.8
 			}
 			w.boot(name)
 		}
@@ -47,24 +47,24 @@
 	out := make(map[string]int)
 	for name, v := range w.vms {
 		reply := make(chan int, 1)
-		v.post(linksEvent{reply: reply})
+		v.post(linkCountEvent{reply: reply})
 		out[name] = <-reply
 	}
 	return out
 }
 
-type linksEvent struct{ reply chan int }
+type linkCountEvent struct{ reply chan int }
 
-func (ev linksEvent) apply(e *engine) { ev.reply <- len(e.links) }
+func (ev linkCountEvent) apply(e *engine) { ev.reply <- len(e.links) }
 
 // Symptom: VMs of 0.19 core have no processor left for submissions. Sequence: none, the site only has
 // to be large. Cause: links of all to all.
-func TestLinksOfALargeSiteAreFew(t *testing.T) {
+func TestLinksOfALargeSiteAreBounded(t *testing.T) {
 	testLargeWorld(t, 40, 0.192, func(w *world) {
 		sum := 0
 		for name, n := range w.linkCounts() {
 			sum += n
-			if most := 12; w.weights[name] < 0.5 && n > most {
+			if most := 12; w.cores[name] < 0.5 && n > most {
 				t.Errorf("%s has %d links, want %d at most", name, n, most)
 			}
 		}
@@ -80,7 +80,7 @@
 // Symptom: a submission waits to the end of its caller's time. Sequence: all VMs of a domain but one
 // small one are lost, and with them all that this one had links to. Cause: a VM without links to
 // those that may hold a shard does not learn that nobody holds it.
-func TestSmallVMThatIsLeftServesItsDomain(t *testing.T) {
+func TestLastSmallVMServesItsDomain(t *testing.T) {
 	t.Parallel()
 	testLargeWorld(t, 24, 0.192, func(w *world) {
 		for i := range 5 {
@@ -113,15 +113,15 @@
 		const stored = 20
 		for i := range stored {
 			at := w.domains[i%4] + "0"
-			w.wantTaken(w.submit(at, submission.ID(fmt.Sprintf("wait-%d", i)), 2, runhost.Work{Time: 2 * time.Second}, false))
+			w.wantAccepted(w.submit(at, submission.ID(fmt.Sprintf("wait-%d", i)), 2, runhost.Work{Time: 2 * time.Second}, false))
 		}
 		time.Sleep(2500 * ms)
-		all := w.waiting("a0", "q")
+		all := w.waitingAt("a0", "q")
 		if all < stored {
 			t.Errorf("%d wait by the word of a0, want %d at least", all, stored)
 		}
 		for _, at := range []string{"a7", "b5", "c6", "d7"} {
-			if n := w.waiting(at, "q"); n != all {
+			if n := w.waitingAt(at, "q"); n != all {
 				t.Errorf("%d wait by the word of %s, %d by that of a0", n, at, all)
 			}
 		}
@@ -134,10 +134,10 @@
 // Symptom: a new worker is not used after the reader of the list was lost, or one that is taken away gets
 // starts until its shutdown. Sequence: the VM that reads the list of workers for its domain is lost; a
 // worker comes. Cause: nobody reads the list in its place. Here the next holder of the first shard does.
-func TestNextReaderTakesOver(t *testing.T) {
+func TestNextListReaderTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a")
-		w.weights = map[string]float64{"a1": 0.2, "a2": 0.2}
+		w.cores = map[string]float64{"a1": 0.2, "a2": 0.2}
 		for i := range 24 {
 			w.addDeskWorker(fmt.Sprint(i), "a")
 		}
@@ -150,7 +150,7 @@
 			t.Fatalf("%s reads the list and holds all", reader)
 		}
 		w.wantWorkersAt(other, 24, "after the start")
-		w.doors[reader].Set(kvstore.Silent)
+		w.storeDoors[reader].Set(kvstore.Silent)
 		w.mesh.Kill(addressOf(reader)) // its links and its calls, not its process
 		for i := 24; i < 48; i++ {
 			w.addDeskWorker(fmt.Sprint(i), "a")
@@ -165,18 +165,18 @@
 func (w *world) wantWorkersAt(at string, n int, when string) {
 	w.t.Helper()
 	reply := make(chan int, 1)
-	w.vms[at].post(listedEvent{domain: at[:1], reply: reply})
+	w.vms[at].post(listSizeEvent{domain: at[:1], reply: reply})
 	if got := <-reply; got != n {
 		w.t.Errorf("%s knows of %d workers %s, want %d", at, got, when, n)
 	}
 }
 
-type listedEvent struct {
+type listSizeEvent struct {
 	domain string
 	reply  chan int
 }
 
-func (ev listedEvent) apply(e *engine) {
+func (ev listSizeEvent) apply(e *engine) {
 	if l := e.workerLists[ev.domain]; l != nil {
 		ev.reply <- len(l.infos)
 		return
@@ -186,7 +186,7 @@
 
 // Symptom: as above, while the reader lives and holds its shard. Sequence: its words do not come, or
 // bring a list that is old, as the store does not answer it. Cause: a holder went by such words.
-func TestHolderWithoutFreshWordsReadsTheListItself(t *testing.T) {
+func TestHolderWithoutFreshReportsReadsTheListItself(t *testing.T) {
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
 	v.router = relay.New(nil, nil, v.now)
@@ -220,7 +220,7 @@
 
 // Guards against a list that ages though its reader says that it stands: the reader has read it anew, with
 // the same content under another version.
-func TestListThatStandsStaysFresh(t *testing.T) {
+func TestUnchangedListStaysFresh(t *testing.T) {
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }}
 	e := newEngine(context.Background(), v)
--- a/internal/kept/vm/starts_test.go
+++ b/internal/kept/vm/starts_test.go
@@ -11,8 +11,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// startSeen is a start at a worker.
-type startSeen struct {
+// observedStart is a start at a worker.
+type observedStart struct {
 	at     time.Time
 	domain string
 	worker string // its ID
@@ -21,8 +21,8 @@
 
 // startLog is what the workers of a world were told to start.
 type startLog struct {
-	mu   sync.Mutex
-	seen []startSeen
+	mu     sync.Mutex
+	starts []observedStart
 }
 
 func watchStarts(w *world) *startLog {
@@ -30,24 +30,24 @@
 	w.fleet.OnStart(func(at worker.Info, s worker.Start) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.seen = append(l.seen, startSeen{at: time.Now(), domain: at.Domain, worker: at.ID, task: s.Task})
+		l.starts = append(l.starts, observedStart{at: time.Now(), domain: at.Domain, worker: at.ID, task: s.Task})
 	})
 	return l
 }
 
 // of returns the starts of a submission's tasks.
-func (l *startLog) of(id submission.ID) []startSeen {
+func (l *startLog) ofSubmission(id submission.ID) []observedStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(l.seen), func(s startSeen) bool { return s.task.ID != id })
+	return slices.DeleteFunc(slices.Clone(l.starts), func(s observedStart) bool { return s.task.ID != id })
 }
 
 // in returns the starts in a domain from one time to another.
-func (l *startLog) in(domain string, from, to time.Time) []startSeen {
+func (l *startLog) inDomain(domain string, from, to time.Time) []observedStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []startSeen
-	for _, s := range l.seen {
+	var out []observedStart
+	for _, s := range l.starts {
 		if s.domain == domain && !s.at.Before(from) && s.at.Before(to) {
 			out = append(out, s)
 		}
@@ -57,7 +57,7 @@
 
 // stream hands in a transient submission of one task at a VM again and again, for some time, and
 // returns how many ended well and how many did not.
-func (w *world) stream(at, name string, every, during time.Duration) (done, other int) {
+func (w *world) submitRepeatedly(at, name string, every, during time.Duration) (done, other int) {
 	var outs []chan Outcome
 	for i := range int(during / every) {
 		outs = append(outs, w.submit(at, submission.ID(fmt.Sprintf("%s%d", name, i)), 1, runhost.Work{Time: 40 * ms}, true))
--- a/internal/kept/vm/states_test.go
+++ b/internal/kept/vm/states_test.go
@@ -12,10 +12,10 @@
 // often than not. Sequence: a caller asks some milliseconds before the end has come here,
 // is told "running", and asks again after its pause. Cause: a question was answered with
 // the state at that moment, and only the home was told of ends.
-func TestQuestionIsAnsweredByTheEndThatComesSoon(t *testing.T) {
+func TestStateQueryWaitsForAnImminentEnd(t *testing.T) {
 	for _, at := range []string{"a1", "a2", "b1", "b2"} {
 		testWorld(t, func(w *world) {
-			w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 250 * ms}, false))
+			w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 250 * ms}, false))
 			time.Sleep(100 * ms)
 			asked := time.Now()
 			if s := w.state(at, "kept"); s != submission.Done {
@@ -29,9 +29,9 @@
 }
 
 // A question about a submission that goes on is answered all the same, in time.
-func TestQuestionDoesNotWaitForALongSubmission(t *testing.T) {
+func TestStateQueryDoesNotWaitForALongSubmission(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 5 * time.Second}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 5 * time.Second}, false))
 		asked := time.Now()
 		for _, at := range []string{"a1", "b1"} {
 			if s := w.state(at, "kept"); s != submission.Running {
@@ -53,7 +53,7 @@
 	testWorld(t, func(w *world) {
 		filler := w.submit("a1", "fill", 6, runhost.Work{Time: 10 * time.Second}, true)
 		time.Sleep(500 * ms)
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 6 * time.Second}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 6 * time.Second}, false))
 		w.kill("a1")
 		w.boot("a1")
 		time.Sleep(time.Second)
--- a/internal/kept/vm/takeback_test.go
+++ b/internal/kept/vm/takeback_test.go
@@ -12,7 +12,7 @@
 // Sequence: all workers are busy for long; a wide submission comes, is divided over two
 // shards, and none of its parts begins. Cause: only a submission that lies whole in one
 // shard was ever refused.
-func TestADividedSubmissionThatCannotBeginIsRefused(t *testing.T) {
+func TestSplitSubmissionThatCannotStartIsRefused(t *testing.T) {
 	testWorld(t, func(w *world) {
 		busy := w.submit("a1", "busy", 12, runhost.Work{Time: 10 * time.Second}, true)
 		time.Sleep(300 * ms)
@@ -36,7 +36,7 @@
 // submission never ends. Sequence: one part of a divided submission has begun when its home
 // takes the parts back; the other comes back. Cause would be: refusing by the parts that
 // came back, or forgetting them.
-func TestPartsThatCameBackAreGivenOutAgain(t *testing.T) {
+func TestRecalledPartsAreReassigned(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "warm", 1, runhost.Work{Time: 50 * ms}, true), submission.Done)
 		busy := w.submit("a1", "busy", 11, runhost.Work{Time: 3 * time.Second}, true)
--- a/internal/kept/vm/transient_test.go
+++ b/internal/kept/vm/transient_test.go
@@ -12,7 +12,7 @@
 // new holder, the home hands a submission over as one that may have runs; the message is
 // lost, the holder says that it does not know it, and the home hands it over again.
 // Cause: the second time it was handed over as new, as this holder had been told of it.
-func TestHandedOverAgainIsStillNotNew(t *testing.T) {
+func TestResentPartStaysResumed(t *testing.T) {
 	e := &engine{now: time.Hour, shards: map[string]*heldShard{}, frames: map[string]*pb.KeptFrame{}}
 	p := &part{record: &submission.Record{ID: "job", Steps: []submission.Step{{Count: 1}}}, shard: "a/0"}
 	last := func(holder string) *pb.KeptAssign {
@@ -54,7 +54,7 @@
 // Symptom: a caller is told that its submission has not run, and it runs. Sequence: a part
 // was rejected by a holder and is handed to it again; the holder is asked before that has
 // come. Cause: its answer was of the hand-in before.
-func TestRejectionOfAnEarlierHandInCountsForNothing(t *testing.T) {
+func TestRejectionOfAnEarlierAttemptIsIgnored(t *testing.T) {
 	p := &part{record: &submission.Record{ID: "job", Token: 3, Serial: 8}, shard: "a/0", holderToken: 3, holder: "a1", state: submission.Queued}
 	tr := &transientSubmission{record: p.record, parts: []*part{p}, outcomeWaiters: []chan Outcome{make(chan Outcome, 1)}}
 	e := &engine{now: time.Hour, transients: map[submission.ID]*transientSubmission{"job": tr}, loads: map[string]*knownLoad{"a/0": {token: 3}}}
--- a/internal/kept/vm/vm_test.go
+++ b/internal/kept/vm/vm_test.go
@@ -11,7 +11,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-func TestTransientSubmissionIsAnsweredByItsEnd(t *testing.T) {
+func TestTransientSubmissionIsAnsweredWhenItEnds(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "one", 3, runhost.Work{Time: 200 * ms}, true), submission.Done)
 		w.wantEnd(w.submit("b2", "two", 2, runhost.Work{Time: 50 * ms, Fails: true}, true), submission.Failed)
@@ -23,7 +23,7 @@
 
 // A submission with more tasks than its shard has room for is spread: both domains of
 // the site take 6 tasks each.
-func TestWideSubmissionIsSpread(t *testing.T) {
+func TestWideSubmissionIsSplitAcrossDomains(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "first", 2, runhost.Work{Time: 50 * ms}, true), submission.Done)
 		time.Sleep(time.Second)
@@ -37,7 +37,7 @@
 
 func TestStoredSubmissionIsSeenAtEveryVM(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 800 * ms}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 800 * ms}, false))
 		if s := w.state("b1", "kept"); s != submission.Queued && s != submission.Running {
 			t.Errorf("it is %s at another VM", s)
 		}
@@ -59,10 +59,10 @@
 	testWorld(t, func(w *world) {
 		first := w.submit("a1", "kept", 2, runhost.Work{Time: 300 * ms}, false)
 		second := w.submit("b1", "kept", 2, runhost.Work{Time: 300 * ms}, false)
-		w.wantTaken(first)
-		w.wantTaken(second)
+		w.wantAccepted(first)
+		w.wantAccepted(second)
 		time.Sleep(time.Second)
-		w.wantTaken(w.submit("b2", "kept", 2, runhost.Work{Time: 300 * ms}, false))
+		w.wantAccepted(w.submit("b2", "kept", 2, runhost.Work{Time: 300 * ms}, false))
 		time.Sleep(time.Second)
 		if n := w.fleet.Starts("kept"); n != 2 {
 			t.Errorf("%d starts of 2 tasks", n)
@@ -93,7 +93,7 @@
 // has accepted it, and start again.
 func TestStoredSubmissionOutlivesAllVMs(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.wantTaken(w.submit("a1", "kept", 4, runhost.Work{Time: 600 * ms}, false))
+		w.wantAccepted(w.submit("a1", "kept", 4, runhost.Work{Time: 600 * ms}, false))
 		for _, name := range []string{"a1", "a2", "b1", "b2"} {
 			w.kill(name)
 		}
@@ -113,10 +113,10 @@
 func TestVMThatTheStoreTurnsAwayWorksOnThroughAPeer(t *testing.T) {
 	for _, fault := range []kvstore.Fault{kvstore.Refuses, kvstore.Silent} {
 		testWorld(t, func(w *world) {
-			w.doors["a1"].Set(fault)
+			w.storeDoors["a1"].Set(fault)
 			time.Sleep(6 * time.Second)
 			began := time.Now()
-			w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
+			w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
 			if took := time.Since(began); took > 600*ms {
 				t.Errorf("accepted after %v", took)
 			}
@@ -124,7 +124,7 @@
 			if s := w.state("a1", "kept"); s != submission.Done {
 				t.Errorf("it is %s, want done", s)
 			}
-			w.doors["a1"].Set(kvstore.Serves)
+			w.storeDoors["a1"].Set(kvstore.Serves)
 			time.Sleep(2 * time.Second)
 			if !w.vms["a1"].router.ReachesStore() {
 				t.Error("it does not go back to its own calls")
@@ -137,7 +137,7 @@
 // for five seconds. Transient submissions need no store.
 func TestTransientSubmissionsGoOnWithoutTheStore(t *testing.T) {
 	testWorld(t, func(w *world) {
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Silent)
 		}
 		time.Sleep(5 * time.Second)
@@ -146,7 +146,7 @@
 		if o.Kind != Refused || o.RetryAfter == 0 {
 			t.Errorf("a submission that cannot be stored is %+v, want busy", o)
 		}
-		for _, d := range w.doors {
+		for _, d := range w.storeDoors {
 			d.Set(kvstore.Serves)
 		}
 		time.Sleep(5 * time.Second)
@@ -161,7 +161,7 @@
 // twice. Sequence: the domain is cut off from the other and the store for five seconds,
 // a submission runs inside all the while. Cause: VMs outside took its shard, though they
 // could reach no worker of it.
-func TestDomainThatIsCutOffServesOn(t *testing.T) {
+func TestPartitionedDomainKeepsServing(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.cut("a", true)
 		time.Sleep(500 * ms)
@@ -236,7 +236,7 @@
 // neither its home nor its holder.
 func TestCancellationReachesTheHolder(t *testing.T) {
 	testWorld(t, func(w *world) {
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 20 * time.Second}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 20 * time.Second}, false))
 		time.Sleep(200 * ms)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
@@ -288,7 +288,7 @@
 func TestFinalStatesAreRemoved(t *testing.T) {
 	t.Parallel()
 	testWorld(t, func(w *world) {
-		w.wantTaken(w.submit("a1", "kept", 1, runhost.Work{Time: 50 * ms}, false))
+		w.wantAccepted(w.submit("a1", "kept", 1, runhost.Work{Time: 50 * ms}, false))
 		time.Sleep(2 * time.Minute)
 		if s := w.state("b1", "kept"); s != submission.Done {
 			t.Errorf("after two minutes it is %s", s)
--- a/internal/kept/vm/waiting_test.go
+++ b/internal/kept/vm/waiting_test.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-func (w *world) waiting(at, queue string) int {
+func (w *world) waitingAt(at, queue string) int {
 	w.t.Helper()
 	n, err := w.vms[at].Waiting(context.Background(), queue)
 	if err != nil {
@@ -26,17 +26,17 @@
 		filler := w.submit("a1", "fill", 6, runhost.Work{Time: 2 * time.Second}, true)
 		time.Sleep(500 * ms)
 		w.cut("b", true)
-		w.wantTaken(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
+		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
 		time.Sleep(5 * time.Second)
 		for _, at := range []string{"a1", "a2"} {
-			if n := w.waiting(at, "q"); n != 1 {
+			if n := w.waitingAt(at, "q"); n != 1 {
 				t.Errorf("%d wait by the word of %s, want 1", n, at)
 			}
 		}
 		w.cut("b", false)
 		time.Sleep(4 * time.Second)
 		for _, at := range []string{"a1", "a2", "b1", "b2"} {
-			if n := w.waiting(at, "q"); n != 0 {
+			if n := w.waitingAt(at, "q"); n != 0 {
 				t.Errorf("%d wait by the word of %s after the heal, want 0", n, at)
 			}
 		}
@@ -46,7 +46,7 @@
 
 // Symptom: a count jumps back to what it was a second ago. Sequence: two holders pass on reports of
 // one domain, the older one comes last. Cause would be: the last to come is taken.
-func TestOlderReportOfADomainIsNotTaken(t *testing.T) {
+func TestOlderReportOfADomainIsIgnored(t *testing.T) {
 	w := newWaitingReports()
 	w.updateDomain("a", domainReport{counts: queueCounts{"q": 5}, at: 2 * time.Second})
 	w.updateDomain("a", domainReport{counts: queueCounts{"q": 9}, at: time.Second})
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -27,18 +27,18 @@
 // world is a site of two failure domains, a and b, with two entry VMs and three workers
 // each, in a test's bubble.
 type world struct {
-	t       testing.TB
-	began   time.Time
-	store   *kvstore.Store
-	fleet   *fleet.Fleet
-	mesh    *mesh.Mesh
-	vms     map[string]*VM
-	doors   map[string]*kvstore.Door
-	lives   uint64
-	domains []string
-	weights map[string]float64 // processor of VMs, in cores; absent: not known
+	t               testing.TB
+	startedAt       time.Time
+	store           *kvstore.Store
+	fleet           *fleet.Fleet
+	mesh            *mesh.Mesh
+	vms             map[string]*VM
+	storeDoors      map[string]*kvstore.Door
+	lastIncarnation uint64
+	domains         []string
+	cores           map[string]float64 // processor of VMs, in cores; absent: not known
 
-	storeReads float64 // a second, by all VMs; 0: not known
+	storeReadsPerSecond float64 // a second, by all VMs; 0: not known
 }
 
 func testWorld(t *testing.T, play func(w *world)) {
@@ -79,14 +79,14 @@
 // newWorld is a site without VMs and workers.
 func newWorld(t testing.TB, domains ...string) *world {
 	w := &world{
-		t:       t,
-		began:   time.Now(),
-		store:   kvstore.New(),
-		fleet:   fleet.New(),
-		mesh:    mesh.New(),
-		vms:     make(map[string]*VM),
-		doors:   make(map[string]*kvstore.Door),
-		domains: domains,
+		t:          t,
+		startedAt:  time.Now(),
+		store:      kvstore.New(),
+		fleet:      fleet.New(),
+		mesh:       mesh.New(),
+		vms:        make(map[string]*VM),
+		storeDoors: make(map[string]*kvstore.Door),
+		domains:    domains,
 	}
 	w.store.Put("config/catalog", []byte("1"))
 	return w
@@ -116,20 +116,20 @@
 // boot starts an entry VM, whose name begins with its domain.
 func (w *world) boot(name string) {
 	domain := name[:1]
-	w.lives++
-	if w.doors[name] == nil {
-		w.doors[name] = w.store.Door(4 * ms)
+	w.lastIncarnation++
+	if w.storeDoors[name] == nil {
+		w.storeDoors[name] = w.store.Door(4 * ms)
 	}
 	w.vms[name] = Start(Config{
 		Name:           name,
 		Policy:         policy.Defaults(),
-		Incarnation:    w.lives,
+		Incarnation:    w.lastIncarnation,
 		Domain:         domain,
 		Domains:        w.domains,
 		PeerAddress:    addressOf(name),
 		PeerListen:     w.mesh.Listen(addressOf(name), domain),
 		PeerDial:       w.mesh.Dialer(addressOf(name), domain),
-		StoreTransport: w.doors[name],
+		StoreTransport: w.storeDoors[name],
 		NewStore:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
 		Workers:        w.fleet.From(domain),
 		StoreLayout: StoreLayout{
@@ -149,11 +149,11 @@
 				return &catalog.Catalog{Version: version, Services: []catalog.Service{{Name: "desk", GuardsRoom: true}, {Name: "lab"}}}, err
 			},
 		},
-		Cores:    w.weights[name],
+		Cores:    w.cores[name],
 		MaxLease: time.Second,
 
-		StoreReadsPerSecond: w.storeReads,
-		Now:                 func() time.Duration { return time.Hour + time.Since(w.began) },
+		StoreReadsPerSecond: w.storeReadsPerSecond,
+		Now:                 func() time.Duration { return time.Hour + time.Since(w.startedAt) },
 	})
 }
 
@@ -170,7 +170,7 @@
 func (w *world) cut(domain string, cut bool) {
 	w.mesh.Cut(domain, cut)
 	w.fleet.Cut(domain, cut)
-	for name, d := range w.doors {
+	for name, d := range w.storeDoors {
 		switch {
 		case name[:1] != domain:
 		case cut:
@@ -215,7 +215,7 @@
 	}
 }
 
-func (w *world) wantTaken(out chan Outcome) {
+func (w *world) wantAccepted(out chan Outcome) {
 	w.t.Helper()
 	if o := <-out; o.Kind != Accepted {
 		w.t.Fatalf("the outcome is %+v, want taken", o)
