--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -22,8 +22,8 @@
 
 // domainReport is the number of submissions that wait in a failure domain, as counted by a holder there.
 type domainReport struct {
-	counts queueCounts
-	at     time.Duration
+	counts    queueCounts
+	countedAt time.Duration
 }
 
 // waitingReports are the counts that other VMs have reported.
@@ -38,7 +38,7 @@
 
 // updateDomain stores a report about a domain unless a newer one is known.
 func (w *waitingReports) updateDomain(domain string, r domainReport) {
-	if r.at > w.domains[domain].at {
+	if r.countedAt > w.domains[domain].countedAt {
 		w.domains[domain] = r
 	}
 }
@@ -47,7 +47,7 @@
 func (w *waitingReports) fresh(now time.Duration) map[string]domainReport {
 	out := make(map[string]domainReport)
 	for domain, r := range w.domains {
-		if now-r.at < maxWaitingReportAge {
+		if now-r.countedAt < maxWaitingReportAge {
 			out[domain] = r
 		}
 	}
@@ -109,10 +109,10 @@
 	}
 	e.waitingReportedAt = e.now
 	own := e.vm.config.Domain
-	e.waiting.updateDomain(own, domainReport{counts: e.waitingIn(own), at: e.now})
+	e.waiting.updateDomain(own, domainReport{counts: e.waitingIn(own), countedAt: e.now})
 	var reports []*pb.KeptWaiting
 	for domain, r := range e.waiting.fresh(e.now) {
-		reports = append(reports, &pb.KeptWaiting{Domain: domain, AgeNs: uint64(e.now - r.at), ByQueue: r.counts})
+		reports = append(reports, &pb.KeptWaiting{Domain: domain, AgeNs: uint64(e.now - r.countedAt), ByQueue: r.counts})
 	}
 	for peer := range e.links {
 		f := e.frame(peer)
--- a/internal/kept/vm/waiting_test.go
+++ b/internal/kept/vm/waiting_test.go
@@ -48,8 +48,8 @@
 // one domain, the older one comes last. Cause would be: the last to come is taken.
 func TestOlderReportOfADomainIsIgnored(t *testing.T) {
 	w := newWaitingReports()
-	w.updateDomain("a", domainReport{counts: queueCounts{"q": 5}, at: 2 * time.Second})
-	w.updateDomain("a", domainReport{counts: queueCounts{"q": 9}, at: time.Second})
+	w.updateDomain("a", domainReport{counts: queueCounts{"q": 5}, countedAt: 2 * time.Second})
+	w.updateDomain("a", domainReport{counts: queueCounts{"q": 9}, countedAt: time.Second})
 	if n := w.fresh(2*time.Second + time.Millisecond)["a"].counts["q"]; n != 5 {
 		t.Errorf("%d wait by the reports, want the newer 5", n)
 	}
