--- a/internal/kept/shard/crash_test.go
+++ b/internal/kept/shard/crash_test.go
@@ -12,7 +12,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// stored makes a submission whose record is kept.
+// storedSubmission returns a submission that is stored.
 func (w *world) storedSubmission(id submission.ID, tasks int, work runhost.Work) *submission.Record {
 	r := w.submission(id, tasks, work)
 	r.Transient = false
--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -11,8 +11,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// restart ends the incarnation of a worker and begins the next one under its ID, without the holder's
-// knowledge.
+// restart ends the incarnation of a worker and starts the next one under the same ID, unnoticed by the holder.
 func (w *world) restart(id string) {
 	old := w.hosts[id]
 	old.Advance(w.now)
@@ -22,12 +21,12 @@
 	w.hosts[id].ClockAhead = time.Second - w.now
 }
 
-// decodeLosses returns the losses that are counted against a task.
+// lossesOf returns the losses that are counted against the first task of a submission.
 func (w *world) lossesOf(id submission.ID) []submission.Loss {
 	return w.shard.jobs[id].tasks[0].losses
 }
 
-// Guards against a loss that is counted twice, or not at all, by whichever sign of a restart comes first.
+// Guards against a loss that is counted twice, or not at all, depending on which sign of a restart comes first.
 func TestRestartUnderTheSameIDIsOneLoss(t *testing.T) {
 	signs := map[string]func(w *world, old worker.Info){
 		"listing": func(w *world, _ worker.Info) { w.run(10 * ms) },
@@ -67,7 +66,8 @@
 	}
 }
 
-// Guards against ends of a new incarnation that pass for known ones, as it numbers them anew.
+// Guards against ended runs of a new incarnation that are taken for known ones, as it numbers them from the
+// start again.
 func TestEndsOfTheNextIncarnationAreNew(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against an acknowledgement of the earlier incarnation's ends that reaches the next one, which then
-// forgets ends that nobody has seen.
+// Guards against an acknowledgement of the earlier incarnation's ended runs that reaches the next one, which
+// would then no longer list runs that the holder has not seen.
 func TestAcknowledgementsEndWithTheirIncarnation(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
@@ -99,12 +99,12 @@
 	w.restart("w0")
 	w.updateList()
 	for _, s := range w.shard.TakeActions().Acks {
-		t.Errorf("ends up to %d are acknowledged to the next incarnation", s.UpTo)
+		t.Errorf("ended runs up to %d of the earlier incarnation are acknowledged to the next one", s.UpTo)
 	}
 }
 
-// Guards against a second run of a task whose start was accepted by the next incarnation, in the name of the
-// earlier one.
+// Guards against a second run of a task whose start order was meant for the earlier incarnation and accepted by
+// the next one.
 func TestStartAcceptedByTheNextIncarnationIsItsOwn(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
@@ -113,7 +113,7 @@
 			w.losesStartReply = func(StartAction) bool { return !answered }
 			w.assign(w.submission("a", 4, runhost.Work{Time: 2 * time.Second}))
 			w.shard.Tick(w.now)
-			w.restart("w0") // decided for the earlier incarnation, carried out by this one
+			w.restart("w0") // the order is meant for the earlier incarnation and carried out by this one
 			w.restart("w1")
 			w.execute()
 			w.losesStartReply = nil
@@ -126,8 +126,8 @@
 	}
 }
 
-// Guards against a task that runs twice, as the order that had no answer is carried out by the next
-// incarnation: it knows nothing of the stop that made the run void, and its clock starts anew.
+// Guards against a task that runs twice because the next incarnation carries out a start order that had no
+// answer. It does not know the stop of that run, and its clock starts anew.
 func TestVoidRunsStayVoidAtTheNextIncarnation(t *testing.T) {
 	for _, forgotten := range []bool{false, true} {
 		t.Run(fmt.Sprintf("forgotten meanwhile %v", forgotten), func(t *testing.T) {
@@ -142,7 +142,7 @@
 			w.assign(w.submission("a", 2, runhost.Work{Time: 6 * time.Second, CPUMilli: 1000}))
 			w.run(300 * ms)
 			if len(w.pendingStarts) == 0 {
-				t.Fatal("no start is held up")
+				t.Fatal("no start is delayed")
 			}
 			w.restart("w0")
 			if forgotten {
@@ -155,7 +155,8 @@
 	}
 }
 
-// Guards against a late entry of the earlier incarnation, and one that says nothing of a birth.
+// Guards against a late entry of the earlier incarnation, or one without a start time, that replaces the
+// newest entry.
 func TestEntriesOfAnEarlierIncarnationSayNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
@@ -171,7 +172,7 @@
 	for _, late := range []worker.Info{old, unborn} {
 		w.shard.UpdateWorkers(w.now, []worker.Info{late})
 		if info, _ := w.shard.WorkerInfo("w0"); info.Incarnation() != w.hosts["w0"].Info.Incarnation() || info.Leaving || info.CPUMilli == 1 {
-			t.Errorf("%+v is in force after %+v", info, late)
+			t.Errorf("%+v is in use after the late entry %+v", info, late)
 		}
 	}
 	w.updateList()
@@ -182,7 +183,7 @@
 	}
 }
 
-// Guards against a next incarnation that is used with the room, labels and rack of the earlier one.
+// Guards against a next incarnation that is used with the capacity, labels and rack of the earlier one.
 func TestNextIncarnationHasItsOwnRoom(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.restart("w0")
@@ -191,19 +192,19 @@
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(200 * ms)
 	if n := w.startCount("a"); n != 0 {
-		t.Errorf("%d starts on a guess of the room", n)
+		t.Errorf("%d starts before the capacity is known", n)
 	}
 	w.updateList()
 	w.run(50 * ms)
 	if n := w.startCount("a"); n != 1 {
-		t.Errorf("%d starts in a room for one", n)
+		t.Errorf("%d starts on a worker with capacity for one task", n)
 	}
 	w.run(300 * ms)
 	w.expectState("a", submission.Done)
 }
 
-// Guards against a listing of the earlier incarnation, which came before the records, that is held against
-// the next one.
+// Guards against a listing of the earlier incarnation, received before the records, that is applied to the next
+// one.
 func TestEarlyListingEndsWithItsIncarnation(t *testing.T) {
 	w := newWorld(t, 1)
 	settings := DefaultSettings()
@@ -217,19 +218,19 @@
 	s.UpdateWorkers(w.now, []worker.Info{next})
 	s.AddRecords(w.now, nil)
 	if slices.ContainsFunc(s.TakeActions().Acks, func(a AckAction) bool { return a.UpTo == 40 }) {
-		t.Error("an end of the earlier incarnation is acknowledged to the next one")
+		t.Error("an ended run of the earlier incarnation is acknowledged to the next one")
 	}
 }
 
-// Guards against the entry of a worker that was replaced before its birth was known: it passed for the newest
-// one at its address, and what ran at its successor for lost.
+// Guards against the entry of a worker that was replaced before its start time was known. It was taken for the
+// newest entry at its address, and the runs on its successor for lost.
 func TestEntryOfADeadWorkerWithoutAKnownBirthIsDropped(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
 	first := w.hosts["w0"].Info
 	delete(w.hosts, "w0")
 	w.addHost("w9", first.Address)
-	second := worker.Incarnation{ID: "w5"} // answered once, and crashed before anything else was heard of it
+	second := worker.Incarnation{ID: "w5"} // it answered once and crashed before its entry was read
 	w.shard.WorkerRestarted(w.now, first, second)
 	gone, _ := w.shard.WorkerInfo("w5")
 	w.shard.WorkerRestarted(w.now, gone, worker.Incarnation{ID: "w9"})
@@ -246,8 +247,9 @@
 	}
 }
 
-// Guards against the entry of a worker that ended before the last one did, and that this holder has never known:
-// with the last one's dropped, it passed for the newest at the address, and what ran at its successor for lost.
+// Guards against the entry of a worker that ended before the last one and that this holder has never known. As
+// the last one's entry is removed, it was taken for the newest entry at the address, and the runs on the
+// successor for lost.
 func TestEntryOfAnEarlierDeadWorkerIsDropped(t *testing.T) {
 	for _, births := range []bool{true, false} {
 		t.Run(fmt.Sprintf("births %v", births), func(t *testing.T) {
@@ -262,7 +264,7 @@
 			}
 			w.shard.UpdateWorkers(w.now, []worker.Info{last, earlier})
 			delete(w.hosts, "w0")
-			w.addHost("w9", last.Address) // the store is away: it has no entry yet
+			w.addHost("w9", last.Address) // the store is down, so it has no entry yet
 			w.shard.WorkerRestarted(w.now, last, worker.Incarnation{ID: "w9"})
 			w.run(50 * ms)
 			w.assign(w.submission("a", 2, runhost.Work{Time: 500 * ms}))
@@ -278,15 +280,15 @@
 	}
 }
 
-// Guards against a worker that stays in use though nobody speaks to it any more: it says that it is another
-// incarnation, and names the one that was meant.
+// Guards against a worker that stays in use though it answers no orders: it refuses them as another incarnation,
+// and names the one that they were meant for.
 func TestWorkerThatRefusesInItsOwnNameIsGone(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(50 * ms)
 	info, _ := w.shard.WorkerInfo("w0")
 	w.shard.WorkerRestarted(w.now, info, worker.Incarnation{ID: "w0"})
 	if _, known := w.shard.WorkerInfo("w0"); known {
-		t.Error("it is still used")
+		t.Error("the worker is still in use")
 	}
 	w.assign(w.submission("a", 2, runhost.Work{Time: 50 * ms}))
 	w.run(200 * ms)
--- a/internal/kept/shard/limits_test.go
+++ b/internal/kept/shard/limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a task has more failed runs than its queue allows. Sequence: it fails once, that
-// is stored, and the shard gets a new holder. Cause would be: counting from nothing there.
+// Guards against a task with more failed runs than its queue allows. It has failed once, that is stored, and the
+// shard gets a new holder, which has to count the stored failure.
 func TestFailedRunsCountUnderTheNextHolder(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -21,11 +21,11 @@
 	w.run(2 * time.Second)
 	w.expectState("a", submission.Failed)
 	if n := w.startCount("a"); n != 1 {
-		t.Errorf("%d runs, one of two allowed had failed before", n)
+		t.Errorf("%d runs, want 1 as one of two attempts had failed before", n)
 	}
 }
 
-// Steps start when those before them are done, also under a holder that adopts them.
+// Steps start when those that they depend on are done, also under a holder that adopts the submission.
 func TestStepsStartInOrder(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -48,8 +48,7 @@
 	}
 }
 
-// A step that wants a label, and not more than one of its tasks on a worker, waits for the
-// workers that have it.
+// A step that requires a label and allows one of its tasks per worker waits for the workers with the label.
 func TestLabelsAndTheMostOnOneWorkerHold(t *testing.T) {
 	w := newWorld(t, 3)
 	w.hosts["w0"].Info.Labels = []string{"fast"}
--- a/internal/kept/shard/overload_test.go
+++ b/internal/kept/shard/overload_test.go
@@ -11,38 +11,39 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// kind is one kind of work of a played load.
+// workKind is one kind of work of a simulated load.
 type workKind struct {
 	name      string
 	priority  int
-	tasks     int
-	time      time.Duration
-	perSecond float64
+	tasks     int           // of each submission
+	time      time.Duration // of each task
+	perSecond float64       // submissions
 }
 
-// Three kinds as urgent callers send them: short and wide, short, long. Their demand is
-// about a fifth, a half and a quarter of the room of twelve workers of two tasks each.
+// urgentKinds are three kinds of work as urgent callers submit it: short with many tasks, short with few, and
+// long. Their demand is about a fifth, a half and a quarter of the capacity of twelve workers that run two tasks
+// each.
 var urgentKinds = []workKind{
 	{name: "check", priority: 0, tasks: 8, time: 60 * ms, perSecond: 9},
 	{name: "hold", priority: 1, tasks: 2, time: 200 * ms, perSecond: 27},
 	{name: "price", priority: 2, tasks: 4, time: 900 * ms, perSecond: 1.7},
 }
 
-// outcome is what the callers of one kind got.
-type outcome struct{ asked, inTime, late, refused int }
+// outcome counts the submissions of one kind by what their callers got.
+type outcome struct{ submitted, inTime, late, refused int }
 
-// played is a load on one shard, with the callers' side of it.
+// loadRun simulates a load on one shard.
 type loadRun struct {
 	w             *world
 	rng           *rand.Rand
-	objectiveEnds map[submission.ID]time.Duration // end of the objective
+	objectiveEnds map[submission.ID]time.Duration // of the open submissions
 	kinds         map[submission.ID]int
 	outcomes      []outcome
 	n             int
 }
 
-// runLoad plays kinds of work at some times their rate for a while, on workers with room
-// for two tasks each. Estimates are off by up to a half either way.
+// runLoad simulates kinds of work at a multiple of their rate, on workers with capacity for two tasks each.
+// Estimates are off by up to a half either way.
 func runLoad(t *testing.T, p policy.Settings, kinds []workKind, workers int, times float64, length time.Duration, seed uint64) []outcome {
 	t.Helper()
 	l := &loadRun{
@@ -79,8 +80,8 @@
 	return l.outcomes
 }
 
-func (l *loadRun) nextInterval(perS float64) time.Duration {
-	return time.Duration(l.rng.ExpFloat64() / perS * float64(time.Second))
+func (l *loadRun) nextInterval(perSecond float64) time.Duration {
+	return time.Duration(l.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
 func (l *loadRun) send(i int, k workKind) {
@@ -94,23 +95,23 @@
 	objective := rec.Terms.Objective(k.time)
 	l.objectiveEnds[id] = l.w.now + objective
 	l.kinds[id] = i
-	l.outcomes[i].asked++
+	l.outcomes[i].submitted++
 	l.w.assign(rec)
 }
 
-// collect counts the submissions that have ended.
+// countEnded counts the submissions that have ended.
 func (l *loadRun) countEnded() {
-	for id, due := range l.objectiveEnds {
+	for id, objectiveEnd := range l.objectiveEnds {
 		state := l.w.states[id]
 		if !state.Final() {
 			continue
 		}
 		o := &l.outcomes[l.kinds[id]]
-		objective := due - l.w.now
+		left := objectiveEnd - l.w.now
 		switch {
 		case state == submission.Rejected:
 			o.refused++
-		case state == submission.Done && objective >= 0:
+		case state == submission.Done && left >= 0:
 			o.inTime++
 		case state == submission.Done:
 			o.late++
@@ -120,21 +121,21 @@
 	}
 }
 
-// share is the mean share of the kinds that was done in time: each kind counts the same, as
-// each takes a like share of the room.
-func inTimeShare(got []outcome) float64 {
+// inTimeShare returns the mean over the kinds of the share that was done in time. Each kind counts the same, as
+// each takes a similar share of the capacity.
+func inTimeShare(outcomes []outcome) float64 {
 	sum := 0.0
-	for _, o := range got {
-		sum += float64(o.inTime) / float64(max(o.asked, 1))
+	for _, o := range outcomes {
+		sum += float64(o.inTime) / float64(max(o.submitted, 1))
 	}
-	return sum / float64(len(got))
+	return sum / float64(len(outcomes))
 }
 
-// Symptom: at a load above the room nearly all are served too late, and few are refused.
-// Sequence: eight seconds of 1.3 times the demand that fills the room. Cause: the order went
-// by priority and deadline alone, so that what was late already made the next one late too.
-// In time are 0.58 of each kind without the bands and 0.78 with them; at 1.0 times the demand
-// 0.80 and 0.90, at 1.15 times 0.67 and 0.83, at 1.4 times 0.42 and 0.71.
+// Guards against an overload in which nearly all submissions are served too late and few are refused. With an
+// order by priority and deadline alone, those that are late already make the next ones late too. The load is 1.3
+// times the demand that fills the capacity, for eight seconds: 0.58 of each kind are in time without the bands
+// and 0.78 with them. At 1.0 times the demand these are 0.80 and 0.90, at 1.15 times 0.67 and 0.83, at 1.4 times
+// 0.42 and 0.71.
 func TestOverloadIsBorneByFew(t *testing.T) {
 	with, without := policy.Defaults(), policy.Defaults()
 	without.Bands = false
@@ -152,9 +153,9 @@
 	}
 }
 
-// Symptom: urgent callers are refused at once, though what they want would come first.
-// Sequence: much work of a lower priority waits at the shard. Cause: the forecast counted all
-// that waits. On days with overload 123 of 2,276 urgent submissions were refused so.
+// Guards against urgent submissions that are refused though they would be served first, while much work of a
+// lower priority waits at the shard. The forecast counted all queued work, by which 123 of 2,276 urgent
+// submissions were refused on days with overload.
 func TestWhatComesFirstDoesNotWaitForTheRest(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
@@ -170,12 +171,12 @@
 	_, all := load.QueuedAhead(0, true)
 	_, ahead := load.QueuedAhead(0, !p.ByPriority)
 	if reason := policy.Admit(w.now, urgent, []policy.Candidate{{Shard: "a", Capacity: 4, Wait: ahead}}); reason.Refused() {
-		t.Errorf("refused (%s) with %v before it", reason, ahead)
+		t.Errorf("refused (%s) with %v of queued work before it", reason, ahead)
 	}
 	if reason := policy.Admit(w.now, urgent, []policy.Candidate{{Shard: "a", Capacity: 4, Wait: all}}); !reason.Refused() {
-		t.Errorf("all that waits, %v, does not refuse it: the test shows nothing", all)
+		t.Errorf("all queued work, %v, does not lead to a refusal either: the test shows nothing", all)
 	}
 	if _, same := load.QueuedAhead(1, false); same < all/2 {
-		t.Errorf("%v of %v are before work of the same priority", same, all)
+		t.Errorf("only %v of %v of queued work are before work of the same priority", same, all)
 	}
 }
--- a/internal/kept/shard/world_test.go
+++ b/internal/kept/shard/world_test.go
@@ -213,7 +213,7 @@
 }
 
 // isUnknownToHolder reports whether the holder knows only an earlier incarnation of a worker under the same
-// ID. Until it knows the present one, nothing can prevent that it carries out an order for the earlier one.
+// ID. Until it knows the present one, nothing can prevent that one from carrying out orders for the earlier.
 func (w *world) isUnknownToHolder(h *runhost.Host) bool {
 	born, known := w.knownBorn[h.Info.ID]
 	return known && born != h.Info.Born
