--- a/internal/kept/vm/cancel.go
+++ b/internal/kept/vm/cancel.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// storeCancel replaces the record of an unfinished submission by the final state Cancelled, and retries until
+// storeCancel replaces the record of an unfinished submission by the final state Cancelled, retrying for up to
 // cancelTimeout. It returns the final state, or Unknown if there is no such submission.
 func (v *VM) storeCancel(ctx context.Context, id submission.ID) (submission.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
@@ -46,7 +46,7 @@
 	}
 }
 
-// cancelTimeout limits the writes of a cancellation.
+// cancelTimeout limits the attempts to store a cancellation.
 const cancelTimeout = 1400 * time.Millisecond
 
 type cancelledEvent struct {
--- a/internal/kept/vm/doc.go
+++ b/internal/kept/vm/doc.go
@@ -27,7 +27,7 @@
 //	  |
 //	home VM                 stored.go, states.go, cancel.go   stored submissions
 //	                        transient.go, recall.go,          transient submissions and their parts
-//	                        deferred.go
+//	                        deferred.go, losses.go
 //	  |
 //	moves between shards    evacuate.go, offload.go   tasks whose shard must not, or need not, start them
 //	  |
@@ -43,6 +43,8 @@
 //	                        watch.go, sweep.go        watches of the store, this VM's session there,
 //	                                                  and removal of old final states
 //
+// vm.go starts and stops all of it; events.go lists the events; metrics.go has the metrics.
+//
 // Decisions are made in packages without I/O or clock: policy (which submissions to admit, in what
 // order, and where), shard (what runs on which worker), site (which VM holds which shard), and
 // evacuation.
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -33,6 +33,7 @@
 	return domain, ok && prefix != "" && domain != ""
 }
 
+// evacuationsIn returns the evacuations among the keys of a complete read.
 func (v *VM) evacuationsIn(items []store.Item) []evacuation.Notice {
 	var out []evacuation.Notice
 	for _, it := range items {
@@ -43,6 +44,7 @@
 	return out
 }
 
+// evacuationChanges returns the beginnings and ends of evacuations among the events of a watch.
 func (v *VM) evacuationChanges(events []store.Event) []evacuation.Notice {
 	var out []evacuation.Notice
 	for _, ev := range events {
@@ -58,12 +60,12 @@
 	if v.config.StoreLayout.EvacuationPrefix == "" {
 		return nil, nil
 	}
-	sent := v.now()
+	requestedAt := v.now()
 	items, revision, err := v.readAll(ctx, v.config.StoreLayout.EvacuationPrefix, false)
 	if err != nil {
 		return nil, err
 	}
-	return &evacuationsEvent{requestedAt: sent, complete: true, revision: revision, notices: v.evacuationsIn(items)}, nil
+	return &evacuationsEvent{requestedAt: requestedAt, complete: true, revision: revision, notices: v.evacuationsIn(items)}, nil
 }
 
 func (ev evacuationsEvent) apply(e *engine) {
@@ -80,8 +82,8 @@
 // receiveEvacuations applies evacuations that a peer passes on.
 func (e *engine) receiveEvacuations(from string, received []*pb.KeptEvacuation) {
 	notices := make([]evacuation.Notice, len(received))
-	for i, w := range received {
-		notices[i] = evacuation.Notice{Domain: w.Domain, Revision: w.Revision, Evacuated: w.Evacuated}
+	for i, n := range received {
+		notices[i] = evacuation.Notice{Domain: n.Domain, Revision: n.Revision, Evacuated: n.Evacuated}
 	}
 	e.applyEvacuations(e.evacuations.ApplyAll(notices), from)
 }
@@ -213,7 +215,7 @@
 func (e *engine) endUnassigned(t *transientSubmission) {
 	switch {
 	case t.anyStarted():
-		e.giveUp(t, "no shard may start its remaining tasks, failure domains are evacuated or out of reach")
+		e.giveUp(t, "no reachable shard may start its remaining tasks")
 	case t.assignedTaskCount() == 0:
 		e.refuseTransient(t, policy.AllDomainsEvacuated)
 	default: // another shard has a part, which will start or be returned
--- a/internal/kept/vm/recall.go
+++ b/internal/kept/vm/recall.go
@@ -43,6 +43,8 @@
 	}
 }
 
+// anyStarted reports whether a task of the submission may have started. A part that was resent counts, as an
+// earlier holder may have started it.
 func (t *transientSubmission) anyStarted() bool {
 	return t.started || slices.ContainsFunc(t.parts, func(p *part) bool {
 		return p.resends > 0 || p.state == submission.Running || p.state == submission.Done
@@ -53,6 +55,7 @@
 	return slices.ContainsFunc(t.parts, func(p *part) bool { return p.state == submission.Rejected })
 }
 
+// recall asks the holders of all unfinished parts to reject them unless they have started.
 func (e *engine) recall(t *transientSubmission, reason policy.Reason) {
 	t.recalledAt = e.now
 	klog.InfoS("kept: parts recalled", "id", t.record.ID, "queue", t.record.Queue, "parts", len(t.parts), "why", reason, "after", e.now-t.receivedAt)
@@ -84,7 +87,8 @@
 	t.recalledAt = 0
 }
 
-// selectShard chooses another shard for a part and returns its load; nil if there is none.
+// selectShard chooses the shard to which a rejected part is sent next, and returns that shard's load; nil if
+// there is none. Shards that have another part of the submission are left out.
 func (e *engine) selectShard(t *transientSubmission, p *part) *knownLoad {
 	shards := e.eligibleShards(p.record)
 	shards = slices.DeleteFunc(shards, func(c policy.Candidate) bool {
