--- a/internal/kept/shard/progress_test.go
+++ b/internal/kept/shard/progress_test.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// newMovingWorld is a world of four workers whose holder starts tasks elsewhere.
+// newMovingWorld returns a world of four workers whose holder also moves tasks away from slow workers.
 func newMovingWorld(t *testing.T) *world {
 	w := newWorld(t, 4)
 	w.policy.MoveSlow = true
@@ -17,9 +17,8 @@
 	return w
 }
 
-// Symptom: a submission does not end, though all workers answer. Sequence: a worker hangs:
-// it takes tasks, renews its lease and lists them, and they make no progress. Cause: only a
-// worker that does not answer was given up.
+// Guards against a submission that does not end though all workers answer. A worker hangs: it accepts tasks,
+// renews its lease and lists its runs, but they make no progress. Only a worker that did not answer was given up.
 func TestTasksThatStandStillStartElsewhere(t *testing.T) {
 	w := newMovingWorld(t)
 	w.hung["w0"] = true
@@ -32,14 +31,13 @@
 	w.expectState("b", submission.Done)
 	for _, s := range w.starts[before:] {
 		if s.Worker.ID == "w0" {
-			t.Error("the worker that hangs was given another task at once")
+			t.Error("the hung worker was given another task at once")
 		}
 	}
 }
 
-// Symptom: a submission is late by several times. Sequence: a worker turns seven times
-// slower, and has one of its tasks. Cause: it was waited for, though a start elsewhere would
-// have been done sooner.
+// Guards against a submission that takes several times its objective because a worker with some of its tasks
+// becomes seven times slower. Restarted on another worker, they are done sooner.
 func TestTasksOnASlowWorkerStartElsewhere(t *testing.T) {
 	w := newMovingWorld(t)
 	w.slowdown["w0"] = 7
@@ -51,8 +49,8 @@
 	}
 }
 
-// Symptom: work is thrown away on a calm day. Sequence: a caller's estimate is far too low,
-// for all tasks of a submission alike. Cause: its tasks passed for held up by their workers.
+// Guards against runs that are stopped on healthy workers because the caller's estimate is far too low for all
+// tasks of a submission. They were taken for delayed by their workers.
 func TestWrongEstimatesMoveNothing(t *testing.T) {
 	w := newMovingWorld(t)
 	rec := w.submission("a", 7, runhost.Work{Time: 2 * time.Second})
@@ -61,12 +59,12 @@
 	w.run(2500 * ms)
 	w.expectState("a", submission.Done)
 	if len(w.stops) != 0 {
-		t.Errorf("%d tasks were moved off sound workers", len(w.stops))
+		t.Errorf("%d tasks were moved away from healthy workers", len(w.stops))
 	}
 }
 
-// Symptom: a sound worker gets nothing for seconds. Sequence: one task stands still by its
-// own fault, beside others that go on. Cause would be: taking the worker for hung.
+// Guards against a healthy worker that gets no tasks for seconds because one task stalls there by its own fault,
+// while the others make progress. The worker must not be taken for hung.
 func TestATaskThatStandsStillAloneIsNotItsWorkersFault(t *testing.T) {
 	w := newMovingWorld(t)
 	w.assign(w.submission("hangs", 1, runhost.Work{Hangs: true, Time: 500 * ms}))
@@ -76,14 +74,14 @@
 	w.expectState("goes", submission.Done)
 	free := w.shard.Load(w.now)
 	if n := len(free.FreeMilli); n != 4 {
-		t.Errorf("%d workers have room, want all 4", n)
+		t.Errorf("%d workers have free capacity, want all 4", n)
 	}
 }
 
-// Symptom: tasks are moved off sound workers. Sequence: a short run ends right after another
-// start at its worker; the next hold leaves at once, waits for an end, and answers a quarter of a second later with what has been done by then.
-// Cause: the age of the run was taken from when the hold left, so that its siblings passed
-// for many times faster.
+// Guards against tasks that are moved away from healthy workers. A short run ends right after another start on
+// its worker. The next hold is sent at once, waits for a run to end, and is answered a quarter of a second later
+// with the progress by then. If the age of the run was taken from when the hold was sent, its siblings seemed many
+// times faster.
 func TestAnswersThatWaitedTellOfTheirOwnTime(t *testing.T) {
 	w := newMovingWorld(t)
 	w.holdWait["w1"] = 250 * ms
@@ -104,13 +102,12 @@
 	w.run(2 * time.Second)
 	w.expectState("a", submission.Done)
 	if len(w.stops) != 0 {
-		t.Errorf("%d tasks were moved off sound workers", len(w.stops))
+		t.Errorf("%d tasks were moved away from healthy workers", len(w.stops))
 	}
 }
 
-// Symptom: sound workers are taken for hung, one after the other. Sequence: work comes that
-// takes a hundred times its estimate, so that a percent of it takes longer than the estimate.
-// Cause: progress was expected by the estimate alone.
+// Guards against healthy workers that are taken for hung, one after the other, when tasks take a hundred times
+// their estimate, so that one percent takes longer than the estimate. Progress was expected by the estimate alone.
 func TestLongWorkDoesNotStandStill(t *testing.T) {
 	w := newMovingWorld(t)
 	rec := w.submission("a", 8, runhost.Work{Time: 50 * time.Second})
--- a/internal/kept/shard/property_test.go
+++ b/internal/kept/shard/property_test.go
@@ -18,17 +18,17 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// records is the store of a world: the records of submissions under their revisions, and
-// writes that may take long. A write of a holder that has been replaced fails.
+// recordStore simulates the store: records of submissions with their revisions, and writes that may take long.
+// Writes of a holder that has been replaced have no effect.
 type recordStore struct {
 	revision         uint64
 	open             map[submission.ID]StoredRecord
 	final            map[submission.ID]submission.State
 	delay            time.Duration
 	writes           []recordWrite
-	ackedCompletions map[submission.TaskRef]bool // completed, and an end of it acknowledged or stored
-	ackedFailures    map[submission.TaskRef]int  // failed runs, acknowledged
-	listed           map[string][]worker.Ended   // by worker: the newest listing
+	ackedCompletions map[submission.TaskRef]bool // tasks of which a completed run was acknowledged
+	ackedFailures    map[submission.TaskRef]int  // number of acknowledged failed runs
+	listed           map[string][]worker.Ended   // ended runs in the newest listing of each worker
 	violations       []string
 }
 
@@ -40,7 +40,7 @@
 	final    submission.State // Unknown: progress
 }
 
-// take carries out the acknowledgements and puts off the writes of a holder.
+// apply carries out the acknowledgements of a holder, and its writes after the delay.
 func (r *recordStore) apply(w *world, a Actions) {
 	for _, s := range a.Acks {
 		for _, e := range r.listed[s.Worker] {
@@ -60,9 +60,9 @@
 	for _, s := range a.Saves {
 		r.writes = append(r.writes, recordWrite{at: w.now + r.delay, by: w.shard, revision: s.Revision, record: s.Record})
 	}
-	due := r.writes
+	pending := r.writes
 	r.writes = nil
-	for _, o := range due {
+	for _, o := range pending {
 		if o.at > w.now {
 			r.writes = append(r.writes, o)
 			continue
@@ -80,14 +80,14 @@
 	}
 }
 
-// check holds a start against what was acknowledged before.
+// checkStart checks a start against the ended runs that were acknowledged before.
 func (r *recordStore) checkStart(w *world, s StartAction) {
 	if r.ackedCompletions[s.Task] {
-		r.violations = append(r.violations, fmt.Sprintf("%v starts after its end was acknowledged", s.Task))
+		r.violations = append(r.violations, fmt.Sprintf("%v starts after a completed run of it was acknowledged", s.Task))
 	}
 	rec := r.open[s.Task.ID].Record
 	if rec == nil {
-		return // its end is stored, and the holder will hear of it
+		return // its final state is stored, and the holder will learn it
 	}
 	if r.ackedFailures[s.Task] >= rec.Terms.Attempts {
 		r.violations = append(r.violations, fmt.Sprintf("%v starts after %d failed runs", s.Task, r.ackedFailures[s.Task]))
@@ -101,7 +101,7 @@
 	}
 }
 
-// write carries out a write if its record is unchanged and its holder not replaced.
+// write carries out a write if the record is unchanged and the holder has not been replaced.
 func (r *recordStore) write(w *world, o recordWrite) {
 	if o.by != w.shard {
 		return
@@ -126,7 +126,7 @@
 	r.final[id] = state
 }
 
-// play is a world whose submissions are stored, and what has been submitted.
+// randomPlay is a world with a record store, in which random events happen.
 type randomPlay struct {
 	*world
 	submitted map[submission.ID]runhost.Work
@@ -144,7 +144,7 @@
 	return &randomPlay{world: w, submitted: make(map[submission.ID]runhost.Work)}
 }
 
-// act is one random event: op says what happens, n how much of it.
+// event is a random event. Op selects what happens, N the worker or submission and the amount.
 type event struct{ Op, N int }
 
 var reflectAct = reflect.TypeOf(event{})
@@ -213,7 +213,7 @@
 	p.shard.Assign(p.now, s)
 }
 
-// takeOver replaces the holder; a clean one has certainly ended.
+// takeOver replaces the holder. clean says that the previous one has certainly stopped.
 func (p *randomPlay) takeOver(clean bool) {
 	p.newHolder(p.shard.Token()+1, clean)
 	var all []StoredRecord
@@ -228,7 +228,7 @@
 	p.shard.AddRecords(p.now, all)
 }
 
-// rebirth ends a worker's life; another begins at its address.
+// replaceWorker ends a worker and starts another one at its address.
 func (p *randomPlay) replaceWorker(id string) {
 	p.recordEnded(id)
 	address := p.hosts[id].Info.Address
@@ -253,7 +253,7 @@
 	}
 }
 
-// maxWorkersEnded is the most workers whose lives have ended under one task of a submission.
+// maxWorkersEnded returns how many workers have ended under a task of a submission, the maximum over its tasks.
 func (p *randomPlay) maxWorkersEnded(id submission.ID) int {
 	most := 0
 	for ref, workers := range p.endedUnder {
@@ -264,7 +264,7 @@
 	return most
 }
 
-// finish lets all faults end and returns what is wrong then.
+// settleAndCheck ends all faults, lets the submissions end and returns what is wrong then.
 func (p *randomPlay) settleAndCheck() error {
 	p.losesStartReply, p.startDelay = nil, nil
 	p.records.delay = 0
@@ -292,15 +292,15 @@
 	return nil
 }
 
-// More than the share of each check by hand: go test ./internal/kept/shard -run Random
-// -timeout 0 -random-runs 10000 -random-seed 7
+// To run more than the default number of plays: go test ./internal/kept/shard -run Random -timeout 0
+// -random-runs 10000 -random-seed 7
 var (
-	randomRuns = flag.Int("random-runs", 60, "plays of random faults")
-	randomSeed = flag.Int64("random-seed", 1, "of the first play")
+	randomRuns = flag.Int("random-runs", 60, "number of plays of random faults")
+	randomSeed = flag.Int64("random-seed", 1, "seed of the first play")
 )
 
-// Stored submissions of several steps are brought to their end, each task once, in order
-// and within its attempts, whatever happens to holders, workers, orders and the store.
+// Stored submissions of several steps end, with each task completed once, in the order of the steps and within
+// its attempts, whatever happens to holders, workers, orders and the store.
 func TestStoredSubmissionsSurviveRandomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*randomSeed)
 	parameters.MinSuccessfulTests = *randomRuns
--- a/internal/kept/shard/room_test.go
+++ b/internal/kept/shard/room_test.go
@@ -9,7 +9,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// newUnguardedWorld is a world of workers that start whatever they are told to.
+// newUnguardedWorld returns a world of workers that start tasks that exceed their capacity.
 func newUnguardedWorld(t *testing.T, workers int) *world {
 	w := newWorld(t, workers)
 	w.unguarded = true
@@ -21,7 +21,7 @@
 	return w
 }
 
-// setCapacity changes the room of a worker, and what it says of itself.
+// setCapacity changes the CPU of a worker and its entry in the list.
 func (w *world) setCapacity(id string, milli int64) {
 	w.revision++
 	w.hosts[id].Info.CPUMilli = milli
@@ -29,7 +29,8 @@
 	w.updateList()
 }
 
-// Guards against starts beyond a room that has shrunk, and against room that is not used when it has grown.
+// Guards against starts beyond a capacity that has shrunk, and against capacity that is not used after it has
+// grown.
 func TestRoomInForceIsTheNewest(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("first", 1, runhost.Work{Time: 300 * ms}))
@@ -38,20 +39,20 @@
 	w.assign(w.submission("second", 1, runhost.Work{Time: 300 * ms}))
 	w.run(200 * ms)
 	if n := w.startCount("second"); n != 0 {
-		t.Errorf("%d starts beyond the room", n)
+		t.Errorf("%d starts beyond the capacity", n)
 	}
 	w.setCapacity("w0", 0)
 	w.run(200 * ms)
 	w.expectState("first", submission.Done)
 	if n := w.startCount("second"); n != 0 {
-		t.Errorf("%d starts without any room", n)
+		t.Errorf("%d starts without any capacity", n)
 	}
 	w.setCapacity("w0", 16000)
 	w.run(400 * ms)
 	w.expectState("second", submission.Done)
 }
 
-// Guards against a late report of a larger room that undoes a newer one.
+// Guards against a late list with a larger capacity that replaces a newer one.
 func TestLateReportOfALargerRoomIsIgnored(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	old := w.hosts["w0"].Info
@@ -60,13 +61,13 @@
 	w.assign(w.submission("a", 2, runhost.Work{Time: 100 * ms}))
 	w.run(50 * ms)
 	if n := w.startCount("a"); n != 1 {
-		t.Errorf("%d starts in a room for one", n)
+		t.Errorf("%d starts on a worker with capacity for one task", n)
 	}
 	w.run(200 * ms)
 	w.expectState("a", submission.Done)
 }
 
-// Guards against starts beyond the room by a new holder that does not know what runs there.
+// Guards against starts beyond the capacity by a new holder that does not know the submissions of all runs there.
 func TestRunsOfUnknownSubmissionsTakeRoom(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("before", 2, runhost.Work{Time: 2 * time.Second}))
@@ -77,7 +78,7 @@
 	w.expectState("after", submission.Done)
 }
 
-// Guards against room that is given again while a run there is being stopped.
+// Guards against capacity that is used again while the run there is still being stopped.
 func TestRunThatIsStoppedTakesRoom(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("a", 2, runhost.Work{Time: time.Second}))
--- a/internal/kept/shard/takeback_test.go
+++ b/internal/kept/shard/takeback_test.go
@@ -14,10 +14,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a caller is told that its submission has not run, and it runs. Sequence: its home
-// takes a part back while starts of it are under way, lost, or carried out late; homes give
-// parts out again under a new serial. Cause would be: a rejection of what was offered, or a
-// start of what was rejected.
+// Guards against a caller that is told that its submission has not run, though it has or will. The home VM recalls
+// a part while start orders of it are in flight, lost or delayed, and may assign it again only under a new serial.
+// A part must not be rejected once a start was sent, and not be started once it was rejected.
 func TestWhatIsTakenBackHasNotRunAndDoesNot(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 60
@@ -28,8 +27,8 @@
 	properties.TestingRun(t)
 }
 
-// runRecalls gives parts to a crowded shard, takes them back at random moments, and
-// reports whether each rejection was true.
+// runRecalls assigns parts to a full shard, recalls them at random times, and reports whether no rejected part
+// has run.
 func runRecalls(t *testing.T, seed uint64) bool {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	w := newWorld(t, 2)
