--- a/internal/kept/vm/cancel_property_test.go
+++ b/internal/kept/vm/cancel_property_test.go
@@ -38,10 +38,10 @@
 	bootCount    int
 }
 
-// cancelAct is one random event: Op says what happens, N how much of it.
-type cancelAct struct{ Op, N int }
+// randomCancelEvent is one random event: Op says what happens, N how much of it.
+type randomCancelEvent struct{ Op, N int }
 
-func (p *cancellationRun) do(a cancelAct) error {
+func (p *cancellationRun) do(a randomCancelEvent) error {
 	vms := slices.Sorted(maps.Keys(p.vms))
 	name := vms[a.N%len(vms)]
 	switch a.Op {
@@ -58,7 +58,7 @@
 		p.recordFault()
 		info := p.fleet.Reborn(fmt.Sprintf("worker-a%d", a.N%3), fmt.Sprintf("w-a%d", a.N%3))
 		if a.N%2 == 0 {
-			p.addEntry(info)
+			p.putWorkerEntry(info)
 		}
 	case 8:
 		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+a.N)%4) * 1300 * ms })
@@ -157,11 +157,11 @@
 	parameters.MinSuccessfulTests = 25
 	parameters.MaxShrinkCount = 10 // a play takes a second
 	properties := gopter.NewProperties(parameters)
-	acts := gen.SliceOfN(25, gen.Struct(reflect.TypeOf(cancelAct{}), map[string]gopter.Gen{
+	acts := gen.SliceOfN(25, gen.Struct(reflect.TypeOf(randomCancelEvent{}), map[string]gopter.Gen{
 		"Op": gen.IntRange(0, 11),
 		"N":  gen.IntRange(0, 1000),
 	}))
-	properties.Property("nothing cancelled runs on", prop.ForAll(func(acts []cancelAct) (ok bool, err error) {
+	properties.Property("nothing cancelled runs on", prop.ForAll(func(acts []randomCancelEvent) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &cancellationRun{world: newWorldWithIncarnations(t, 3), cancelledAt: make(map[submission.ID]time.Time), withoutStore: make(map[string]bool)}
 			p.log = watchStarts(p.world)
--- a/internal/kept/vm/early_test.go
+++ b/internal/kept/vm/early_test.go
@@ -60,7 +60,7 @@
 		time.Sleep(time.Second)
 		w.boot("a1")
 		w.fleet.SetWork("job", runhost.Work{CPUMilli: 6800, Time: 5 * time.Second})
-		rec := equalTasks("job", 1, runhost.Work{CPUMilli: 6800, Time: 5 * time.Second})
+		rec := newOneStepRecord("job", 1, runhost.Work{CPUMilli: 6800, Time: 5 * time.Second})
 		rec.Transient = true
 		ctx, cancel := context.WithTimeout(context.Background(), 5*ms)
 		defer cancel()
--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -47,12 +47,12 @@
 	stored       []submission.ID
 }
 
-// evacuationAct is one random event: Op says what happens, N how much of it.
-type evacuationAct struct{ Op, N int }
+// randomEvacuationEvent is one random event: Op says what happens, N how much of it.
+type randomEvacuationEvent struct{ Op, N int }
 
 var vmNames = []string{"a1", "a2", "b1", "b2"}
 
-func (p *evacuationRun) do(a evacuationAct) {
+func (p *evacuationRun) do(a randomEvacuationEvent) {
 	domain := []string{"a", "b"}[a.N%2]
 	name := vmNames[a.N%len(vmNames)]
 	switch a.Op {
@@ -258,8 +258,8 @@
 			p.toggleCut(domain)
 		}
 	}
-	p.do(evacuationAct{Op: 6})
-	p.do(evacuationAct{Op: 8})
+	p.do(randomEvacuationEvent{Op: 6})
+	p.do(randomEvacuationEvent{Op: 8})
 	for range 60 {
 		time.Sleep(500 * ms)
 		p.pollCallers()
@@ -331,14 +331,14 @@
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 25
 	properties := gopter.NewProperties(parameters)
-	acts := gen.SliceOfN(30, gen.Struct(reflect.TypeOf(evacuationAct{}), map[string]gopter.Gen{
+	acts := gen.SliceOfN(30, gen.Struct(reflect.TypeOf(randomEvacuationEvent{}), map[string]gopter.Gen{
 		"Op": gen.IntRange(0, 16),
 		"N":  gen.IntRange(0, 1000),
 	}))
-	properties.Property("nothing starts, nothing is lost", prop.ForAll(func(acts []evacuationAct) (ok bool, err error) {
+	properties.Property("nothing starts, nothing is lost", prop.ForAll(func(acts []randomEvacuationEvent) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &evacuationRun{
-				world:     newTwoDomains(t),
+				world:     newTwoDomainWorld(t),
 				evacuated: make(map[string][]span),
 				cuts:      make(map[string][]span),
 				tasks:     make(map[submission.ID]int),
--- a/internal/kept/vm/evacuate_test.go
+++ b/internal/kept/vm/evacuate_test.go
@@ -376,7 +376,7 @@
 		ask := func(id submission.ID) (Outcome, time.Duration) {
 			work := runhost.Work{Time: 50 * ms, CPUMilli: 6800}
 			w.fleet.SetWork(id, work)
-			rec := equalTasks(id, 1, work)
+			rec := newOneStepRecord(id, 1, work)
 			rec.Transient = true
 			rec.Terms.Service = "lab"
 			began := time.Now()
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -81,7 +81,7 @@
 
 // Guards against a frame of a peer that stops the process.
 func FuzzFrame(f *testing.F) {
-	rec := equalTasks("job", 3, testWork)
+	rec := newOneStepRecord("job", 3, testWork)
 	rec.Transient, rec.Shard, rec.Home = true, "a/0", "b1"
 	list, err := json.Marshal([]worker.Info{{ID: "w3", Service: "desk", Address: "w3", Domain: "a", CPUMilli: 1, MemMB: 1}})
 	if err != nil {
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -178,7 +178,7 @@
 		l := watchStarts(w)
 		from := time.Now()
 		holder := w.holderOf("a")
-		next := other(holder)
+		next := otherVM(holder)
 		w.silenceWorkerList(true)
 		w.kill(holder)
 		time.Sleep(20 * ms)
--- a/internal/kept/vm/losses_test.go
+++ b/internal/kept/vm/losses_test.go
@@ -35,7 +35,7 @@
 	for name, transient := range map[string]bool{"stored": false, "transient": true} {
 		t.Run(name, func(t *testing.T) {
 			testWorld(t, func(w *world) {
-				home := other(w.holderOf("a"))
+				home := otherVM(w.holderOf("a"))
 				out := w.submit(home, "poison", 1, runhost.Work{Time: 50 * ms, Crashes: true}, transient)
 				for w.fleet.Crashes("poison") == 0 {
 					time.Sleep(10 * ms)
@@ -65,7 +65,7 @@
 func TestHomeKeepsLossesApartFromEnds(t *testing.T) {
 	v := &VM{now: func() time.Duration { return time.Hour }}
 	e := newEngine(context.Background(), v)
-	rec := equalTasks("s", 2, runhost.Work{Time: 50 * ms})
+	rec := newOneStepRecord("s", 2, runhost.Work{Time: 50 * ms})
 	e.transients["s"] = &transientSubmission{record: rec, parts: []*part{{record: rec}}}
 	ref := submission.TaskRef{ID: "s", Task: submission.Task{Index: 1}}
 	for range 2 {
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -17,7 +17,7 @@
 		v := w.vms["a1"]
 		reply := make(chan submission.State, 1)
 		v.post(engineFunc(func(e *engine) {
-			rec := equalTasks("job", 2, runhost.Work{Time: 50 * ms})
+			rec := newOneStepRecord("job", 2, runhost.Work{Time: 50 * ms})
 			rec.Serial = 9
 			p := &part{record: rec, shard: "b/0", holderToken: e.loads["b/0"].token, holder: e.loads["b/0"].holder}
 			sub := &transientSubmission{record: rec, parts: []*part{p}, state: submission.Queued}
@@ -46,7 +46,7 @@
 		v := w.vms["a1"]
 		reply := make(chan int, 1)
 		v.post(engineFunc(func(e *engine) {
-			whole := equalTasks("job", 2, runhost.Work{Time: 50 * ms})
+			whole := newOneStepRecord("job", 2, runhost.Work{Time: 50 * ms})
 			rejected, gone := *whole, *whole
 			rejected.TasksElsewhere = []submission.Task{{Index: 1}}
 			gone.TasksElsewhere = []submission.Task{{Index: 0}, {Index: 1}}
--- a/internal/kept/vm/reborn_test.go
+++ b/internal/kept/vm/reborn_test.go
@@ -43,7 +43,7 @@
 	w.t.Helper()
 	info := w.fleet.Reborn("worker-"+name, "w-"+name)
 	if listed {
-		w.addEntry(info)
+		w.putWorkerEntry(info)
 	}
 }
 
@@ -122,13 +122,13 @@
 func TestLateEntryOfAnEarlierIncarnation(t *testing.T) {
 	testWorldWithIncarnations(t, 1, func(w *world) {
 		old := w.fleet.Reborn("worker-a0", "w-a0")
-		w.addEntry(old)
+		w.putWorkerEntry(old)
 		time.Sleep(time.Second)
 		w.restartWorker("a0", true)
 		time.Sleep(time.Second)
 		out := w.submit("a1", "job", 2, runhost.Work{Time: 2 * time.Second}, true)
 		time.Sleep(300 * ms)
-		w.addEntry(old)
+		w.putWorkerEntry(old)
 		time.Sleep(500 * ms)
 		w.wantEnd(out, submission.Done)
 		if n := w.fleet.Starts("job"); n != 2 {
--- a/internal/kept/vm/site_bench_test.go
+++ b/internal/kept/vm/site_bench_test.go
@@ -68,7 +68,7 @@
 		due := int(time.Since(began).Seconds() * float64(rate))
 		for ; sent < due; sent++ {
 			work := runhost.Work{Time: 100 * ms, CPUMilli: 6800}
-			rec, v := equalTasks(submission.ID(fmt.Sprintf("s%d", sent)), 4, work), vms[sent%len(vms)]
+			rec, v := newOneStepRecord(submission.ID(fmt.Sprintf("s%d", sent)), 4, work), vms[sent%len(vms)]
 			rec.Transient = true
 			w.fleet.SetWork(rec.ID, work)
 			go func() { ended <- v.Submit(context.Background(), rec) }()
--- a/internal/kept/vm/vm_test.go
+++ b/internal/kept/vm/vm_test.go
@@ -75,7 +75,7 @@
 func TestRunsOutliveTheirHolder(t *testing.T) {
 	testWorld(t, func(w *world) {
 		holder := w.holderOf("a")
-		out := w.submit(other(holder), "job", 4, runhost.Work{Time: 800 * ms}, true)
+		out := w.submit(otherVM(holder), "job", 4, runhost.Work{Time: 800 * ms}, true)
 		time.Sleep(200 * ms)
 		w.kill(holder)
 		began := time.Now()
@@ -184,7 +184,7 @@
 func TestHolderDiesWhileTheListOfWorkersIsEmpty(t *testing.T) {
 	testWorld(t, func(w *world) {
 		holder := w.holderOf("a")
-		out := w.submit(other(holder), "job", 5, runhost.Work{Time: 3 * time.Second}, true)
+		out := w.submit(otherVM(holder), "job", 5, runhost.Work{Time: 3 * time.Second}, true)
 		time.Sleep(200 * ms)
 		w.store.Delete("workers/")
 		time.Sleep(100 * ms)
@@ -308,7 +308,7 @@
 		holder := w.holderOf("a")
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		w.vms[other(holder)].Drain(ctx)
+		w.vms[otherVM(holder)].Drain(ctx)
 		time.Sleep(500 * ms)
 		w.vms[holder].Drain(ctx)
 		time.Sleep(500 * ms)
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -44,14 +44,14 @@
 func testWorld(t *testing.T, play func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newTwoDomains(t)
+		w := newTwoDomainWorld(t)
 		play(w)
 		w.end()
 	})
 }
 
-// newTwoDomains is a site of two failure domains that serves.
-func newTwoDomains(t testing.TB) *world {
+// newTwoDomainWorld is a site of two failure domains that serves.
+func newTwoDomainWorld(t testing.TB) *world {
 	w := newWorld(t, "a", "b")
 	for _, d := range w.domains {
 		for i := range 3 {
@@ -94,11 +94,11 @@
 
 func (w *world) addWorker(info worker.Info) {
 	w.fleet.Add(info)
-	w.addEntry(info)
+	w.putWorkerEntry(info)
 }
 
-// addEntry writes what a worker says of itself into the list.
-func (w *world) addEntry(info worker.Info) {
+// putWorkerEntry writes what a worker says of itself into the list.
+func (w *world) putWorkerEntry(info worker.Info) {
 	value, err := json.Marshal(info)
 	if err != nil {
 		w.t.Fatal(err)
@@ -186,7 +186,7 @@
 func (w *world) submit(at string, id submission.ID, tasks int, work runhost.Work, transient bool) chan Outcome {
 	work.CPUMilli = 6800
 	w.fleet.SetWork(id, work)
-	rec := equalTasks(id, tasks, work)
+	rec := newOneStepRecord(id, tasks, work)
 	rec.Transient = transient
 	out := make(chan Outcome, 1)
 	v := w.vms[at]
@@ -198,8 +198,8 @@
 	return out
 }
 
-// equalTasks is the record of a submission of one step.
-func equalTasks(id submission.ID, tasks int, work runhost.Work) *submission.Record {
+// newOneStepRecord is the record of a submission of one step.
+func newOneStepRecord(id submission.ID, tasks int, work runhost.Work) *submission.Record {
 	return &submission.Record{
 		ID:    id,
 		Queue: "q",
@@ -251,7 +251,7 @@
 }
 
 // other is the other VM of a domain.
-func other(name string) string {
+func otherVM(name string) string {
 	if name[1] == '1' {
 		return name[:1] + "2"
 	}
