--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -17,15 +17,16 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// maxLeaveNoticeDelay is how soon after its notice a worker gets nothing new from a VM that is in touch.
+// maxLeaveNoticeDelay is the time after which a worker that announced that it leaves must get no new tasks from
+// a VM that is connected to the store. It is the default of Config.MaxLeaveNoticeDelay.
 const maxLeaveNoticeDelay = 2 * time.Second
 
-// announceLeaving has a worker say in the list that it leaves. It goes on serving.
+// announceLeaving marks a worker's entry in the store as leaving. The worker keeps serving.
 func (w *world) announceLeaving(id string) {
 	w.t.Helper()
 	it, err := w.store.Get(context.Background(), "workers/"+id)
 	if err != nil || it.Revision == 0 {
-		w.t.Fatalf("no worker %s in the list (%v)", id, err)
+		w.t.Fatalf("the store has no entry of worker %s (%v)", id, err)
 	}
 	var info worker.Info
 	if err := json.Unmarshal(it.Value, &info); err != nil {
@@ -39,7 +40,7 @@
 	w.store.Put("workers/"+id, value)
 }
 
-// wantNoStartsOn checks that workers have got nothing since a time.
+// wantNoStartsOn checks that no task was started on the given workers since a time.
 func wantNoStartsOn(t *testing.T, l *startLog, ids []string, from time.Time) {
 	t.Helper()
 	l.mu.Lock()
@@ -48,11 +49,11 @@
 		return !slices.Contains(ids, s.worker) || s.at.Before(from)
 	})
 	if len(late) > 0 {
-		t.Errorf("%d starts at workers that leave, the first %v after their notice had to be known", len(late), late[0].at.Sub(from))
+		t.Errorf("%d starts on leaving workers, the first %v after their announcement had to take effect", len(late), late[0].at.Sub(from))
 	}
 }
 
-// Guards against starts at a leaving worker by a VM that has just taken over the worker's shard.
+// Guards against starts on a leaving worker by a VM that has just taken over the worker's shard.
 func TestNewHolderStartsNothingAtALeavingWorker(t *testing.T) {
 	changes := map[string]func(w *world, holder string){
 		"handed over": func(w *world, holder string) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// testNewHolderAfter has half of the workers give notice, and the holder of a shard change once it is
-// known. The rest has no room for all that comes.
+// testNewHolderAfter lets half of the workers announce that they leave and, once that must be known, changes
+// the holder of a shard. The other workers do not have the capacity for all submissions.
 func testNewHolderAfter(t *testing.T, shard string, change func(w *world, holder string)) {
 	w := newWorld(t, "a")
 	defer w.end()
@@ -108,7 +109,7 @@
 	time.Sleep(10 * ms)
 	change(w, holder)
 	if done, _ := w.submitRepeatedly(home, "after", 5*ms, 1500*ms); done == 0 {
-		t.Error("nothing was served after the change")
+		t.Error("no submission was completed after the change of holder")
 	}
 	for _, out := range outs {
 		<-out
@@ -116,10 +117,10 @@
 	wantNoStartsOn(t, l, leaving, from)
 }
 
-// isWorkerListCall reports whether a call reads or follows the list of workers.
+// isWorkerListCall reports whether a call reads or watches the list of workers.
 func isWorkerListCall(c relay.Call) bool { return strings.Contains(string(c.Body), `"workers/"`) }
 
-// silenceWorkerList has no VM hear of the list of workers.
+// silenceWorkerList makes the store answer no call for the list of workers, or all of them again.
 func (w *world) silenceWorkerList(silent bool) {
 	for _, d := range w.storeDoors {
 		if silent {
@@ -130,7 +131,7 @@
 	}
 }
 
-// delayWorkerList has each call for the list of workers take longer.
+// delayWorkerList makes each call for the list of workers take longer.
 func (w *world) delayWorkerList(by time.Duration) {
 	for _, d := range w.storeDoors {
 		d.Slow(func(c relay.Call) time.Duration {
@@ -142,7 +143,7 @@
 	}
 }
 
-// Guards against starts at a worker that gave notice while no VM was there to hear it.
+// Guards against starts on a worker that announced that it leaves while no VM was running.
 func TestRestartedVMsStartNothingAtALeavingWorker(t *testing.T) {
 	testWorld(t, func(w *world) {
 		all := []string{"a1", "a2", "b1", "b2"}
@@ -159,18 +160,19 @@
 		for _, name := range all {
 			w.boot(name)
 		}
-		w.silenceWorkerList(true) // the list comes some time after all else
+		w.silenceWorkerList(true) // the list arrives later than everything else
 		w.submitRepeatedly("a1", "early", 10*ms, time.Second)
 		w.silenceWorkerList(false)
 		time.Sleep(time.Second)
 		if done, _ := w.submitRepeatedly("a1", "job", 10*ms, time.Second); done == 0 {
-			t.Error("nothing was served")
+			t.Error("no submission was completed")
 		}
 		wantNoStartsOn(t, l, leaving, from)
 	})
 }
 
-// Guards against an idle shard, and starts at leaving workers, when the store fails right after a takeover.
+// Guards against an idle shard, and against starts on leaving workers, when the store fails right after a
+// takeover: the new holder has no list and must use the workers that its predecessor stored.
 func TestNewHolderWithoutTheStoreUsesStoredWorkers(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.announceLeaving("w-a0")
@@ -191,13 +193,14 @@
 		time.Sleep(2 * time.Second)
 		w.wantEnd(w.submit(next, "job", 8, runhost.Work{Time: 100 * ms}, true), submission.Done)
 		if n := len(l.inDomain("a", from, time.Now())); n == 0 {
-			t.Error("nothing started in the domain")
+			t.Error("no task was started in the domain")
 		}
 		wantNoStartsOn(t, l, []string{"w-a0"}, from)
 	})
 }
 
-// Guards against starts on an old list: the reader is silent though its link stands.
+// Guards against starts based on an outdated list of workers: the list reader sends nothing though its link
+// is up. While the store does not answer, an old list may be used.
 func TestWorkerListIsOutdated(t *testing.T) {
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
@@ -208,7 +211,7 @@
 		t.Helper()
 		e.now = now
 		if got := e.isListOutdated(e.workerLists["a"], v.router.LastCalls()); got != outdated {
-			t.Errorf("the list is outdated: %v, want %v, %s", got, outdated, when)
+			t.Errorf("the list is outdated: got %v, want %v, %s", got, outdated, when)
 		}
 	}
 	call := func() {
@@ -218,10 +221,10 @@
 	call()
 	wants(true, "without a list")
 	e.workerLists["a"] = &workerList{requestedAt: now}
-	wants(false, "when it is new")
+	wants(false, "with a new list")
 	now += maxLeaveNoticeDelay
 	call()
-	wants(true, "when it is as old as the bound")
+	wants(true, "with a list of the maximum age")
 	direct.fails = true
 	call()
 	wants(false, "when the store does not answer")
@@ -230,7 +233,7 @@
 	wants(false, "just after the store is back")
 	now += storeSteadyPeriod + time.Millisecond
 	call()
-	wants(true, "when the store has answered for long")
+	wants(true, "when the store has answered for storeSteadyPeriod")
 	direct.fails = true
 	call()
 	delete(e.workerLists, "a")
@@ -247,6 +250,7 @@
 	return relay.Reply{Status: 200}, nil
 }
 
+// noPeers is a set of peers of which none reaches the store.
 type noPeers struct{ *fakeTransport }
 
 func (noPeers) AnyReachesStore() bool { return false }
--- a/internal/kept/vm/starts_test.go
+++ b/internal/kept/vm/starts_test.go
@@ -11,20 +11,21 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// observedStart is a start at a worker.
+// observedStart is a start that a worker has accepted.
 type observedStart struct {
 	at     time.Time
 	domain string
-	worker string // its ID
+	worker string // the worker's ID
 	task   submission.TaskRef
 }
 
-// startLog is what the workers of a world were told to start.
+// startLog records the starts that the workers of a world have accepted.
 type startLog struct {
 	mu     sync.Mutex
 	starts []observedStart
 }
 
+// watchStarts records all starts from now on.
 func watchStarts(w *world) *startLog {
 	l := &startLog{}
 	w.fleet.OnStart(func(at worker.Info, s worker.Start) {
--- a/internal/kept/vm/vm_test.go
+++ b/internal/kept/vm/vm_test.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// A submission with more tasks than its shard has room for is spread: both domains of
-// the site take 6 tasks each.
+// A submission with more tasks than its shard has capacity for is split: each of the two
+// domains has capacity for 6 of the 12 tasks.
 func TestWideSubmissionIsSplitAcrossDomains(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "first", 2, runhost.Work{Time: 50 * ms}, true), submission.Done)
@@ -30,7 +30,7 @@
 		began := time.Now()
 		w.wantEnd(w.submit("a1", "wide", 12, runhost.Work{Time: 400 * ms}, true), submission.Done)
 		if took := time.Since(began); took > 500*ms {
-			t.Errorf("it took %v, all tasks fit at once", took)
+			t.Errorf("it took %v, though the site has capacity for all tasks at once", took)
 		}
 	})
 }
@@ -39,22 +39,22 @@
 	testWorld(t, func(w *world) {
 		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 800 * ms}, false))
 		if s := w.state("b1", "kept"); s != submission.Queued && s != submission.Running {
-			t.Errorf("it is %s at another VM", s)
+			t.Errorf("its state is %s at another VM, want queued or running", s)
 		}
 		time.Sleep(time.Second)
 		for _, at := range []string{"a1", "a2", "b1", "b2"} {
 			if s := w.state(at, "kept"); s != submission.Done {
-				t.Errorf("it is %s at %s, want done", s, at)
+				t.Errorf("its state is %s at %s, want done", s, at)
 			}
 		}
 		if s := w.state("a1", "none"); s != submission.Unknown {
-			t.Errorf("a submission that nobody made is %s", s)
+			t.Errorf("the state of a submission that was never sent is %s, want unknown", s)
 		}
 	})
 }
 
-// Symptom: a task runs twice. Sequence: a caller has no answer and sends the same
-// submission to another VM. Cause would be: two records.
+// Guards against tasks that run twice because a caller that got no answer sent the same
+// submission to another VM, and each VM made a record of it.
 func TestSameSubmissionAtTwoVMsIsOne(t *testing.T) {
 	testWorld(t, func(w *world) {
 		first := w.submit("a1", "kept", 2, runhost.Work{Time: 300 * ms}, false)
@@ -70,8 +70,8 @@
 	})
 }
 
-// Symptom: runs lapse or repeat when an entry VM dies. Sequence: the holder of a shard
-// is killed while a home elsewhere waits for a submission it runs.
+// Guards against runs that lapse or are repeated when the holder of their shard is killed while the
+// submission's home VM, another one, waits for the result.
 func TestRunsOutliveTheirHolder(t *testing.T) {
 	testWorld(t, func(w *world) {
 		holder := w.holderOf("a")
@@ -81,7 +81,7 @@
 		began := time.Now()
 		w.wantEnd(out, submission.Done)
 		if took := time.Since(began); took > 700*ms {
-			t.Errorf("it ended %v after the kill, its runs had 600 ms to go", took)
+			t.Errorf("it ended %v after the kill, though its runs had 600 ms left", took)
 		}
 		if n := w.fleet.Starts("job"); n != 4 {
 			t.Errorf("%d starts of 4 tasks: runs were repeated", n)
@@ -89,8 +89,8 @@
 	})
 }
 
-// Symptom: an accepted submission is lost. Sequence: all VMs are killed right after one
-// has accepted it, and start again.
+// Guards against the loss of an accepted submission when all VMs are killed right after one has
+// accepted it, and start again.
 func TestStoredSubmissionOutlivesAllVMs(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantAccepted(w.submit("a1", "kept", 4, runhost.Work{Time: 600 * ms}, false))
@@ -103,13 +103,13 @@
 		}
 		time.Sleep(4 * time.Second)
 		if s := w.state("b2", "kept"); s != submission.Done {
-			t.Errorf("it is %s, want done", s)
+			t.Errorf("its state is %s, want done", s)
 		}
 	})
 }
 
-// Symptom: a VM that the store turns away refuses everything. Sequence: the store
-// refuses one VM and serves the others. The VM works on through a peer.
+// Guards against a VM that refuses all submissions because the store refuses its calls, or does not
+// answer them, while it serves the other VMs: the VM must relay its calls through a peer.
 func TestVMThatTheStoreTurnsAwayWorksOnThroughAPeer(t *testing.T) {
 	for _, fault := range []kvstore.Fault{kvstore.Refuses, kvstore.Silent} {
 		testWorld(t, func(w *world) {
@@ -122,19 +122,19 @@
 			}
 			time.Sleep(2 * time.Second)
 			if s := w.state("a1", "kept"); s != submission.Done {
-				t.Errorf("it is %s, want done", s)
+				t.Errorf("its state is %s, want done", s)
 			}
 			w.storeDoors["a1"].Set(kvstore.Serves)
 			time.Sleep(2 * time.Second)
 			if !w.vms["a1"].router.ReachesStore() {
-				t.Error("it does not go back to its own calls")
+				t.Error("it does not call the store directly again")
 			}
 		})
 	}
 }
 
-// Symptom: nothing is served while the store is down. Sequence: the store falls silent
-// for five seconds. Transient submissions need no store.
+// Guards against an outage of the store that stops all service: transient submissions need no store.
+// The store does not answer for five seconds. Stored submissions are refused meanwhile.
 func TestTransientSubmissionsGoOnWithoutTheStore(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, d := range w.storeDoors {
@@ -144,23 +144,23 @@
 		w.wantEnd(w.submit("a1", "job", 4, runhost.Work{Time: 100 * ms}, true), submission.Done)
 		o := <-w.submit("a1", "kept", 1, runhost.Work{Time: 100 * ms}, false)
 		if o.Kind != Refused || o.RetryAfter == 0 {
-			t.Errorf("a submission that cannot be stored is %+v, want busy", o)
+			t.Errorf("the outcome of a submission that cannot be stored is %+v, want Refused with a time to retry", o)
 		}
 		for _, d := range w.storeDoors {
 			d.Set(kvstore.Serves)
 		}
 		time.Sleep(5 * time.Second)
 		if w.fleet.Starts("kept") != 0 {
-			t.Error("it was refused as not run, and has run")
+			t.Error("a submission that was refused has run")
 		}
 		w.wantEnd(w.submit("b1", "after", 4, runhost.Work{Time: 100 * ms}, true), submission.Done)
 	})
 }
 
-// Symptom: runs of a domain that is cut off lapse, or are stopped at the heal, or run
-// twice. Sequence: the domain is cut off from the other and the store for five seconds,
-// a submission runs inside all the while. Cause: VMs outside took its shard, though they
-// could reach no worker of it.
+// Guards against runs of a partitioned domain that lapse, or are stopped when the partition heals, or
+// run twice: VMs outside claimed the domain's shard though they could reach none of its workers. The
+// domain is cut off from the other one and from the store for five seconds, and a submission runs
+// inside it for the whole time.
 func TestPartitionedDomainKeepsServing(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.cut("a", true)
@@ -178,9 +178,9 @@
 	})
 }
 
-// Symptom: after an outage in which the lists lapsed, a new holder starts tasks that
-// still run. Sequence: the store is down and all entries of workers and VMs lapse; when
-// it is back, the holder of a shard dies before the workers have written again.
+// Guards against a new holder that starts tasks that still run, after an outage of the store in which
+// all worker entries expired: the holder of the shard dies before the workers have written their
+// entries again.
 func TestHolderDiesWhileTheListOfWorkersIsEmpty(t *testing.T) {
 	testWorld(t, func(w *world) {
 		holder := w.holderOf("a")
@@ -196,7 +196,7 @@
 	})
 }
 
-// Symptom: a task runs twice at once. Sequence: answers to starts are lost.
+// Guards against tasks that run twice at once because the answers to their starts were lost.
 func TestLostAnswersToStarts(t *testing.T) {
 	testWorld(t, func(w *world) {
 		n := 0
@@ -208,8 +208,8 @@
 	})
 }
 
-// Symptom: a planned stop cuts off requests or repeats runs. Sequence: the holder of a
-// shard stops while it runs a submission for a caller of its own.
+// Guards against a planned stop that cuts off requests or repeats runs: the holder of a shard drains
+// while it runs a submission that it accepted itself.
 func TestPlannedStopHandsItsShardOver(t *testing.T) {
 	testWorld(t, func(w *world) {
 		holder := w.holderOf("a")
@@ -223,7 +223,7 @@
 			t.Errorf("the shard was handed over after %v", took)
 		}
 		if w.vms[holder].Ready() {
-			t.Error("it is ready for callers")
+			t.Error("a VM that drains is still ready for callers")
 		}
 		w.wantEnd(out, submission.Done)
 		if n := w.fleet.Starts("job"); n != 4 {
@@ -232,8 +232,8 @@
 	})
 }
 
-// Symptom: a cancelled submission runs on. Sequence: it is cancelled at a VM that is
-// neither its home nor its holder.
+// Guards against a cancelled submission that runs on because the VM that got the cancellation is
+// neither its home VM nor the holder of its shard.
 func TestCancellationReachesTheHolder(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 20 * time.Second}, false))
@@ -241,24 +241,23 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		if s, err := w.vms["b1"].Cancel(ctx, "kept"); err != nil || s != submission.Cancelled {
-			t.Fatalf("cancelled: %s, %v", s, err)
+			t.Fatalf("cancelling returned the state %s and the error %v", s, err)
 		}
 		time.Sleep(500 * ms)
 		for _, at := range []string{"a1", "b2"} {
 			if s := w.state(at, "kept"); s != submission.Cancelled {
-				t.Errorf("it is %s at %s", s, at)
+				t.Errorf("its state is %s at %s, want cancelled", s, at)
 			}
 		}
 		began := time.Now()
 		w.wantEnd(w.submit("a1", "next", 12, runhost.Work{Time: 100 * ms}, true), submission.Done)
 		if took := time.Since(began); took > 400*ms {
-			t.Errorf("the next submission took %v: the cancelled one still has room", took)
+			t.Errorf("the next submission took %v: the cancelled one still uses capacity", took)
 		}
 	})
 }
 
-// Symptom: work goes on for a caller that has left. Sequence: the caller closes its
-// connection.
+// Guards against tasks that run on, and use capacity, for a caller that has closed its connection.
 func TestWorkEndsWhenItsCallerHasGone(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.fleet.SetWork("job", runhost.Work{CPUMilli: 6800, Time: 20 * time.Second})
@@ -284,14 +283,14 @@
 	})
 }
 
-// Final states stay for as long as callers ask, and not for ever.
+// Final states are still there after two minutes, for callers that ask late, and removed after five.
 func TestFinalStatesAreRemoved(t *testing.T) {
 	t.Parallel()
 	testWorld(t, func(w *world) {
 		w.wantAccepted(w.submit("a1", "kept", 1, runhost.Work{Time: 50 * ms}, false))
 		time.Sleep(2 * time.Minute)
 		if s := w.state("b1", "kept"); s != submission.Done {
-			t.Errorf("after two minutes it is %s", s)
+			t.Errorf("after two minutes its state is %s, want done", s)
 		}
 		time.Sleep(3 * time.Minute)
 		if it, err := w.store.Get(context.Background(), submission.FinalKey("kept")); err != nil || it.Revision != 0 {
@@ -300,9 +299,9 @@
 	})
 }
 
-// Symptom: a shard is without a holder when VMs stop one after the other. Sequence: a VM
-// is told to stop, and serves on for two seconds; the next one that stops hands its shard
-// to the first. Cause: its key was still there.
+// Guards against a shard without a holder when VMs stop one after the other: a draining VM serves on
+// for two seconds, and the next VM that drains handed its shard to it because its key was still in
+// the store.
 func TestNoShardIsHandedToAVMThatStops(t *testing.T) {
 	testWorld(t, func(w *world) {
 		holder := w.holderOf("a")
@@ -313,7 +312,7 @@
 		w.vms[holder].Drain(ctx)
 		time.Sleep(500 * ms)
 		if h := w.holderOf("a"); h[:1] != "b" {
-			t.Errorf("it is held by %s, which stops", h)
+			t.Errorf("the shard is held by %s, which is stopping", h)
 		}
 		w.wantEnd(w.submit(holder, "job", 2, runhost.Work{Time: 100 * ms}, true), submission.Done)
 	})
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -24,8 +24,7 @@
 
 const ms = time.Millisecond
 
-// world is a site of two failure domains, a and b, with two entry VMs and three workers
-// each, in a test's bubble.
+// world is a site of entry VMs with simulated workers, store and network.
 type world struct {
 	t               testing.TB
 	startedAt       time.Time
@@ -33,24 +32,26 @@
 	fleet           *fleet.Fleet
 	mesh            *mesh.Mesh
 	vms             map[string]*VM
-	storeDoors      map[string]*kvstore.Door
+	storeDoors      map[string]*kvstore.Door // by VM: its access to the store
 	lastIncarnation uint64
 	domains         []string
-	cores           map[string]float64 // processor of VMs, in cores; absent: not known
+	cores           map[string]float64 // CPU cores by VM; absent: not known
 
-	storeReadsPerSecond float64 // a second, by all VMs; 0: not known
+	storeReadsPerSecond float64 // capacity for all VMs together; 0: not known
 }
 
-func testWorld(t *testing.T, play func(w *world)) {
+// testWorld runs a scenario on a site of two failure domains.
+func testWorld(t *testing.T, scenario func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoDomainWorld(t)
-		play(w)
+		scenario(w)
 		w.end()
 	})
 }
 
-// newTwoDomainWorld is a site of two failure domains that serves.
+// newTwoDomainWorld returns a site of two failure domains, a and b, with two entry VMs and three workers
+// each, whose shards have holders.
 func newTwoDomainWorld(t testing.TB) *world {
 	w := newWorld(t, "a", "b")
 	for _, d := range w.domains {
@@ -65,7 +66,7 @@
 	return w
 }
 
-// end kills all VMs, and checks what the workers have seen.
+// end kills all VMs, and fails the test if a worker saw two runs of one task at once.
 func (w *world) end() {
 	w.t.Helper()
 	for name := range w.vms {
@@ -76,7 +77,7 @@
 	}
 }
 
-// newWorld is a site without VMs and workers.
+// newWorld returns a site without VMs and workers.
 func newWorld(t testing.TB, domains ...string) *world {
 	w := &world{
 		t:          t,
@@ -97,7 +98,7 @@
 	w.putWorkerEntry(info)
 }
 
-// putWorkerEntry writes what a worker says of itself into the list.
+// putWorkerEntry writes a worker's entry to the list of workers in the store.
 func (w *world) putWorkerEntry(info worker.Info) {
 	value, err := json.Marshal(info)
 	if err != nil {
@@ -106,14 +107,14 @@
 	w.store.Put("workers/"+info.ID, value)
 }
 
-// addDeskWorker adds a worker of 16 cores.
+// addDeskWorker adds a worker of the service "desk" with 16 cores.
 func (w *world) addDeskWorker(name, domain string) {
 	w.addWorker(worker.Info{
 		ID: "w-" + name, Service: "desk", Address: "worker-" + name, Domain: domain, CPUMilli: 16000, MemMB: 65536,
 	})
 }
 
-// boot starts an entry VM, whose name begins with its domain.
+// boot starts an entry VM with a new incarnation. Its name begins with its domain.
 func (w *world) boot(name string) {
 	domain := name[:1]
 	w.lastIncarnation++
@@ -159,14 +160,14 @@
 
 func addressOf(name string) string { return name + ":7000" }
 
-// kill ends a VM's process: its connections are reset.
+// kill ends a VM's process without a handover: its connections are reset.
 func (w *world) kill(name string) {
 	w.mesh.Kill(addressOf(name))
 	w.vms[name].Stop()
 	delete(w.vms, name)
 }
 
-// cut separates a domain from the other one and from the store.
+// cut separates a domain from the other domains and from the store, or reconnects it.
 func (w *world) cut(domain string, cut bool) {
 	w.mesh.Cut(domain, cut)
 	w.fleet.Cut(domain, cut)
@@ -181,8 +182,8 @@
 	}
 }
 
-// submit hands a submission of equal tasks in at a VM and returns its outcome, which
-// comes later if the submission is transient.
+// submit sends a submission of equal tasks to a VM and returns a channel for its outcome. A stored
+// submission has its outcome when it is accepted, a transient one when it has ended.
 func (w *world) submit(at string, id submission.ID, tasks int, work runhost.Work, transient bool) chan Outcome {
 	work.CPUMilli = 6800
 	w.fleet.SetWork(id, work)
@@ -198,7 +199,7 @@
 	return out
 }
 
-// newOneStepRecord is the record of a submission of one step.
+// newOneStepRecord returns the record of a submission of one step.
 func newOneStepRecord(id submission.ID, tasks int, work runhost.Work) *submission.Record {
 	return &submission.Record{
 		ID:    id,
@@ -211,17 +212,18 @@
 func (w *world) wantEnd(out chan Outcome, state submission.State) {
 	w.t.Helper()
 	if o := <-out; o.Kind != Ended || o.State != state {
-		w.t.Errorf("the outcome is %+v, want the end %s", o, state)
+		w.t.Errorf("the outcome is %+v, want Ended with state %s", o, state)
 	}
 }
 
 func (w *world) wantAccepted(out chan Outcome) {
 	w.t.Helper()
 	if o := <-out; o.Kind != Accepted {
-		w.t.Fatalf("the outcome is %+v, want taken", o)
+		w.t.Fatalf("the outcome is %+v, want Accepted", o)
 	}
 }
 
+// state asks a VM for the state of a submission.
 func (w *world) state(at string, id submission.ID) submission.State {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -235,11 +237,11 @@
 // holderOf returns the VM that holds the first shard of a domain.
 func (w *world) holderOf(domain string) string { return w.holderOfShard(domain + "/0") }
 
-// holderOfShard returns the VM that holds a shard by the store.
+// holderOfShard returns the VM that the store names as the holder of a shard.
 func (w *world) holderOfShard(shard string) string {
 	it, err := w.store.Get(context.Background(), "pumiceyard/site/shard/"+shard)
 	if err != nil || it.Revision == 0 {
-		w.t.Fatalf("nobody holds %s (%v)", shard, err)
+		w.t.Fatalf("shard %s has no holder (%v)", shard, err)
 	}
 	var h struct {
 		Holder string `json:"h"`
@@ -250,7 +252,7 @@
 	return h.Holder
 }
 
-// other is the other VM of a domain.
+// otherVM returns the other VM of a VM's domain.
 func otherVM(name string) string {
 	if name[1] == '1' {
 		return name[:1] + "2"
