--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -19,43 +19,43 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Bounds of the users' rule on evacuations.
+// Bounds that users were promised for evacuations.
 const (
-	maxEvacuationDelayAfterFault = 5 * time.Second // whatever happens, but for VMs that are cut off
-	faultSettleTime              = 4 * time.Second // without a fault, for a VM to count as in touch
+	maxEvacuationDelayAfterFault = 5 * time.Second // whatever the fault, except for VMs that are cut off
+	faultSettleTime              = 4 * time.Second // how long after a fault a VM may still be without connections
 )
 
-// span is a time; its end is zero while it goes on.
+// span is a period of time; its end is zero while it lasts.
 type span struct{ from, to time.Time }
 
 func (s span) contains(at time.Time) bool {
 	return !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to))
 }
 
-// evacuations is a play of random requests of operators beside random faults.
+// evacuationRun is one run of random evacuations and worker announcements during random faults.
 type evacuationRun struct {
 	*world
 	log          *startLog
-	evacuated    map[string][]span // evacuations, from the acknowledgement
-	cuts         map[string][]span
+	evacuated    map[string][]span // evacuations by domain, each from its acknowledgement
+	cuts         map[string][]span // partitions by domain
 	faults       []time.Time
-	storeOutage  span                 // the store was, for some VM
-	leavingSince map[string]time.Time // of workers that leave
-	lastID       int
-	callers      []*caller
+	storeOutage  span                 // the last period in which the store did not serve some VM
+	leavingSince map[string]time.Time // by worker: when it announced that it leaves
+	lastID       int                  // number of the last submission
+	callers      []*caller            // of the transient submissions
 	tasks        map[submission.ID]int
-	stored       []submission.ID
+	stored       []submission.ID // that were accepted
 }
 
-// randomEvacuationEvent is one random event: Op says what happens, N how much of it.
+// randomEvacuationEvent is one random event: Op selects what happens, N with which domain, VM, fault or amount.
 type randomEvacuationEvent struct{ Op, N int }
 
 var vmNames = []string{"a1", "a2", "b1", "b2"}
 
-func (p *evacuationRun) do(a randomEvacuationEvent) {
-	domain := []string{"a", "b"}[a.N%2]
-	name := vmNames[a.N%len(vmNames)]
-	switch a.Op {
+func (p *evacuationRun) do(ev randomEvacuationEvent) {
+	domain := []string{"a", "b"}[ev.N%2]
+	name := vmNames[ev.N%len(vmNames)]
+	switch ev.Op {
 	case 0, 1:
 		p.startEvacuation(domain)
 	case 2:
@@ -68,7 +68,7 @@
 	case 5:
 		p.recordFault()
 		p.beginStoreOutage()
-		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[a.N%3])
+		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[ev.N%3])
 	case 6:
 		p.recordFault()
 		p.endStoreOutage()
@@ -76,42 +76,42 @@
 			d.Set(kvstore.Serves)
 		}
 	case 7:
-		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+a.N)%3) * 250 * ms })
+		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%3) * 250 * ms })
 	case 8:
 		p.fleet.DelayStarts(nil)
 	case 9:
 		p.store.Compact()
 	case 10:
-		if a.N%3 == 0 {
+		if ev.N%3 == 0 {
 			p.restartAll()
 		}
 	case 11:
 		p.letLeave("w-" + domain + "0")
 	default:
-		p.submitSome(a.N)
+		p.submitSome(ev.N)
 	}
-	time.Sleep(time.Duration(a.N%5) * 150 * ms)
+	time.Sleep(time.Duration(ev.N%5) * 150 * ms)
 	p.pollCallers()
 }
 
 func (p *evacuationRun) recordFault() { p.faults = append(p.faults, time.Now()) }
 
-// beginStoreOutage notes that the store does not serve a VM.
+// beginStoreOutage records that the store does not serve some VM.
 func (p *evacuationRun) beginStoreOutage() {
 	if p.storeOutage.from.IsZero() || !p.storeOutage.to.IsZero() {
 		p.storeOutage = span{from: time.Now()}
 	}
 }
 
-// endStoreOutage notes that the store serves all VMs again. What VMs did while it did not, and soon after, is not
-// held against them.
+// endStoreOutage records that the store serves all VMs again. Starts during the outage and soon after it are not
+// checked against worker announcements.
 func (p *evacuationRun) endStoreOutage() {
 	if !p.storeOutage.from.IsZero() && p.storeOutage.to.IsZero() {
 		p.storeOutage.to = time.Now()
 	}
 }
 
-// notice has a worker leave, which serves on.
+// letLeave makes a worker announce that it leaves. It keeps serving.
 func (p *evacuationRun) letLeave(id string) {
 	if p.leavingSince[id].IsZero() {
 		p.announceLeaving(id)
@@ -119,16 +119,17 @@
 	}
 }
 
-// checkLeaveNotice holds a start against its worker's notice.
+// checkLeaveNotice returns an error if a start came too long after its worker had announced that it leaves.
 func (p *evacuationRun) checkLeaveNotice(s observedStart) error {
-	asked, left := p.leavingSince[s.worker]
-	if !left || s.at.Sub(asked) <= maxLeaveNoticeDelay || p.isUnsettled(s) {
+	since, leaving := p.leavingSince[s.worker]
+	if !leaving || s.at.Sub(since) <= maxLeaveNoticeDelay || p.isUnsettled(s) {
 		return nil
 	}
-	return fmt.Errorf("%v starts at %s %v after its notice", s.task, s.worker, s.at.Sub(asked))
+	return fmt.Errorf("%v starts on %s %v after the worker announced that it leaves", s.task, s.worker, s.at.Sub(since))
 }
 
-// unsettled reports whether the store was away, or the domain cut off, within a time before a start.
+// isUnsettled reports whether, at the time of a start or within faultSettleTime before it, the store did not
+// serve some VM or the start's domain was cut off.
 func (p *evacuationRun) isUnsettled(s observedStart) bool {
 	spans := append(slices.Clone(p.cuts[s.domain]), p.storeOutage)
 	return slices.ContainsFunc(spans, func(c span) bool {
@@ -161,7 +162,7 @@
 	p.cuts[domain] = append(p.cuts[domain], span{from: time.Now()})
 }
 
-// load hands in a few submissions at a VM, every third of them a stored one.
+// submitSome sends a few submissions, every third of them a stored one.
 func (p *evacuationRun) submitSome(n int) {
 	for range 1 + n%4 {
 		p.lastID++
@@ -181,7 +182,7 @@
 	}
 }
 
-// callerRetryDelay is after how long a caller without an answer sends its submission again.
+// callerRetryDelay is the time after which a caller that got no answer sends its submission again.
 const callerRetryDelay = 1300 * time.Millisecond
 
 // attempt is a caller that waits for the answer to a transient submission.
@@ -191,17 +192,17 @@
 	at       int // index of its VM in names
 	out      chan Outcome
 	attempts int
-	retryAt  time.Time // zero: it waits for its answer
+	retryAt  time.Time // when it sends the submission again; zero: it waits for an answer
 	outcome  *Outcome
 }
 
-// insist hands a transient submission in. Its caller sends it again, to the next VM, each time that
-// it gets no answer.
+// submitWithRetries sends a transient submission. Its caller sends it again, to the next VM, each time that it
+// gets no answer.
 func (p *evacuationRun) submitWithRetries(at int, id submission.ID, work runhost.Work) {
 	p.callers = append(p.callers, &caller{id: id, work: work, at: at, attempts: 1, out: p.submit(vmNames[at], id, p.tasks[id], work, true)})
 }
 
-// callers lets the callers take their answers, and those whose time has come try again.
+// pollCallers lets the callers receive their answers and make the retries that are due.
 func (p *evacuationRun) pollCallers() {
 	for _, a := range p.callers {
 		if a.outcome != nil {
@@ -228,7 +229,7 @@
 	}
 }
 
-// killVM is told of a VM whose connections break.
+// killVM kills a VM. The callers that wait for its answers retry later at other VMs.
 func (p *evacuationRun) killVM(name string) {
 	p.recordFault()
 	p.kill(name)
@@ -239,7 +240,7 @@
 	}
 }
 
-// restartAll has all VMs lose power at once, and start again.
+// restartAll kills all VMs at once and starts them again.
 func (p *evacuationRun) restartAll() {
 	for _, name := range vmNames {
 		p.killVM(name)
@@ -250,7 +251,7 @@
 	}
 }
 
-// finish lets all faults end, and says what is wrong.
+// finish ends all faults, lets the submissions end, and returns an error if a guarantee was broken.
 func (p *evacuationRun) finish() error {
 	for _, domain := range p.domains {
 		p.stopEvacuation(domain)
@@ -267,16 +268,16 @@
 	for _, a := range p.callers {
 		switch {
 		case a.outcome == nil:
-			return fmt.Errorf("%s has no answer after %d tries", a.id, a.attempts)
+			return fmt.Errorf("%s has no answer after %d attempts", a.id, a.attempts)
 		case a.outcome.Kind == Refused && a.attempts == 1 && p.fleet.Starts(a.id) > 0:
-			return fmt.Errorf("%s was refused as not run (%s), and has run", a.id, a.outcome.Reason)
+			return fmt.Errorf("%s was refused (%s), but has run", a.id, a.outcome.Reason)
 		case a.outcome.Kind == Ended && !p.allCompleted(a.id):
-			return fmt.Errorf("%s was answered as %s, and not all of its tasks have completed", a.id, a.outcome.State)
+			return fmt.Errorf("%s ended as %s, but not all of its tasks have completed", a.id, a.outcome.State)
 		}
 	}
 	for _, id := range p.stored {
 		if s := p.state("a1", id); s != submission.Done || !p.allCompleted(id) {
-			return fmt.Errorf("%s was accepted and is %s", id, s)
+			return fmt.Errorf("%s was accepted, but its state is %s or not all of its tasks have completed", id, s)
 		}
 	}
 	if f := p.fleet.Faults(); len(f) > 0 {
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// whole reports whether each task of a submission has completed.
+// allCompleted reports whether each task of a submission has completed.
 func (p *evacuationRun) allCompleted(id submission.ID) bool {
 	for i := range p.tasks[id] {
 		if p.fleet.Done(submission.TaskRef{ID: id, Task: submission.Task{Index: i}}) == 0 {
@@ -302,40 +303,41 @@
 	return true
 }
 
-// judge holds a start against the evacuations of its domain.
+// checkStart returns an error if a start broke an evacuation of its domain.
 func (p *evacuationRun) checkStart(s observedStart) error {
 	for _, c := range p.cuts[s.domain] {
 		if c.contains(s.at) || !c.to.IsZero() && s.at.After(c.to) && s.at.Sub(c.to) < faultSettleTime {
-			return nil // its VMs could not know
+			return nil // the domain's VMs could not know of the evacuation
 		}
 	}
-	for _, asked := range p.evacuated[s.domain] {
-		within := maxEvacuationDelay
+	for _, evacuation := range p.evacuated[s.domain] {
+		maxDelay := maxEvacuationDelay
 		for _, f := range p.faults {
-			if f.After(asked.from.Add(-faultSettleTime)) && f.Before(s.at) {
-				within = maxEvacuationDelayAfterFault
+			if f.After(evacuation.from.Add(-faultSettleTime)) && f.Before(s.at) {
+				maxDelay = maxEvacuationDelayAfterFault
 			}
 		}
-		if asked.contains(s.at) && s.at.Sub(asked.from) > within {
-			return fmt.Errorf("%v starts in domain %s %v after its evacuation was acknowledged", s.task, s.domain, s.at.Sub(asked.from))
+		if evacuation.contains(s.at) && s.at.Sub(evacuation.from) > maxDelay {
+			return fmt.Errorf("%v starts in domain %s %v after its evacuation was acknowledged", s.task, s.domain, s.at.Sub(evacuation.from))
 		}
 	}
 	return nil
 }
 
-// Whatever operators ask for, one domain or both, again and again, beside kills, cuts, a store that
-// turns VMs away or loses its history, and starts that are carried out late: nothing starts in an
-// evacuated domain, or at a worker that has given notice, no task runs twice at once, no refusal is untrue, and no accepted work is lost.
+// Evacuates one domain or both, again and again, during kills and restarts of VMs, partitions, a store that
+// refuses calls, does not answer, loses its replies or compacts its history, and late starts. Checks that
+// no task starts in an evacuated domain or on a worker that has announced that it leaves, that no task runs
+// twice at once, that no refused submission has run, and that no accepted submission is lost.
 func TestEvacuationsHoldBesideRandomFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 25
 	properties := gopter.NewProperties(parameters)
-	acts := gen.SliceOfN(30, gen.Struct(reflect.TypeOf(randomEvacuationEvent{}), map[string]gopter.Gen{
+	events := gen.SliceOfN(30, gen.Struct(reflect.TypeOf(randomEvacuationEvent{}), map[string]gopter.Gen{
 		"Op": gen.IntRange(0, 16),
 		"N":  gen.IntRange(0, 1000),
 	}))
-	properties.Property("nothing starts, nothing is lost", prop.ForAll(func(acts []randomEvacuationEvent) (ok bool, err error) {
+	properties.Property("evacuations and announcements hold, nothing is lost", prop.ForAll(func(events []randomEvacuationEvent) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &evacuationRun{
 				world:     newTwoDomainWorld(t),
@@ -347,8 +349,8 @@
 			}
 			p.log = watchStarts(p.world)
 			p.delayWorkerList(100 * ms)
-			for _, a := range acts {
-				p.do(a)
+			for _, ev := range events {
+				p.do(ev)
 			}
 			err = p.finish()
 			for name := range p.vms {
@@ -356,6 +358,6 @@
 			}
 		})
 		return err == nil, err
-	}, acts))
+	}, events))
 	properties.TestingRun(t)
 }
--- a/internal/kept/vm/evacuate_test.go
+++ b/internal/kept/vm/evacuate_test.go
@@ -14,7 +14,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// maxEvacuationDelay is how soon after its acknowledgement an evacuation holds at every VM that is in touch.
+// maxEvacuationDelay is the time after its acknowledgement within which an evacuation must take effect at every
+// VM that reaches the store, directly or through a peer.
 const maxEvacuationDelay = time.Second
 
 func (w *world) evacuate(domain string)      { w.store.Put("config/evacuated/"+domain, []byte("{}")) }
@@ -23,29 +24,30 @@
 func wantNoStarts(t *testing.T, l *startLog, domain string, from, to time.Time) {
 	t.Helper()
 	if late := l.inDomain(domain, from, to); len(late) > 0 {
-		t.Errorf("%d starts in the evacuated domain, the first %v after it was in force", len(late), late[0].at.Sub(from))
+		t.Errorf("%d starts in the evacuated domain, the first %v after the evacuation had to take effect", len(late), late[0].at.Sub(from))
 	}
 }
 
-// wantStartsAfterReturn checks that work starts in the first domain once its return is in force.
+// wantStartsAfterReturn checks that tasks start in domain a once the end of its evacuation must have taken
+// effect.
 func wantStartsAfterReturn(t *testing.T, w *world, l *startLog, every time.Duration) {
 	t.Helper()
 	back := time.Now().Add(maxEvacuationDelay)
 	w.submitRepeatedly("a1", "after", every, 2*time.Second)
 	if len(l.inDomain("a", back, time.Now())) == 0 {
-		t.Error("nothing starts in the domain after it was given back")
+		t.Error("no task starts in the domain after its evacuation has ended")
 	}
 }
 
-// Symptom: work starts in a domain that an operator has emptied. Sequence: a steady load at its
-// VMs, then the evacuation, then its end. Callers of the domain's VMs are served on by others.
+// Guards against starts in an evacuated domain while its VMs get a steady load. The other domain serves the
+// callers of these VMs, and the domain is used again after the evacuation.
 func TestNothingStartsInAnEvacuatedDomain(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
 		w.evacuate("a")
 		from := time.Now().Add(maxEvacuationDelay)
 		if done, other := w.submitRepeatedly("a1", "during", 50*ms, 4*time.Second); other > 0 {
-			t.Errorf("%d done, %d not, while another domain has room", done, other)
+			t.Errorf("%d submissions done, %d not, while another domain has capacity", done, other)
 		}
 		wantNoStarts(t, l, "a", from, time.Now())
 		w.endEvacuation("a")
@@ -53,9 +55,9 @@
 	})
 }
 
-// Symptom: callers wait for room in an emptied domain while others are free. Sequence: both
-// domains are full, a submission waits in the first; that one is evacuated, and the second gets
-// free. What runs in the first goes on to its end.
+// Guards against submissions that stay queued in an evacuated domain while another one has free capacity: both
+// domains are full and submissions wait in the first one, which is evacuated; then the second becomes free.
+// Tasks that run in the first domain go on to their end.
 func TestQueuedTasksLeaveAnEvacuatedDomainAtOnce(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
@@ -74,28 +76,28 @@
 		for i, out := range waiting {
 			w.wantEnd(out, submission.Done)
 			if n := w.fleet.Starts(submission.ID(fmt.Sprintf("waits%d", i))); n != 2 {
-				t.Errorf("answered after %d starts of 2 tasks", n)
+				t.Errorf("a submission of 2 tasks was done after %d starts", n)
 			}
 		}
 		if took := time.Since(from); took > time.Second {
-			t.Errorf("what waited ended %v after the evacuation, want within 1.5 s of room for all", took+maxEvacuationDelay)
+			t.Errorf("the queued submissions ended %v after the evacuation, want at most 1.5 s after there was capacity for all", took+maxEvacuationDelay)
 		}
 		w.wantEnd(long, submission.Done)
 		if n := w.fleet.Starts("long"); n != 6 {
-			t.Errorf("%d starts of 6 tasks that ran there", n)
+			t.Errorf("%d starts of 6 tasks that ran in the evacuated domain", n)
 		}
 		wantNoStarts(t, l, "a", from, time.Now())
 	})
 }
 
-// Symptom: an answer before all tasks have completed, or tasks that run twice. Sequence: some tasks
-// of a submission run in a domain and others of it wait there when it is evacuated. The latter
-// are to run elsewhere, the former go on.
+// Guards against a submission that ends before all its tasks have completed, and against tasks that run twice:
+// some tasks of the submission run in a domain, and others wait there, when it is evacuated. The waiting tasks
+// must run in the other domain, the running ones go on.
 func TestPartOfASubmissionLeavesAnEvacuatedDomain(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("b")
 		time.Sleep(maxEvacuationDelay)
-		half := w.submit("a1", "half", 10, runhost.Work{Time: 500 * ms}, true) // six of them fit
+		half := w.submit("a1", "half", 10, runhost.Work{Time: 500 * ms}, true) // there is capacity for six of the tasks
 		time.Sleep(100 * ms)
 		l := watchStarts(w)
 		w.endEvacuation("b")
@@ -116,9 +118,8 @@
 	})
 }
 
-// Symptom: a VM that has just started fills an emptied domain. Sequence: the evacuation is old when
-// all VMs are killed and start again. Cause would be: a shard's new holder starts what comes
-// before its watch has answered.
+// Guards against starts in an evacuated domain after all VMs were killed and started again: the evacuation is
+// older than their start, and a new holder starts tasks before its watch of the store has answered.
 func TestRestartedVMsReadEvacuationsBeforeFirstStart(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("a")
@@ -134,13 +135,13 @@
 		w.submitRepeatedly("a1", "job", 20*ms, 3*time.Second)
 		wantNoStarts(t, l, "a", from, time.Now())
 		if len(l.inDomain("b", from, time.Now())) == 0 {
-			t.Error("nothing starts in the other domain either")
+			t.Error("no task starts in the other domain either")
 		}
 	})
 }
 
-// Symptom: as above. Sequence: the holder of an evacuated domain's shard is killed; who takes the
-// shard finds submissions there, stored and transient ones.
+// Guards against starts in an evacuated domain by the new holder of its shard, which finds stored and transient
+// submissions there, after the previous holder was killed.
 func TestNewHolderOfAnEvacuatedDomainStartsNothing(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
@@ -156,19 +157,19 @@
 		wantNoStarts(t, l, "a", from, time.Now())
 		w.wantEnd(run, submission.Done)
 		if s := w.state("b2", "kept"); s != submission.Done {
-			t.Errorf("the stored submission is %s, want done", s)
+			t.Errorf("the state of the stored submission is %s, want done", s)
 		}
 	})
 }
 
-// isConfigWatch reports whether a call follows the operators' configuration.
+// isConfigWatch reports whether a call reads or watches the operators' configuration.
 func isConfigWatch(c relay.Call) bool {
 	return strings.Contains(string(c.Body), `"config/"`)
 }
 
-// Symptom: work starts in an emptied domain for more than a second after the acknowledgement.
-// Sequence: the connections on which the domain's VMs watch the configuration have just gone silent
-// when the evacuation comes. Cause: a silent watch is given up only when its wait is over.
+// Guards against starts in an evacuated domain for more than a second after the acknowledgement: the
+// connections on which the domain's VMs watch the configuration stop answering just before the evacuation,
+// and such a watch is given up only after its whole wait. The VMs must learn of the evacuation from peers.
 func TestEvacuationComesThroughPeers(t *testing.T) {
 	testWorld(t, func(w *world) {
 		asked := make(chan struct{}, 64)
@@ -182,7 +183,7 @@
 			})
 		}
 		<-asked
-		<-asked // both watches have begun and will hear nothing
+		<-asked // both watches have begun and will get no answer
 		l := watchStarts(w)
 		w.evacuate("a")
 		from := time.Now().Add(maxEvacuationDelay)
@@ -191,9 +192,8 @@
 	})
 }
 
-// Symptom: a VM that has just started fills an emptied domain. Sequence: all VMs are off; one
-// starts, takes the domain's shard, and the connection on which it watches the configuration is
-// silent. No peer is there to tell it.
+// Guards against starts in an evacuated domain by the only VM that runs: it has just started and acquires the
+// domain's shard, its watch of the configuration gets no answer, and no peer can pass the evacuation on.
 func TestNewHolderReadsEvacuationsFromTheStore(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("a")
@@ -211,8 +211,8 @@
 	})
 }
 
-// Symptom: an evacuation, or its end, is missed for ever. Sequence: the store drops its history
-// with the change in it, and with it what the watches wait for.
+// Guards against an evacuation, or its end, that is never learned of because the store compacts its history
+// before the watches have received the change.
 func TestEvacuationSurvivesStoreCompaction(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
@@ -227,8 +227,8 @@
 	})
 }
 
-// Symptom: callers wait to the end of their time, or stored work is lost. Sequence: all domains are
-// evacuated, and given back later.
+// Guards against callers that wait until their time-out, and against the loss of stored submissions, when all
+// domains are evacuated. The stored submission runs after one evacuation has ended.
 func TestAllDomainsEvacuated(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
@@ -241,16 +241,16 @@
 		w.evacuate("b")
 		began := time.Now()
 		if o := <-waits; o.Kind != Refused || o.RetryAfter == 0 {
-			t.Errorf("what waited is answered %+v, want busy with a time to come back", o)
+			t.Errorf("the outcome of the waiting submission is %+v, want Refused with a time to retry", o)
 		}
 		if took := time.Since(began); took > 100*ms {
-			t.Errorf("it was told after %v", took)
+			t.Errorf("it was refused after %v, want at most 100 ms", took)
 		}
 		time.Sleep(maxEvacuationDelay)
 		began = time.Now()
 		o := <-w.submit("a1", "late", 1, runhost.Work{Time: 40 * ms}, true)
 		if o.Kind != Refused || o.RetryAfter == 0 || time.Since(began) > 20*ms {
-			t.Errorf("a new one is answered %+v after %v, want busy at once", o, time.Since(began))
+			t.Errorf("the outcome of a new submission is %+v after %v, want Refused at once", o, time.Since(began))
 		}
 		w.wantEnd(full, submission.Done)
 		time.Sleep(time.Second)
@@ -262,13 +262,13 @@
 		w.endEvacuation("b")
 		time.Sleep(3 * time.Second)
 		if s := w.state("a1", "kept"); s != submission.Done {
-			t.Errorf("the stored submission is %s after a domain was given back", s)
+			t.Errorf("the state of the stored submission is %s after the evacuation of a domain has ended, want done", s)
 		}
 	})
 }
 
-// Symptom: accepted work lies in an emptied domain. Sequence: stored submissions wait there, one of
-// them half done, when it is evacuated.
+// Guards against stored submissions that stay queued in an evacuated domain. Some tasks of one of them run when
+// the domain is evacuated, none of the other.
 func TestStoredSubmissionLeavesAnEvacuatedDomain(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.evacuate("b")
@@ -284,7 +284,7 @@
 		wantNoStarts(t, l, "a", from, time.Now())
 		for id, tasks := range map[submission.ID]int{"half": 9, "none": 2} {
 			if s := w.state("b2", id); s != submission.Done {
-				t.Errorf("%s is %s, want done", id, s)
+				t.Errorf("the state of %s is %s, want done", id, s)
 			}
 			if n := w.fleet.Starts(id); n != tasks {
 				t.Errorf("%s: %d starts of %d tasks", id, n, tasks)
@@ -293,8 +293,8 @@
 	})
 }
 
-// Symptom: stored work is forgotten, or a task runs again after its end. Sequence: a submission is
-// sent from one domain to the other and back, as they are evacuated in turn within seconds.
+// Guards against the loss of a stored submission, and against tasks that run again after their end: the
+// submission is reassigned between the domains as they are evacuated in turn within seconds.
 func TestStoredSubmissionComesBackToItsFirstDomain(t *testing.T) {
 	testWorld(t, func(w *world) {
 		full := w.submit("b1", "full", 12, runhost.Work{Time: 2 * time.Second}, true)
@@ -311,7 +311,7 @@
 		w.wantEnd(full, submission.Done)
 		time.Sleep(3 * time.Second)
 		if s := w.state("b2", "kept"); s != submission.Done {
-			t.Errorf("it is %s, want done", s)
+			t.Errorf("its state is %s, want done", s)
 		}
 		if n := w.fleet.Starts("kept"); n != 2 {
 			t.Errorf("%d starts of 2 tasks", n)
@@ -319,8 +319,8 @@
 	})
 }
 
-// Symptom: work starts in an emptied domain after a partition. Sequence: the domain is cut off when
-// the operator evacuates it, and cannot know; its VMs go on serving it until the heal.
+// Guards against starts in an evacuated domain after a partition: the domain is cut off when it is evacuated,
+// and its VMs, which cannot know, use its workers until the partition heals.
 func TestEvacuationIsInForceSoonAfterACut(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
@@ -335,8 +335,8 @@
 	})
 }
 
-// Symptom: a worker of an emptied domain begins a task seconds after the acknowledgement.
-// Sequence: starts have no answer and would be carried out later.
+// Guards against a worker of an evacuated domain that begins a task seconds after the acknowledgement because
+// its start order, which got no answer, was delivered late.
 func TestUnansweredStartsInAnEvacuatedDomainAreVoid(t *testing.T) {
 	testWorld(t, func(w *world) {
 		l := watchStarts(w)
@@ -366,8 +366,8 @@
 	})
 }
 
-// Symptom: callers of one queue wait to the end of their time while others are served. Sequence:
-// the one domain with workers of its service is evacuated.
+// Guards against callers of one service that wait until their time-out while others are served: the only domain
+// with workers of the service is evacuated.
 func TestOnlyDomainWithWorkersOfAServiceIsEvacuated(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.addWorker(worker.Info{ID: "w-lab", Service: "lab", Address: "worker-lab", Domain: "a", CPUMilli: 16000, MemMB: 65536})
@@ -390,12 +390,12 @@
 		w.evacuate("a")
 		time.Sleep(maxEvacuationDelay)
 		if o, took := ask("during"); o.Kind != Refused || o.RetryAfter == 0 || took > 20*ms {
-			t.Errorf("answered %+v after %v, want busy at once", o, took)
+			t.Errorf("the outcome during the evacuation is %+v after %v, want Refused at once", o, took)
 		}
 		w.endEvacuation("a")
 		time.Sleep(maxEvacuationDelay)
 		if o, _ := ask("after"); o.Kind != Ended || o.State != submission.Done {
-			t.Errorf("after it was given back: %+v", o)
+			t.Errorf("after the evacuation: %+v", o)
 		}
 	})
 }
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -240,7 +240,7 @@
 	wants(false, "without a list and without the store")
 }
 
-// answering is a store's transport that answers each call, or none.
+// fakeTransport is a transport to a store that answers all calls, or none if fails is set.
 type fakeTransport struct{ fails bool }
 
 func (a *fakeTransport) Do(context.Context, relay.Call) (relay.Reply, error) {
--- a/internal/kept/vm/starts_test.go
+++ b/internal/kept/vm/starts_test.go
@@ -36,14 +36,14 @@
 	return l
 }
 
-// of returns the starts of a submission's tasks.
+// ofSubmission returns the starts of a submission's tasks.
 func (l *startLog) ofSubmission(id submission.ID) []observedStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(l.starts), func(s observedStart) bool { return s.task.ID != id })
 }
 
-// in returns the starts in a domain from one time to another.
+// inDomain returns the starts in a domain from one time (included) to another (excluded).
 func (l *startLog) inDomain(domain string, from, to time.Time) []observedStart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,8 +56,8 @@
 	return out
 }
 
-// stream hands in a transient submission of one task at a VM again and again, for some time, and
-// returns how many ended well and how many did not.
+// submitRepeatedly sends transient submissions of one task to a VM at an interval, for some time, and returns
+// how many were done and how many had another outcome.
 func (w *world) submitRepeatedly(at, name string, every, during time.Duration) (done, other int) {
 	var outs []chan Outcome
 	for i := range int(during / every) {
