--- a/internal/kept/shard/crash_test.go
+++ b/internal/kept/shard/crash_test.go
@@ -51,7 +51,7 @@
 }
 
 // Guards against a submission that fails because tasks of others crash the workers that it shares with them.
-func TestNeighboursOfCrashesAreServed(t *testing.T) {
+func TestSubmissionsBesideCrashingTasksComplete(t *testing.T) {
 	w := newWorld(t, 6)
 	w.run(100 * ms)
 	for i := range 4 {
@@ -95,7 +95,7 @@
 
 // Guards against a submission that fails because its workers are cut off one after the other, though they go
 // on running.
-func TestWorkersThatAreCutOffFailNoStoredTask(t *testing.T) {
+func TestUnreachableWorkersFailNoStoredTask(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
 	w.assign(w.storedSubmission("s", 1, runhost.Work{Time: 1500 * ms}))
@@ -182,7 +182,7 @@
 }
 
 // Guards against a sequence of submissions that crash workers and so leave no capacity for others.
-func TestManyTasksThatCrashLeaveRoomForOthers(t *testing.T) {
+func TestCrashingTasksLeaveCapacityForOthers(t *testing.T) {
 	w := newWorld(t, 16)
 	w.run(100 * ms)
 	done, all := 0, 0
--- a/internal/kept/shard/evacuate_test.go
+++ b/internal/kept/shard/evacuate_test.go
@@ -14,7 +14,7 @@
 
 // Guards against a domain that delays tasks for seconds when it is used again after an evacuation. Its workers
 // were replaced meanwhile and are cold, and each was given as many queued tasks as fit at once.
-func TestWorkersOfAReturnedDomainAreTriedWithOneTask(t *testing.T) {
+func TestSlowStartAfterAnEvacuation(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	w.shard.SetEvacuated(w.now, true)
@@ -34,7 +34,7 @@
 
 // Guards against a worker that delays several tasks at once because it has just started and is cold, as its
 // entry says.
-func TestColdWorkerIsTriedWithOneTask(t *testing.T) {
+func TestColdWorkerBeginsWithOneTask(t *testing.T) {
 	w := newWorld(t, 1)
 	w.hosts["w0"].Info.Cold = true
 	w.updateList()
@@ -50,7 +50,7 @@
 
 // Guards against a start order that is carried out in an evacuated domain. The domain is evacuated while the
 // order has no answer yet. The run has to be stopped, as a probe alone does not prevent a late start.
-func TestUnansweredStartIsVoidOnceTheDomainIsEvacuated(t *testing.T) {
+func TestUnansweredStartIsStoppedAfterAnEvacuation(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
 	w.startDelay = func(StartAction) time.Duration { return 300 * ms }
@@ -65,7 +65,7 @@
 }
 
 // Guards against submissions that are sent to an evacuated domain because its load report shows capacity.
-func TestEvacuatedShardHasNoRoom(t *testing.T) {
+func TestEvacuatedShardReportsNoCapacity(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	w.shard.SetEvacuated(w.now, true)
@@ -80,7 +80,7 @@
 
 // Guards against steps of a submission that start before those that they depend on. The submission is half
 // done when its domain is evacuated: the rest has to be returned as a whole, once none of its tasks runs.
-func TestStepsLeaveTogether(t *testing.T) {
+func TestDependentStepsAreReturnedTogether(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
 	rec := w.submission("a", 2, runhost.Work{Time: 200 * ms})
@@ -108,7 +108,7 @@
 
 // Guards against a stored submission that is ignored because it was reassigned to another shard and comes back
 // while this one still remembers that it left.
-func TestStoredSubmissionThatCameBackIsTaken(t *testing.T) {
+func TestReassignedSubmissionMayComeBack(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
 	w.shard.SetEvacuated(w.now, true)
@@ -136,7 +136,7 @@
 // Guards against an answer to the caller before all tasks have completed. A submission is submitted again after
 // all VMs were off, and a worker still lists the end of a task of the first attempt, which another shard has
 // now. If the end counted here, this shard's part would be taken for complete with a task left.
-func TestEndOfATaskThatAnotherShardHasCountsForNothing(t *testing.T) {
+func TestEndOfATaskOfAnotherShardIsIgnored(t *testing.T) {
 	for _, listedBefore := range []bool{true, false} {
 		w := newWorld(t, 1)
 		w.run(100 * ms)
@@ -172,7 +172,7 @@
 // Guards against an answer to the caller before all tasks have completed. All VMs were off, the caller has
 // submitted again, and a worker that has not answered the new holder yet then lists the end of a task of the
 // first attempt. The end must not count for the second attempt, which begins from the start.
-func TestEndOfAnEarlierHandInCountsForNothing(t *testing.T) {
+func TestEndOfAnEarlierAttemptIsIgnored(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	rec := w.submission("a", 1, runhost.Work{Time: 150 * ms})
--- a/internal/kept/shard/incarnation_test.go
+++ b/internal/kept/shard/incarnation_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against a loss that is counted twice, or not at all, depending on which sign of a restart comes first.
-func TestRestartUnderTheSameIDIsOneLoss(t *testing.T) {
+func TestRestartUnderTheSameIDCountsAsOneLoss(t *testing.T) {
 	signs := map[string]func(w *world, old worker.Info){
 		"listing": func(w *world, _ worker.Info) { w.run(10 * ms) },
 		"entry":   func(w *world, _ worker.Info) { w.updateList() },
@@ -87,7 +87,7 @@
 
 // Guards against an acknowledgement of the earlier incarnation's ended runs that reaches the next one, which
 // would then no longer list runs that the holder has not seen.
-func TestAcknowledgementsEndWithTheirIncarnation(t *testing.T) {
+func TestNextIncarnationGetsNoEarlierAcknowledgement(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
 	w.assign(w.submission("a", 2, runhost.Work{Time: 30 * ms}))
@@ -105,7 +105,7 @@
 
 // Guards against a second run of a task whose start order was meant for the earlier incarnation and accepted by
 // the next one.
-func TestStartAcceptedByTheNextIncarnationIsItsOwn(t *testing.T) {
+func TestStartAcceptedByTheNextIncarnationIsNotRepeated(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
 			w := newWorld(t, 2)
@@ -128,7 +128,7 @@
 
 // Guards against a task that runs twice because the next incarnation carries out a start order that had no
 // answer. It does not know the stop of that run, and its clock starts anew.
-func TestVoidRunsStayVoidAtTheNextIncarnation(t *testing.T) {
+func TestNextIncarnationRunsNoRevokedStart(t *testing.T) {
 	for _, forgotten := range []bool{false, true} {
 		t.Run(fmt.Sprintf("forgotten meanwhile %v", forgotten), func(t *testing.T) {
 			w := newWorld(t, 2)
@@ -157,7 +157,7 @@
 
 // Guards against a late entry of the earlier incarnation, or one without a start time, that replaces the
 // newest entry.
-func TestEntriesOfAnEarlierIncarnationSayNothing(t *testing.T) {
+func TestEntriesOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
 	old := w.hosts["w0"].Info
@@ -184,7 +184,7 @@
 }
 
 // Guards against a next incarnation that is used with the capacity, labels and rack of the earlier one.
-func TestNextIncarnationHasItsOwnRoom(t *testing.T) {
+func TestNextIncarnationHasItsOwnCapacity(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.restart("w0")
 	w.hosts["w0"].Unguarded = true
@@ -205,7 +205,7 @@
 
 // Guards against a listing of the earlier incarnation, received before the records, that is applied to the next
 // one.
-func TestEarlyListingEndsWithItsIncarnation(t *testing.T) {
+func TestEarlyListingIsNotAppliedToTheNextIncarnation(t *testing.T) {
 	w := newWorld(t, 1)
 	settings := DefaultSettings()
 	s := New(w.now, settings, 2, w.now+time.Second)
@@ -224,7 +224,7 @@
 
 // Guards against the entry of a worker that was replaced before its start time was known. It was taken for the
 // newest entry at its address, and the runs on its successor for lost.
-func TestEntryOfADeadWorkerWithoutAKnownBirthIsDropped(t *testing.T) {
+func TestEntryOfAReplacedWorkerWithoutStartTimeIsIgnored(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(50 * ms)
 	first := w.hosts["w0"].Info
@@ -250,7 +250,7 @@
 // Guards against the entry of a worker that ended before the last one and that this holder has never known. As
 // the last one's entry is removed, it was taken for the newest entry at the address, and the runs on the
 // successor for lost.
-func TestEntryOfAnEarlierDeadWorkerIsDropped(t *testing.T) {
+func TestEntryOfAnEarlierReplacedWorkerIsIgnored(t *testing.T) {
 	for _, births := range []bool{true, false} {
 		t.Run(fmt.Sprintf("births %v", births), func(t *testing.T) {
 			w := newWorld(t, 1)
@@ -282,7 +282,7 @@
 
 // Guards against a worker that stays in use though it answers no orders: it refuses them as another incarnation,
 // and names the one that they were meant for.
-func TestWorkerThatRefusesInItsOwnNameIsGone(t *testing.T) {
+func TestWorkerThatRefusesAsAnotherIncarnationIsRemoved(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(50 * ms)
 	info, _ := w.shard.WorkerInfo("w0")
--- a/internal/kept/shard/limits_test.go
+++ b/internal/kept/shard/limits_test.go
@@ -49,7 +49,7 @@
 }
 
 // A step that requires a label and allows one of its tasks per worker waits for the workers with the label.
-func TestLabelsAndTheMostOnOneWorkerHold(t *testing.T) {
+func TestRequiredLabelAndMaxPerWorker(t *testing.T) {
 	w := newWorld(t, 3)
 	w.hosts["w0"].Info.Labels = []string{"fast"}
 	w.hosts["w1"].Info.Labels = []string{"fast"}
--- a/internal/kept/shard/overload_test.go
+++ b/internal/kept/shard/overload_test.go
@@ -136,7 +136,7 @@
 // times the demand that fills the capacity, for eight seconds: 0.58 of each kind are in time without the bands
 // and 0.78 with them. At 1.0 times the demand these are 0.80 and 0.90, at 1.15 times 0.67 and 0.83, at 1.4 times
 // 0.42 and 0.71.
-func TestOverloadIsBorneByFew(t *testing.T) {
+func TestOverloadLeavesMostSubmissionsInTime(t *testing.T) {
 	with, without := policy.Defaults(), policy.Defaults()
 	without.Bands = false
 	var shares [2]float64
@@ -156,7 +156,7 @@
 // Guards against urgent submissions that are refused though they would be served first, while much work of a
 // lower priority waits at the shard. The forecast counted all queued work, by which 123 of 2,276 urgent
 // submissions were refused on days with overload.
-func TestWhatComesFirstDoesNotWaitForTheRest(t *testing.T) {
+func TestForecastIgnoresWorkOfLowerPriority(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	for i := range 30 {
--- a/internal/kept/shard/progress_test.go
+++ b/internal/kept/shard/progress_test.go
@@ -19,7 +19,7 @@
 
 // Guards against a submission that does not end though all workers answer. A worker hangs: it accepts tasks,
 // renews its lease and lists its runs, but they make no progress. Only a worker that did not answer was given up.
-func TestTasksThatStandStillStartElsewhere(t *testing.T) {
+func TestStalledTasksAreMoved(t *testing.T) {
 	w := newMovingWorld(t)
 	w.hung["w0"] = true
 	w.assign(w.submission("a", 6, runhost.Work{Time: 900 * ms}))
@@ -38,7 +38,7 @@
 
 // Guards against a submission that takes several times its objective because a worker with some of its tasks
 // becomes seven times slower. Restarted on another worker, they are done sooner.
-func TestTasksOnASlowWorkerStartElsewhere(t *testing.T) {
+func TestTasksOnASlowWorkerAreMoved(t *testing.T) {
 	w := newMovingWorld(t)
 	w.slowdown["w0"] = 7
 	w.assign(w.submission("a", 6, runhost.Work{Time: 900 * ms}))
@@ -65,7 +65,7 @@
 
 // Guards against a healthy worker that gets no tasks for seconds because one task stalls there by its own fault,
 // while the others make progress. The worker must not be taken for hung.
-func TestATaskThatStandsStillAloneIsNotItsWorkersFault(t *testing.T) {
+func TestSingleStalledTaskIsNotBlamedOnItsWorker(t *testing.T) {
 	w := newMovingWorld(t)
 	w.assign(w.submission("hangs", 1, runhost.Work{Hangs: true, Time: 500 * ms}))
 	w.run(20 * ms)
@@ -82,7 +82,7 @@
 // its worker. The next hold is sent at once, waits for a run to end, and is answered a quarter of a second later
 // with the progress by then. If the age of the run was taken from when the hold was sent, its siblings seemed many
 // times faster.
-func TestAnswersThatWaitedTellOfTheirOwnTime(t *testing.T) {
+func TestProgressIsDatedByTheAnswer(t *testing.T) {
 	w := newMovingWorld(t)
 	w.holdWait["w1"] = 250 * ms
 	w.hosts["w1"].Info.Labels = []string{"patient", "pair"}
@@ -108,7 +108,7 @@
 
 // Guards against healthy workers that are taken for hung, one after the other, when tasks take a hundred times
 // their estimate, so that one percent takes longer than the estimate. Progress was expected by the estimate alone.
-func TestLongWorkDoesNotStandStill(t *testing.T) {
+func TestLongTasksAreNotTakenForStalled(t *testing.T) {
 	w := newMovingWorld(t)
 	rec := w.submission("a", 8, runhost.Work{Time: 50 * time.Second})
 	rec.Steps[0].Estimate = 400 * ms
--- a/internal/kept/shard/room_test.go
+++ b/internal/kept/shard/room_test.go
@@ -31,7 +31,7 @@
 
 // Guards against starts beyond a capacity that has shrunk, and against capacity that is not used after it has
 // grown.
-func TestRoomInForceIsTheNewest(t *testing.T) {
+func TestNewestCapacityIsUsed(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("first", 1, runhost.Work{Time: 300 * ms}))
 	w.run(20 * ms)
@@ -53,7 +53,7 @@
 }
 
 // Guards against a late list with a larger capacity that replaces a newer one.
-func TestLateReportOfALargerRoomIsIgnored(t *testing.T) {
+func TestLateListWithLargerCapacityIsIgnored(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	old := w.hosts["w0"].Info
 	w.setCapacity("w0", 7000)
@@ -68,7 +68,7 @@
 }
 
 // Guards against starts beyond the capacity by a new holder that does not know the submissions of all runs there.
-func TestRunsOfUnknownSubmissionsTakeRoom(t *testing.T) {
+func TestRunsOfUnknownSubmissionsUseCapacity(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("before", 2, runhost.Work{Time: 2 * time.Second}))
 	w.run(50 * ms)
@@ -79,7 +79,7 @@
 }
 
 // Guards against capacity that is used again while the run there is still being stopped.
-func TestRunThatIsStoppedTakesRoom(t *testing.T) {
+func TestRunBeingStoppedUsesCapacity(t *testing.T) {
 	w := newUnguardedWorld(t, 1)
 	w.assign(w.submission("a", 2, runhost.Work{Time: time.Second}))
 	w.run(50 * ms)
--- a/internal/kept/shard/shard_test.go
+++ b/internal/kept/shard/shard_test.go
@@ -93,7 +93,7 @@
 // Guards against a task that runs twice at once. While the store was down, entries of the list of workers
 // expired, and a new holder knows only some of the workers. Once all of these had answered, it took the tasks
 // on the others for startable.
-func TestNewHolderKnowsWorkersThatTheListLacks(t *testing.T) {
+func TestNewHolderWaitsForWorkersMissingFromTheList(t *testing.T) {
 	w := newWorld(t, 3)
 	w.run(100 * ms)
 	rec := w.submission("a", 6, runhost.Work{Time: 900 * ms})
@@ -119,7 +119,7 @@
 // Guards against the removal of a live worker, whose tasks are then started elsewhere while they run. A
 // worker crashes and restarts at its address under a new ID, while its old entry has not expired. Each read
 // of the list took the old entry for the newer one.
-func TestOldLifeOfAWorkerDoesNotReplaceItsNewOne(t *testing.T) {
+func TestOldEntryDoesNotReplaceANewerWorkerAtItsAddress(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
 	old := w.hosts["w0"].Info
@@ -142,7 +142,7 @@
 
 // Guards against a task that runs twice at once because the answer to a start order was lost that the worker
 // carried out. The worker has to be asked before the task is started elsewhere.
-func TestLostAnswerToAStart(t *testing.T) {
+func TestLostStartReply(t *testing.T) {
 	w := newWorld(t, 2)
 	lost := 0
 	w.losesStartReply = func(StartAction) bool { lost++; return lost%2 == 1 }
@@ -179,7 +179,7 @@
 
 // Guards against a task that runs twice at once because its worker is cut off and goes on running it until
 // its lease expires.
-func TestCutOffWorkerRunsOnUntilItsLeaseIsOver(t *testing.T) {
+func TestUnreachableWorkerKeepsItsTasksUntilItsLeaseExpires(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	rec := w.submission("a", 4, runhost.Work{Time: 3 * time.Second})
@@ -194,7 +194,7 @@
 
 // Guards against a task that runs twice at once after its home VM was lost. The caller submits again to
 // another VM, which gives the submission to another shard, so the first holder has to stop its runs.
-func TestHolderEndsTheRunsOfALostHome(t *testing.T) {
+func TestRunsOfALostHomeAreStopped(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100 * ms)
 	w.assign(w.submission("a", 3, runhost.Work{Time: 3 * time.Second}))
@@ -216,7 +216,7 @@
 // Guards against a rejection that tells the caller that its submission has not run, though a task of it has.
 // The task starts, its run ends with its worker's lease, and there is no free capacity until the submission
 // is too late.
-func TestWhatHasBegunIsNotRejected(t *testing.T) {
+func TestBegunSubmissionIsNotRejected(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
 	w.assign(w.submission("a", 1, runhost.Work{Time: 50 * ms, Hangs: true}))
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestHopelessSubmissionIsRejectedAtOnce(t *testing.T) {
+func TestTooLateSubmissionIsRejectedAtOnce(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100 * ms)
 	w.assign(w.submission("long", 2, runhost.Work{Time: 3 * time.Second, CPUMilli: 8000}))
--- a/internal/kept/shard/takeback_test.go
+++ b/internal/kept/shard/takeback_test.go
@@ -17,7 +17,7 @@
 // Guards against a caller that is told that its submission has not run, though it has or will. The home VM recalls
 // a part while start orders of it are in flight, lost or delayed, and may assign it again only under a new serial.
 // A part must not be rejected once a start was sent, and not be started once it was rejected.
-func TestWhatIsTakenBackHasNotRunAndDoesNot(t *testing.T) {
+func TestRejectedPartsNeverRun(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 60
 	parameters.Rng.Seed(23)
