--- a/internal/kept/shard/evacuate.go
+++ b/internal/kept/shard/evacuate.go
@@ -86,7 +86,7 @@
 	s.actions.Reassigns = append(s.actions.Reassigns, ReassignAction{Record: &rec, Revision: j.revision})
 }
 
-// Moved says that a submission is stored under another shard at a revision.
+// Reassigned records that a submission is stored under another shard at the given revision.
 func (s *Shard) Reassigned(now time.Duration, id submission.ID, revision uint64) {
 	j, open := s.jobs[id]
 	if !open || !j.reassigning {
--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -226,8 +226,8 @@
 	return sum
 }
 
-// rejectIfWaitTooLong rejects a transient submission that has not begun once the policy says that waiting longer
-// is of no use. Its caller learns at once that it has not run.
+// rejectIfWaitTooLong rejects a transient submission that has not begun once the policy says that waiting
+// longer is of no use. Its caller learns at once that it has not run.
 func (s *Shard) rejectIfWaitTooLong(now time.Duration, j *job) {
 	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.hasBegun() {
 		return
@@ -267,7 +267,8 @@
 	var out []*candidate
 	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 		h := s.workers[id]
-		// The resources that a stray run uses are not known. Only the worker itself can tell what is free.
+		// The resources that a stray run uses are not known, so a worker that does not refuse tasks beyond its
+		// capacity gets no others beside it.
 		if !s.isUsable(now, h) || len(h.strayRuns) > 0 && !s.settings.enforcesCapacity(h.info.Service) {
 			continue
 		}
