--- a/internal/kept/vm/cancel_property_test.go
+++ b/internal/kept/vm/cancel_property_test.go
@@ -20,35 +20,35 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Bounds of the users' rule on cancelled work.
+// Bounds that users were promised for cancelled submissions.
 const (
-	maxCancelDelay = 4 * time.Second // after the acknowledgement, or after a late start counts
-	maxStopDelay   = 50 * ms
+	maxCancelDelay = 4 * time.Second // from the acknowledgement, or from faultSettleTime after a later start
+	maxStopDelay   = 50 * ms         // for the worker to stop the run
 )
 
-// cancellations is a play of submissions that hang and are cancelled, beside orders that are held up, VMs
-// that are lost for good, stores that turn VMs away, and workers that start again under their ID.
+// cancellationRun is one run of random submissions that hang and are cancelled, with delayed starts, VMs that
+// are lost for good, a store that does not serve some VMs, and workers that restart under the same ID.
 type cancellationRun struct {
 	*world
 	log          *startLog
 	stored       []submission.ID
-	cancelledAt  map[submission.ID]time.Time // when that was acknowledged
+	cancelledAt  map[submission.ID]time.Time // when the cancellation was acknowledged
 	withoutStore map[string]bool             // VMs that the store does not serve
 	lastFault    time.Time
-	bootCount    int
+	bootCount    int // replacements of lost VMs
 }
 
-// randomCancelEvent is one random event: Op says what happens, N how much of it.
+// randomCancelEvent is one random event: Op selects what happens, N with which VM, submission, worker or fault.
 type randomCancelEvent struct{ Op, N int }
 
-func (p *cancellationRun) do(a randomCancelEvent) error {
+func (p *cancellationRun) do(ev randomCancelEvent) error {
 	vms := slices.Sorted(maps.Keys(p.vms))
-	name := vms[a.N%len(vms)]
-	switch a.Op {
+	name := vms[ev.N%len(vms)]
+	switch ev.Op {
 	case 0, 1, 2:
-		p.submitHanging(name, a.N)
+		p.submitHanging(name, ev.N)
 	case 3, 4, 5:
-		p.cancel(name, a.N)
+		p.cancel(name, ev.N)
 	case 6:
 		p.recordFault()
 		p.kill(name)
@@ -56,22 +56,22 @@
 		p.boot(fmt.Sprintf("%s-next%d", name[:1], p.bootCount))
 	case 7:
 		p.recordFault()
-		info := p.fleet.Reborn(fmt.Sprintf("worker-a%d", a.N%3), fmt.Sprintf("w-a%d", a.N%3))
-		if a.N%2 == 0 {
+		info := p.fleet.Reborn(fmt.Sprintf("worker-a%d", ev.N%3), fmt.Sprintf("w-a%d", ev.N%3))
+		if ev.N%2 == 0 {
 			p.putWorkerEntry(info)
 		}
 	case 8:
-		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+a.N)%4) * 1300 * ms })
+		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%4) * 1300 * ms })
 	case 9:
 		p.fleet.DelayStarts(nil)
 	case 10:
 		p.recordFault()
 		p.withoutStore[name] = true
-		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[a.N%3])
+		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[ev.N%3])
 	case 11:
 		p.restoreStore()
 	}
-	for range 1 + a.N%6 {
+	for range 1 + ev.N%6 {
 		time.Sleep(200 * ms)
 		if err := p.checkCancelled(); err != nil {
 			return err
@@ -90,7 +90,7 @@
 	}
 }
 
-// hand hands in a submission whose tasks hang.
+// submitHanging sends a submission whose tasks hang.
 func (p *cancellationRun) submitHanging(at string, n int) {
 	id := submission.ID(fmt.Sprintf("s%d", len(p.stored)))
 	p.stored = append(p.stored, id)
@@ -110,7 +110,8 @@
 	}
 }
 
-// judge holds what runs against what was cancelled.
+// checkCancelled returns an error if a task of a cancelled submission runs for too long. It checks nothing within
+// faultSettleTime after a fault.
 func (p *cancellationRun) checkCancelled() error {
 	if len(p.withoutStore) > 0 || time.Since(p.lastFault) < faultSettleTime {
 		return nil
@@ -127,13 +128,13 @@
 			}
 		}
 		if over := time.Since(counts) - maxCancelDelay - maxStopDelay; over > 0 && time.Since(p.lastFault) > faultSettleTime+maxCancelDelay {
-			return fmt.Errorf("%s runs on %v after its cancelling must be in force", id, over)
+			return fmt.Errorf("%s still runs %v after its cancellation had to take effect", id, over)
 		}
 	}
 	return nil
 }
 
-// finish lets all faults end, and says what is wrong.
+// finish ends all faults and returns an error if a guarantee was broken.
 func (p *cancellationRun) finish() error {
 	p.restoreStore()
 	p.fleet.DelayStarts(nil)
@@ -149,24 +150,24 @@
 	return nil
 }
 
-// Guards against cancelled work that runs on: its start was held up, its starter was lost for good, its shard
-// changed hands, its worker has started again, in any order.
+// Guards against tasks that run on after their cancellation because their start was delayed, the VM that started
+// them was lost for good, their shard has a new holder, or their worker restarted, in any order.
 func TestCancelledWorkEndsBesideRandomFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(3)
 	parameters.MinSuccessfulTests = 25
-	parameters.MaxShrinkCount = 10 // a play takes a second
+	parameters.MaxShrinkCount = 10 // each run takes a second
 	properties := gopter.NewProperties(parameters)
-	acts := gen.SliceOfN(25, gen.Struct(reflect.TypeOf(randomCancelEvent{}), map[string]gopter.Gen{
+	events := gen.SliceOfN(25, gen.Struct(reflect.TypeOf(randomCancelEvent{}), map[string]gopter.Gen{
 		"Op": gen.IntRange(0, 11),
 		"N":  gen.IntRange(0, 1000),
 	}))
-	properties.Property("nothing cancelled runs on", prop.ForAll(func(acts []randomCancelEvent) (ok bool, err error) {
+	properties.Property("no cancelled submission runs on", prop.ForAll(func(events []randomCancelEvent) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &cancellationRun{world: newWorldWithIncarnations(t, 3), cancelledAt: make(map[submission.ID]time.Time), withoutStore: make(map[string]bool)}
 			p.log = watchStarts(p.world)
-			for _, a := range acts {
-				if err = p.do(a); err != nil {
+			for _, ev := range events {
+				if err = p.do(ev); err != nil {
 					break
 				}
 			}
@@ -178,6 +179,6 @@
 			}
 		})
 		return err == nil, err
-	}, acts))
+	}, events))
 	properties.TestingRun(t)
 }
--- a/internal/kept/vm/fuzz_test.go
+++ b/internal/kept/vm/fuzz_test.go
@@ -21,7 +21,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// unreachable is a store and workers that do not answer.
+// unreachable is a store transport and a worker client whose calls get no answer.
 type unreachable struct{}
 
 func (unreachable) Do(ctx context.Context, _ relay.Call) (relay.Reply, error) {
@@ -41,7 +41,8 @@
 	return worker.Listing{}, worker.Reply{Verdict: worker.NoAnswer}
 }
 
-// newIsolatedEngine is an engine that holds a shard of two workers and knows another's, and is reached by events only.
+// newIsolatedEngine returns an engine that holds a shard of two workers, knows domain b and a VM of it, and
+// cannot reach the store, its workers or its peers.
 func newIsolatedEngine(t *testing.T) *engine {
 	t.Helper()
 	now := time.Hour
@@ -79,7 +80,7 @@
 	return e
 }
 
-// Guards against a frame of a peer that stops the process.
+// Guards against a frame from a peer that makes the process panic.
 func FuzzFrame(f *testing.F) {
 	rec := newOneStepRecord("job", 3, testWork)
 	rec.Transient, rec.Shard, rec.Home = true, "a/0", "b1"
@@ -122,7 +123,7 @@
 	})
 }
 
-// Guards against a key of the site that stops the process.
+// Guards against a key of the site in the store that makes the process panic.
 func FuzzSiteKey(f *testing.F) {
 	f.Add("vm/b1", []byte(`{"i":7,"d":"b","w":-3}`))
 	f.Add("shard/a/0", []byte(`{"h":"b1","t":9}`))
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -29,19 +29,19 @@
 	v.config.MaxLease = time.Second
 	extendLeases := &atomic.Bool{}
 	extendLeases.Store(true)
-	h := &workerSession{vm: v, extendLeases: extendLeases, acked: make(chan struct{}, 1)}
-	h.info.Store(&worker.Info{ID: "w", Born: born})
-	h.born.Store(born)
-	return h, s
+	ws := &workerSession{vm: v, extendLeases: extendLeases, acked: make(chan struct{}, 1)}
+	ws.info.Store(&worker.Info{ID: "w", Born: born})
+	ws.born.Store(born)
+	return ws, s
 }
 
 // Guards against ends of the next incarnation that are forgotten as they have numbers of earlier ones.
 func TestHoldAfterSilenceAcknowledgesNothing(t *testing.T) {
 	answer := worker.Reply{Clock: time.Second, Born: 5}
-	h, s := newScriptedSession(5, answer, answer, worker.Reply{Verdict: worker.NoAnswer}, answer, answer)
-	h.acknowledge(57)
+	ws, s := newScriptedSession(5, answer, answer, worker.Reply{Verdict: worker.NoAnswer}, answer, answer)
+	ws.acknowledge(57)
 	for range s.answers {
-		h.renew(t.Context(), time.Second)
+		ws.renew(t.Context(), time.Second)
 	}
 	for i, want := range []uint64{0, 57, 57, 0, 57} {
 		if got := s.holds[i].AckedEnd; got != want {
@@ -64,8 +64,8 @@
 		"an earlier one":     {5, 3, worker.Reply{Verdict: worker.NoAnswer}},
 		"nobody's was known": {0, 0, worker.Reply{}},
 	} {
-		h, _ := newScriptedSession(c.known)
-		if got := h.checkIncarnation(worker.Reply{Born: c.answers}); got != c.want {
+		ws, _ := newScriptedSession(c.known)
+		if got := ws.checkIncarnation(worker.Reply{Born: c.answers}); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/internal/kept/vm/reborn_test.go
+++ b/internal/kept/vm/reborn_test.go
@@ -12,12 +12,13 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// testWorldWithIncarnations is a site whose workers say when they were born.
-func testWorldWithIncarnations(t *testing.T, workers int, play func(w *world)) {
+// testWorldWithIncarnations runs a scenario on a site of one domain whose workers report their start time, so that
+// the incarnations under one ID can be told apart.
+func testWorldWithIncarnations(t *testing.T, workers int, scenario func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWithIncarnations(t, workers)
-		play(w)
+		scenario(w)
 		w.end()
 	})
 }
@@ -37,8 +38,8 @@
 	return w
 }
 
-// restart ends a worker's incarnation and begins the next one under the same ID; listed: it writes its entry
-// at once.
+// restartWorker ends a worker's incarnation and begins the next one under the same ID. If listed is set, the
+// worker updates its entry in the store at once.
 func (w *world) restartWorker(name string, listed bool) {
 	w.t.Helper()
 	info := w.fleet.Reborn("worker-"+name, "w-"+name)
@@ -47,8 +48,8 @@
 	}
 }
 
-// Guards against tasks that hang, or whose answers are lost, as a worker that has started again under its
-// ID numbers its ends anew.
+// Guards against tasks that hang, or whose results are lost, because a worker that restarted under the same ID
+// numbers the ends of its runs from the beginning again.
 func TestRestartUnderTheSameIDEndsAllRuns(t *testing.T) {
 	for _, listed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("entry first %v", listed), func(t *testing.T) {
@@ -61,18 +62,18 @@
 				w.restartWorker("a0", listed)
 				w.wantEnd(out, submission.Done)
 				if n := w.fleet.Starts("during"); n != 4 {
-					t.Errorf("%d starts of two tasks whose runs were ended once, want 4", n)
+					t.Errorf("%d starts of two tasks whose first runs ended with the restart, want 4", n)
 				}
 				w.wantEnd(w.submit("a2", "after", 2, runhost.Work{Time: 50 * ms}, true), submission.Done)
 				if n := w.fleet.Starts("after"); n != 2 {
-					t.Errorf("%d starts of two tasks at the new incarnation", n)
+					t.Errorf("%d starts of two tasks on the new incarnation, want 2", n)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a restart under the same ID that nobody notices while the store is away.
+// Guards against a restart under the same ID that the holder does not notice during an outage of the store.
 func TestRestartUnderTheSameIDWithoutTheStore(t *testing.T) {
 	testWorldWithIncarnations(t, 2, func(w *world) {
 		w.wantEnd(w.submit("a1", "before", 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
@@ -85,7 +86,7 @@
 		w.restartWorker("a0", false)
 		w.wantEnd(out, submission.Done)
 		if n := w.fleet.Starts("during"); n > 6 {
-			t.Errorf("%d starts of four tasks of which two were ended", n)
+			t.Errorf("%d starts of four tasks of which the restart ended two, want at most 6", n)
 		}
 		for _, d := range w.storeDoors {
 			d.Set(kvstore.Serves)
@@ -95,8 +96,8 @@
 	})
 }
 
-// Guards against a second run of a task whose start, held up on its way, is carried out by the next
-// incarnation: its clock starts anew, so the order is not too late for it.
+// Guards against a second run of a task whose delayed start order reaches the next incarnation of the worker. Its
+// clock starts from zero again, so the deadline of the order does not make it reject the order.
 func TestLateStartReachesTheNextIncarnation(t *testing.T) {
 	testWorldWithIncarnations(t, 2, func(w *world) {
 		delayed := 0
@@ -113,12 +114,12 @@
 		w.restartWorker("a1", false)
 		w.wantEnd(out, submission.Done)
 		if delayed == 0 {
-			t.Error("no start was held up")
+			t.Error("no start was delayed")
 		}
 	})
 }
 
-// Guards against a holder that takes the entry of an earlier incarnation, which came late, for the newest.
+// Guards against a holder that takes a late entry of an earlier incarnation for the current one.
 func TestLateEntryOfAnEarlierIncarnation(t *testing.T) {
 	testWorldWithIncarnations(t, 1, func(w *world) {
 		old := w.fleet.Reborn("worker-a0", "w-a0")
@@ -132,12 +133,13 @@
 		time.Sleep(500 * ms)
 		w.wantEnd(out, submission.Done)
 		if n := w.fleet.Starts("job"); n != 2 {
-			t.Errorf("%d starts of two tasks", n)
+			t.Errorf("%d starts of two tasks, want 2", n)
 		}
 	})
 }
 
-// Guards against a takeover that misses a restart: the next holder has never heard of the earlier incarnation.
+// Guards against a new holder that does not notice a worker's restart because it never knew the earlier
+// incarnation.
 func TestTakeoverAfterARestartUnderTheSameID(t *testing.T) {
 	testWorldWithIncarnations(t, 2, func(w *world) {
 		holder := w.holderOf("a")
@@ -148,10 +150,10 @@
 		w.restartWorker("a0", true)
 		time.Sleep(6 * time.Second)
 		if got := w.state(other, "stored"); got != submission.Done {
-			t.Errorf("the submission is %s", got)
+			t.Errorf("the state of the submission is %s, want done", got)
 		}
 		if n := w.fleet.Starts("stored"); n > 6 {
-			t.Errorf("%d starts of four tasks of which two were ended", n)
+			t.Errorf("%d starts of four tasks of which the restart ended two, want at most 6", n)
 		}
 	})
 }
--- a/internal/kept/vm/session_test.go
+++ b/internal/kept/vm/session_test.go
@@ -7,122 +7,121 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// Symptom: one task runs twice at once. Sequence: a new holder has one answer from a
-// worker that runs a task of its predecessor, and the next call has none. Cause: the
-// worker's lease was taken to be over, as this holder had not extended it yet; the
-// earlier one had.
+// Guards against a task that runs twice at once: a new holder got one answer from a worker that
+// runs a task of its predecessor, and none to its next call. It took the worker's lease to be
+// expired because it had not extended it itself, but its predecessor had.
 func TestLeaseOfAnEarlierHolderIsNotOverAtOnce(t *testing.T) {
 	now := time.Hour
 	v := &VM{config: Config{MaxLease: time.Second}, now: func() time.Duration { return now }}
-	h := &workerSession{vm: v}
-	if _, certain := h.leaseExpired(now); certain {
-		t.Error("the lease of a worker that never answered is certain")
+	ws := &workerSession{vm: v}
+	if _, certain := ws.leaseExpired(now); certain {
+		t.Error("the expiry of the lease of a worker that never answered is reported as certain")
 	}
-	h.recordClock(now, worker.Reply{Clock: 5 * time.Minute})
+	ws.recordClock(now, worker.Reply{Clock: 5 * time.Minute})
 	now += 900 * time.Millisecond
-	if over, _ := h.leaseExpired(now); over {
-		t.Error("over after 900 ms, the earlier holder may have extended it by a second")
+	if over, _ := ws.leaseExpired(now); over {
+		t.Error("expired after 900 ms, though the earlier holder may have extended it by a second")
 	}
 	now += 150 * time.Millisecond
-	if over, certain := h.leaseExpired(now); !over || !certain {
-		t.Error("not over after 1.05 s")
+	if over, certain := ws.leaseExpired(now); !over || !certain {
+		t.Error("not expired after 1.05 s")
 	}
 }
 
-// A worker's clock may be slow by 2%.
+// A worker's clock may be slow by 2%: the lease is expired only when it is on such a clock, too.
 func TestLeaseIsOverOnTheSlowestClock(t *testing.T) {
 	now := time.Hour
 	v := &VM{config: Config{MaxLease: time.Second}, now: func() time.Duration { return now }}
-	h := &workerSession{vm: v}
-	h.recordClock(now, worker.Reply{Clock: 5 * time.Minute})
-	h.recordDeadline(5*time.Minute + 10*time.Second)
+	ws := &workerSession{vm: v}
+	ws.recordClock(now, worker.Reply{Clock: 5 * time.Minute})
+	ws.recordDeadline(5*time.Minute + 10*time.Second)
 	now += 10100 * time.Millisecond
-	if over, _ := h.leaseExpired(now); over {
-		t.Error("over after 10.1 s, on a slow clock 9.9 s have passed of 10")
+	if over, _ := ws.leaseExpired(now); over {
+		t.Error("expired after 10.1 s, though on a slow clock only 9.9 of 10 s have passed")
 	}
 	now += 150 * time.Millisecond
-	if over, _ := h.leaseExpired(now); !over {
-		t.Error("not over after 10.25 s")
+	if over, _ := ws.leaseExpired(now); !over {
+		t.Error("not expired after 10.25 s")
 	}
 }
 
-// Symptom: a VM whose processor is busy makes its own starts void and repeats them, and has
-// still more to do. Sequence: answers take longer than they are waited for. Cause: only
-// answers that came in time told how long to wait.
+// Guards against a VM with a busy CPU that voids and repeats its own starts and so gets still more to
+// do: answers take longer than the time-out, and the time-out was computed only from answers that
+// came in time.
 func TestOrderTimeoutGrowsWithoutAnswers(t *testing.T) {
-	h := &workerSession{vm: &VM{}}
+	ws := &workerSession{vm: &VM{}}
 	for range 10 {
-		h.recordRTT(time.Millisecond)
+		ws.recordRTT(time.Millisecond)
 	}
-	if d := h.orderTimeout(); d != minOrderTimeout {
-		t.Errorf("%v with answers in a millisecond", d)
+	if d := ws.orderTimeout(); d != minOrderTimeout {
+		t.Errorf("the time-out is %v with answers within a millisecond", d)
 	}
 	for range 10 {
-		h.recordRTT(h.orderTimeout())
+		ws.recordRTT(ws.orderTimeout())
 	}
-	if d := h.orderTimeout(); d != maxOrderTimeout {
-		t.Errorf("%v after ten orders without an answer", d)
+	if d := ws.orderTimeout(); d != maxOrderTimeout {
+		t.Errorf("the time-out is %v after ten orders without an answer", d)
 	}
-	h.orderRTT.Store(0)
+	ws.orderRTT.Store(0)
 	for i := range 100 {
 		took := time.Millisecond
 		if i%18 == 0 {
-			took = h.orderTimeout()
+			took = ws.orderTimeout()
 		}
-		h.recordRTT(took)
-		if d := h.orderTimeout(); d > maxOrderTimeout/2 {
-			t.Fatalf("%v with one answer of eighteen lost", d)
+		ws.recordRTT(took)
+		if d := ws.orderTimeout(); d > maxOrderTimeout/2 {
+			t.Fatalf("the time-out is %v with one of eighteen answers lost", d)
 		}
 	}
 }
 
-// Symptom: under load on a small link sound workers pass for silent, their starts are made void and
-// repeated, and nothing is served any more. Sequence: the VM's link fills; the answers of all workers
-// take 60 ms, longer than orders wait. Cause: a wait has a bound for a worker that may be dead.
+// Guards against a VM with a saturated link that takes healthy workers for silent, voids and repeats their starts,
+// and serves nothing any more: the answers of all workers take 60 ms and more, longer than the time-out, which was
+// bounded as for a single worker that may be dead.
 func TestOrderTimeoutGrowsWhenAllAnswersAreSlow(t *testing.T) {
-	const queue = 60 * time.Millisecond // of the VM's own link
+	const linkDelay = 60 * time.Millisecond // in the queue of the VM's own link
 	v := &VM{}
-	var hands []*workerSession
+	var sessions []*workerSession
 	for range 20 {
-		hands = append(hands, &workerSession{vm: v})
+		sessions = append(sessions, &workerSession{vm: v})
 	}
 	unanswered := 0
 	for round := range 50 {
 		unanswered = 0
-		for i, h := range hands {
-			took := queue * time.Duration(round%5+i%3+1) / 2
-			if within := h.orderTimeout(); took > within {
-				h.recordOrder(within, worker.Reply{Verdict: worker.NoAnswer})
+		for i, ws := range sessions {
+			took := linkDelay * time.Duration(round%5+i%3+1) / 2
+			if timeout := ws.orderTimeout(); took > timeout {
+				ws.recordOrder(timeout, worker.Reply{Verdict: worker.NoAnswer})
 				unanswered++
 				continue
 			}
-			h.recordOrder(took, worker.Reply{Verdict: worker.Accepted})
+			ws.recordOrder(took, worker.Reply{Verdict: worker.Accepted})
 		}
 	}
 	if unanswered > 0 {
-		t.Errorf("%d of 20 orders pass for unanswered after 50 rounds", unanswered)
+		t.Errorf("%d of 20 orders are still given up as unanswered after 50 rounds", unanswered)
 	}
-	if d := hands[0].orderTimeout(); d > maxBusyOrderTimeout {
-		t.Errorf("an order waits for %v", d)
+	if d := sessions[0].orderTimeout(); d > maxBusyOrderTimeout {
+		t.Errorf("the time-out of an order is %v", d)
 	}
 }
 
-// Symptom: what is lost with a dead worker is found out late. Sequence: a tenth of the workers die at
-// once; the others answer as before. Cause: orders without an answer count as slow answers of all.
+// Guards against late detection of dead workers: a tenth of the workers die at once, the others answer as before,
+// and the orders without an answer were counted as slow answers of all workers.
 func TestDeadWorkersDoNotRaiseOrderTimeoutOfOthers(t *testing.T) {
 	v := &VM{}
-	dead, sound := &workerSession{vm: v}, &workerSession{vm: v}
+	dead, healthy := &workerSession{vm: v}, &workerSession{vm: v}
 	for i := range 300 {
 		if i%10 == 0 {
 			dead.recordOrder(dead.orderTimeout(), worker.Reply{Verdict: worker.NoAnswer})
 			continue
 		}
-		sound.recordOrder(time.Millisecond, worker.Reply{Verdict: worker.Accepted})
+		healthy.recordOrder(time.Millisecond, worker.Reply{Verdict: worker.Accepted})
 	}
-	if d := sound.orderTimeout(); d != minOrderTimeout {
-		t.Errorf("an order to a sound worker waits for %v", d)
+	if d := healthy.orderTimeout(); d != minOrderTimeout {
+		t.Errorf("the time-out of an order to a healthy worker is %v", d)
 	}
 	if d := dead.orderTimeout(); d > maxOrderTimeout {
-		t.Errorf("an order to a dead worker waits for %v", d)
+		t.Errorf("the time-out of an order to a dead worker is %v", d)
 	}
 }
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -15,9 +15,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// testLargeWorld is a site of four domains with VMs of unequal size, the first of each domain
-// large and the others of so many cores, and 24 workers a domain.
-func testLargeWorld(t *testing.T, vms int, small float64, play func(w *world)) {
+// testLargeWorld runs a scenario on a site of four domains with 24 workers each. The first VM of each domain has
+// 0.8 cores, the others have smallCores.
+func testLargeWorld(t *testing.T, vms int, smallCores float64, scenario func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c", "d")
@@ -30,19 +30,19 @@
 		}
 		for i := range vms {
 			name := fmt.Sprintf("%s%d", w.domains[i%4], i/4)
-			w.cores[name] = small
+			w.cores[name] = smallCores
 			if i < 4 {
 				w.cores[name] = 0.8
 			}
 			w.boot(name)
 		}
 		time.Sleep(5 * time.Second)
-		play(w)
+		scenario(w)
 		w.end()
 	})
 }
 
-// linkCounts asks each VM how many links it has.
+// linkCounts returns the number of links of each VM.
 func (w *world) linkCounts() map[string]int {
 	out := make(map[string]int)
 	for name, v := range w.vms {
@@ -57,8 +57,8 @@
 
 func (ev linkCountEvent) apply(e *engine) { ev.reply <- len(e.links) }
 
-// Symptom: VMs of 0.19 core have no processor left for submissions. Sequence: none, the site only has
-// to be large. Cause: links of all to all.
+// Guards against VMs of 0.19 cores that have no CPU time left for submissions on a large site, because each VM
+// has a link to each other one.
 func TestLinksOfALargeSiteAreBounded(t *testing.T) {
 	testLargeWorld(t, 40, 0.192, func(w *world) {
 		sum := 0
@@ -77,9 +77,9 @@
 	})
 }
 
-// Symptom: a submission waits to the end of its caller's time. Sequence: all VMs of a domain but one
-// small one are lost, and with them all that this one had links to. Cause: a VM without links to
-// those that may hold a shard does not learn that nobody holds it.
+// Guards against a submission that waits until its caller's time-out after all VMs of a domain but a small one
+// were lost, and with them all peers of its links: a VM without links to the VMs that may hold a shard does not
+// learn that the shard has no holder.
 func TestLastSmallVMServesItsDomain(t *testing.T) {
 	t.Parallel()
 	testLargeWorld(t, 24, 0.192, func(w *world) {
@@ -98,9 +98,9 @@
 	})
 }
 
-// Symptom: a queue passes for emptier than it is, asked at a VM that holds nothing. Sequence: stored
-// submissions wait in two domains, the VM has no link to one of their holders. Cause: a VM counted
-// what waits at the shards that it hears of.
+// Guards against a count of waiting submissions that is too low at a VM that holds no shard: stored submissions
+// wait in several domains, the VM has no link to some of their holders, and it counted only the shards whose
+// holders report to it.
 func TestWaitingIsCountedAtVMsThatHearOfFewShards(t *testing.T) {
 	t.Parallel()
 	testLargeWorld(t, 32, 0.05, func(w *world) {
@@ -118,11 +118,11 @@
 		time.Sleep(2500 * ms)
 		all := w.waitingAt("a0", "q")
 		if all < stored {
-			t.Errorf("%d wait by the word of a0, want %d at least", all, stored)
+			t.Errorf("a0 counts %d waiting submissions, want at least %d", all, stored)
 		}
 		for _, at := range []string{"a7", "b5", "c6", "d7"} {
 			if n := w.waitingAt(at, "q"); n != all {
-				t.Errorf("%d wait by the word of %s, %d by that of a0", n, at, all)
+				t.Errorf("%s counts %d waiting submissions, a0 counts %d", at, n, all)
 			}
 		}
 		for _, out := range fill {
@@ -131,9 +131,9 @@
 	})
 }
 
-// Symptom: a new worker is not used after the reader of the list was lost, or one that is taken away gets
-// starts until its shutdown. Sequence: the VM that reads the list of workers for its domain is lost; a
-// worker comes. Cause: nobody reads the list in its place. Here the next holder of the first shard does.
+// Guards against new workers that are not used, and removed workers that still get starts, after the loss of the
+// domain's list reader, because no other VM reads the list instead. The next holder of the domain's first shard
+// must do so.
 func TestNextListReaderTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a")
@@ -147,7 +147,7 @@
 		reader := w.holderOf("a")
 		other := map[string]string{"a1": "a2", "a2": "a1"}[reader]
 		if !w.vms[other].HoldsShard("a/1") {
-			t.Fatalf("%s reads the list and holds all", reader)
+			t.Fatalf("%s reads the list and holds both shards", reader)
 		}
 		w.wantWorkersAt(other, 24, "after the start")
 		w.storeDoors[reader].Set(kvstore.Silent)
@@ -161,13 +161,13 @@
 	})
 }
 
-// wantWorkersAt checks how many workers a VM knows of in its domain.
+// wantWorkersAt checks the number of workers in a VM's list of its domain.
 func (w *world) wantWorkersAt(at string, n int, when string) {
 	w.t.Helper()
 	reply := make(chan int, 1)
 	w.vms[at].post(listSizeEvent{domain: at[:1], reply: reply})
 	if got := <-reply; got != n {
-		w.t.Errorf("%s knows of %d workers %s, want %d", at, got, when, n)
+		w.t.Errorf("%s has %d workers in its list %s, want %d", at, got, when, n)
 	}
 }
 
@@ -184,42 +184,42 @@
 	ev.reply <- 0
 }
 
-// Symptom: as above, while the reader lives and holds its shard. Sequence: its words do not come, or
-// bring a list that is old, as the store does not answer it. Cause: a holder went by such words.
+// Guards against a holder that goes on using an outdated list while the list reader is alive and holds its shard:
+// the reader's messages do not arrive, or bring an old list because the store does not answer the reader.
 func TestHolderWithoutFreshReportsReadsTheListItself(t *testing.T) {
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }, readWorkersRequests: make(chan bool, 1)}
 	v.router = relay.New(nil, nil, v.now)
 	e := newEngine(context.Background(), v)
-	fresh := v.config.leaveNoticeShare(listRereadShare)
+	maxAge := v.config.leaveNoticeShare(listRereadShare)
 	e.shards["a/1"] = &heldShard{core: shard.New(now, shard.DefaultSettings(), 1, now), acquiredAt: now, storingWorkers: true}
 	wants := func(reading bool, when string) {
 		t.Helper()
 		e.now = now
 		e.updateLists()
 		if e.readingWorkers != reading {
-			t.Errorf("reads the list itself: %v, %s", e.readingWorkers, when)
+			t.Errorf("the holder reads the list itself: %v, %s", e.readingWorkers, when)
 		}
 	}
-	word := func(age time.Duration) {
+	receiveList := func(age time.Duration) {
 		e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", List: []byte(`[]`), AgeNs: uint64(age)})
 	}
-	wants(false, "just after the shard was taken")
+	wants(false, "just after it acquired the shard")
 	now += firstListTimeout + time.Millisecond
-	wants(true, "without a first word")
-	word(0)
-	wants(false, "after a word")
-	now += fresh / 2
-	word(fresh / 2)
-	now += fresh/2 + time.Millisecond
-	wants(true, "after a word that brought an old list")
-	word(0)
-	now += fresh + time.Millisecond
-	wants(true, "without a word for long")
+	wants(true, "without a first list")
+	receiveList(0)
+	wants(false, "after a list")
+	now += maxAge / 2
+	receiveList(maxAge / 2)
+	now += maxAge/2 + time.Millisecond
+	wants(true, "after a list that was already old")
+	receiveList(0)
+	now += maxAge + time.Millisecond
+	wants(true, "without a message for too long")
 }
 
-// Guards against a list that ages though its reader says that it stands: the reader has read it anew, with
-// the same content under another version.
+// Guards against a list that ages though its reader reports that it has not changed, because the reader has read
+// the same content again and given it another version.
 func TestUnchangedListStaysFresh(t *testing.T) {
 	now := time.Hour
 	v := &VM{now: func() time.Duration { return now }}
@@ -232,10 +232,10 @@
 	e.now += time.Second
 	e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 1})
 	if e.listAge("a/1") != time.Second {
-		t.Error("a word of an earlier version counts")
+		t.Error("a message about an earlier version of the list was taken as confirmation")
 	}
 	e.receiveWorkers("reader", &pb.KeptWorkers{Domain: "a", Version: 2})
 	if age := e.listAge("a/1"); age != 0 {
-		t.Errorf("the list is %v old after a word that it stands", age)
+		t.Errorf("the list is %v old after a message that it has not changed, want 0", age)
 	}
 }
