--- a/internal/kept/vm/catalog_test.go
+++ b/internal/kept/vm/catalog_test.go
@@ -8,6 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/kvstore"
 )
 
+// putCatalog writes a version of the configuration to the store.
 func (w *world) putCatalog(version int) {
 	w.store.Put("config/catalog", []byte(strconv.Itoa(version)))
 }
@@ -22,8 +23,8 @@
 	}
 }
 
-// Symptom: a VM decides by an old configuration. Sequence: changes come in a storm, while
-// the store turns one VM away and is silent for another.
+// Guards against a VM that uses an old configuration: it changes many times in a short time, while
+// the store refuses the calls of one VM and does not answer another.
 func TestConfigurationIsInForceEverywhereWithinTwoSeconds(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.putCatalog(5)
@@ -36,12 +37,12 @@
 			time.Sleep(100 * ms)
 		}
 		time.Sleep(1900 * ms)
-		w.wantVersion(40, "after a storm, with two VMs turned away")
+		w.wantVersion(40, "after many changes, with two VMs that the store does not serve")
 	})
 }
 
-// Symptom: a configuration is taken back. Sequence: an older one is read after a newer,
-// from a copy of the store that is behind; then the VM starts again.
+// Guards against a return to an older configuration: a VM reads an older version after a newer one,
+// from a replica of the store that lags behind. After a restart the VM uses the newest version.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.putCatalog(9)
@@ -58,9 +59,9 @@
 	})
 }
 
-// Symptom: a VM keeps an old configuration for ever. Sequence: the store is silent for it,
-// a change is made, and its history is dropped before the VM hears again: the watch that
-// goes on from the old revision has nothing to go on from.
+// Guards against a VM that keeps an old configuration for ever: while the store does not answer, the
+// configuration changes and the store compacts its history, so the VM's watch cannot be continued
+// from its old revision.
 func TestConfigurationArrivesThoughItsHistoryWasDropped(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, d := range w.storeDoors {
@@ -74,6 +75,6 @@
 			d.Set(kvstore.Serves)
 		}
 		time.Sleep(2 * time.Second)
-		w.wantVersion(7, "two seconds after the store's return")
+		w.wantVersion(7, "two seconds after the end of the outage")
 	})
 }
--- a/internal/kept/vm/dark_test.go
+++ b/internal/kept/vm/dark_test.go
@@ -10,9 +10,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a submission does not end for as long as a dead worker stands in the list.
-// Sequence: a worker that has tasks of it goes dark. Cause: each call without an answer
-// extended the worker's lease, as far as its holder knows, so that it was never over.
+// Guards against a submission that does not end while a dead worker is still in the list: a worker
+// that runs some of its tasks stops answering, and in its holder's reckoning each call without an
+// answer extended the worker's lease, so that it never expired.
 func TestTasksOfADarkWorkerStartElsewhere(t *testing.T) {
 	testWorld(t, func(w *world) {
 		out := w.submit("a1", "job", 6, runhost.Work{Time: 800 * ms}, true)
@@ -21,22 +21,22 @@
 		began := time.Now()
 		w.wantEnd(out, submission.Done)
 		if took := time.Since(began); took > 2500*ms {
-			t.Errorf("its end came %v after the worker went dark, want a lease, a run and some", took)
+			t.Errorf("it ended %v after the worker stopped answering, want at most 2.5 s: a lease, a run and a margin", took)
 		}
 		if n := w.fleet.Starts("job"); n < 7 {
-			t.Errorf("%d starts: the dark worker had no task of it", n)
+			t.Errorf("%d starts: the worker that stopped answering had no task of the submission", n)
 		}
 	})
 }
 
-// Symptom: runs lapse at a sound worker. Sequence: two of its answers in a row are lost.
-// Cause would be: not extending its lease until it is asked again at leisure.
+// Guards against runs that lapse on a healthy worker because two of its answers in a row are lost and
+// its lease is not extended until the next regular call.
 func TestTwoLostAnswersCostNoRun(t *testing.T) {
 	testWorld(t, func(w *world) {
 		out := w.submit("a1", "job", 6, runhost.Work{Time: 3 * time.Second}, true)
 		time.Sleep(500 * ms)
 		w.fleet.Darken("w-a0", true)
-		time.Sleep(450 * ms) // the hold under way, and one look
+		time.Sleep(450 * ms) // the hold in flight, and one probe
 		w.fleet.Darken("w-a0", false)
 		w.wantEnd(out, submission.Done)
 		if n := w.fleet.Starts("job"); n != 6 {
@@ -45,9 +45,9 @@
 	})
 }
 
-// Symptom: short work is late when one of its starts is lost. Sequence: a start has no answer
-// and was not carried out; the worker is asked, the start is made void, and the task starts
-// again. Cause: the answer was waited for a hundred times as long as answers take.
+// Guards against short tasks that are late when one of their starts is lost: the start gets no answer
+// and was not carried out; the holder lists the worker's runs, voids the start, and starts the task
+// again. The time-out of the start was a hundred times the usual response time.
 func TestLostStartIsRetriedInTime(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for i := range 8 {
@@ -57,7 +57,7 @@
 		began := time.Now()
 		w.wantEnd(w.submit("a1", "job", 4, runhost.Work{Time: 60 * ms}, true), submission.Done)
 		if took := time.Since(began); took > 156*ms {
-			t.Errorf("it took %v, its objective is 156ms", took)
+			t.Errorf("it took %v, but its objective is 156 ms", took)
 		}
 	})
 }
--- a/internal/kept/vm/early_test.go
+++ b/internal/kept/vm/early_test.go
@@ -10,9 +10,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: callers are refused for a quarter of a second after all VMs were off. Sequence:
-// all VMs lose power and start again; submissions come at once, the shards are recovered
-// some hundred milliseconds later. Cause: a VM refused what it could give to no shard yet.
+// Guards against refusals in the first quarter of a second after a restart of all VMs: submissions
+// arrive at once, the shards are recovered some hundred milliseconds later, and a VM refused
+// submissions for which it knew no shard yet.
 func TestSubmissionsWaitForTheFirstShards(t *testing.T) {
 	testWorld(t, func(w *world) {
 		names := []string{"a1", "a2", "b1", "b2"}
@@ -31,9 +31,8 @@
 	})
 }
 
-// Symptom: a VM that is cut off from everything keeps its callers waiting. Sequence: it is
-// up for some time, then it is cut off, and a submission comes. What cannot be served is
-// refused at once.
+// Guards against a VM that keeps its callers waiting when it is cut off from everything: it has run
+// for some time, so it must refuse at once a submission that it cannot serve.
 func TestSubmissionsAreQueuedOnlyAtStartup(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, name := range []string{"a2", "b1", "b2"} {
@@ -44,14 +43,14 @@
 		began := time.Now()
 		o := <-w.submit("a1", "job", 1, runhost.Work{Time: 500 * ms}, true)
 		if took := time.Since(began); o.Kind != Refused || took > 50*ms {
-			t.Errorf("%+v after %v, want a refusal at once", o, took)
+			t.Errorf("the outcome is %+v after %v, want Refused at once", o, took)
 		}
 	})
 }
 
-// Symptom: a submission runs for a caller that has left. Sequence: it comes to a VM that
-// has just started, waits for the first shard, and its caller goes. Cause would be: it is
-// kept where nobody looks for it.
+// Guards against a submission that runs for a caller that has left: it was sent to a VM that had just
+// started, was deferred until a shard is known, and its caller left meanwhile. The VM must drop
+// it from the deferred submissions.
 func TestCallerLeavesBeforeAShardIsKnown(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, name := range []string{"a1", "a2", "b1", "b2"} {
@@ -65,11 +64,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*ms)
 		defer cancel()
 		if o := w.vms["a1"].Submit(ctx, rec); o.Kind != Indeterminate {
-			t.Errorf("%+v", o)
+			t.Errorf("the outcome is %+v, want Indeterminate", o)
 		}
 		time.Sleep(2 * time.Second)
 		if n := w.fleet.Starts("job"); n != 0 {
-			t.Errorf("%d starts for a caller that had gone", n)
+			t.Errorf("%d starts for a caller that had left", n)
 		}
 	})
 }
--- a/internal/kept/vm/foreign_test.go
+++ b/internal/kept/vm/foreign_test.go
@@ -10,9 +10,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a worker gets tasks though its entry does not name a worker any more. Sequence:
-// another writer overwrites the entry of a worker with something that cannot be read; a
-// run goes on there. Cause: the last readable entry stayed in use. What runs is still held.
+// Guards against new tasks for a worker whose entry in the store can no longer be decoded: another
+// writer overwrote the entry while tasks ran on the worker, and the last valid entry was still used.
+// The runs on the worker go on and keep their leases.
 func TestAnEntryThatTurnsUnreadableTakesNothingNew(t *testing.T) {
 	testWorld(t, func(w *world) {
 		out := w.submit("a1", "long", 6, runhost.Work{Time: 2 * time.Second}, true)
@@ -24,16 +24,16 @@
 			w.wantEnd(w.submit("a1", submission.ID(rune('a'+i)), 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
 		}
 		if n := w.fleet.StartsOn("w-a0") - before; n != 0 {
-			t.Errorf("%d starts on it", n)
+			t.Errorf("%d starts on the worker after its entry was overwritten, want none", n)
 		}
 		if n := w.fleet.Starts("long"); n != 6 {
-			t.Errorf("%d starts of 6 tasks: what ran there was repeated", n)
+			t.Errorf("%d starts of 6 tasks: runs on the worker were repeated", n)
 		}
 	})
 }
 
-// Symptom: room is told that no submission can use, and calls go to an address where no
-// worker is. Sequence: an entry names a service that no configuration names.
+// Guards against reported capacity that no submission can use, and against calls to an address where
+// no worker is: an entry names a service that the configuration does not have.
 func TestEntriesOfUnknownServicesAreNotHeld(t *testing.T) {
 	testWorld(t, func(w *world) {
 		value, err := json.Marshal(worker.Info{ID: "w-a9", Service: "elsewhere", Address: "nowhere", Domain: "a", CPUMilli: 16000, MemMB: 65536})
@@ -44,12 +44,12 @@
 		time.Sleep(2 * time.Second)
 		holder := w.vms[w.holderOf("a")]
 		if n := sessionCount(holder, "a/0"); n != 3 {
-			t.Errorf("%d workers are held, want 3", n)
+			t.Errorf("sessions with %d workers, want 3", n)
 		}
 	})
 }
 
-// sessionCount counts the workers that a VM holds of a shard.
+// sessionCount returns the number of a VM's sessions with workers of a shard.
 func sessionCount(v *VM, shard string) int {
 	reply := make(chan int, 1)
 	v.post(sessionCountEvent{shard: shard, reply: reply})
--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -22,6 +22,7 @@
 	return worker.Listing{Clock: r.Clock, Born: r.Born}, r
 }
 
+// newScriptedSession returns a session with a worker of a known start time whose client gives the answers.
 func newScriptedSession(born int64, answers ...worker.Reply) (*workerSession, *scriptedClient) {
 	s := &scriptedClient{answers: answers}
 	v := &VM{now: func() time.Duration { return time.Hour }}
@@ -35,7 +36,9 @@
 	return ws, s
 }
 
-// Guards against ends of the next incarnation that are forgotten as they have numbers of earlier ones.
+// Guards against the loss of ends of the next incarnation of a worker, which numbers its ends from the beginning
+// again: after a call without an answer the worker may have restarted, and a hold that acknowledged ends by
+// their old numbers would acknowledge new ones.
 func TestHoldAfterSilenceAcknowledgesNothing(t *testing.T) {
 	answer := worker.Reply{Clock: time.Second, Born: 5}
 	ws, s := newScriptedSession(5, answer, answer, worker.Reply{Verdict: worker.NoAnswer}, answer, answer)
@@ -50,19 +53,19 @@
 	}
 }
 
-// Guards against an answer of another incarnation that passes for one of the session's.
+// Guards against an answer of another incarnation that is taken for one of the session's incarnation.
 func TestAnswersAreOfOneIncarnation(t *testing.T) {
 	next := worker.Incarnation{ID: "w", Born: 9}
 	for name, c := range map[string]struct {
 		known, answers int64
 		want           worker.Reply
 	}{
-		"the same":           {5, 5, worker.Reply{Born: 5}},
-		"does not say":       {5, 0, worker.Reply{}},
-		"was not known":      {0, 5, worker.Reply{Born: 5}},
-		"a later one":        {5, 9, worker.Reply{Verdict: worker.Replaced, Successor: next}},
-		"an earlier one":     {5, 3, worker.Reply{Verdict: worker.NoAnswer}},
-		"nobody's was known": {0, 0, worker.Reply{}},
+		"the same":                  {5, 5, worker.Reply{Born: 5}},
+		"none in the answer":        {5, 0, worker.Reply{}},
+		"none in the session":       {0, 5, worker.Reply{Born: 5}},
+		"a later one":               {5, 9, worker.Reply{Verdict: worker.Replaced, Successor: next}},
+		"an earlier one":            {5, 3, worker.Reply{Verdict: worker.NoAnswer}},
+		"none in either of the two": {0, 0, worker.Reply{}},
 	} {
 		ws, _ := newScriptedSession(c.known)
 		if got := ws.checkIncarnation(worker.Reply{Born: c.answers}); got != c.want {
--- a/internal/kept/vm/lists_test.go
+++ b/internal/kept/vm/lists_test.go
@@ -18,7 +18,8 @@
 	return out
 }
 
-// Guards against a worker that is held in a shard of which it is not, as shards are worked out once for an address.
+// Guards against a worker that is put into a wrong shard because the shard of an address is computed only once and
+// remembered.
 func TestWorkersAreInTheShardOfTheirAddress(t *testing.T) {
 	l := &workerList{}
 	d := site.ShardLayout{Domain: "a", Shards: 7}
@@ -29,7 +30,7 @@
 		for name, of := range l.workersByShard(d) {
 			for _, info := range of {
 				if want := d.ShardOf(info.Address); name != want {
-					t.Errorf("%s is in %s, want %s", info.ID, name, want)
+					t.Errorf("worker %s is in shard %s, want %s", info.ID, name, want)
 				}
 				n++
 			}
@@ -44,7 +45,8 @@
 	check(newWorkers(60)[10:])
 }
 
-// Guards against a change of one worker that costs each holder all workers times all shards of its domain.
+// Guards against a change of one worker that costs each holder of the domain time proportional to the number of
+// workers times the number of shards of the domain.
 func TestListUpdateCostPerWorkerIsConstant(t *testing.T) {
 	perWorker := func(workers int) float64 {
 		l := &workerList{infos: newWorkers(workers)}
@@ -57,12 +59,12 @@
 		return allocs / float64(workers)
 	}
 	if small, large := perWorker(110), perWorker(880); large > 1.1*small {
-		t.Errorf("%.2f allocations a worker in a domain of 880, %.2f in one of 110", large, small)
+		t.Errorf("%.2f allocations per worker in a domain of 880 workers, %.2f in one of 110", large, small)
 	}
 }
 
-// BenchmarkListChange is what a holder of a fifth of a domain's shards does when one worker of the domain has
-// changed.
+// BenchmarkListChange measures the work of a holder of a fifth of a domain's shards when one worker of the domain
+// has changed.
 func BenchmarkListChange(b *testing.B) {
 	for _, workers := range []int{100, 418, 836, 1670} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/internal/kept/vm/losses_test.go
+++ b/internal/kept/vm/losses_test.go
@@ -10,18 +10,19 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// wantCrashes checks how many workers a submission that crashes them has taken down.
+// wantCrashes checks that a submission has crashed at least one worker and at most a given number, and that no
+// task was started more often after crashes than users were promised.
 func (w *world) wantCrashes(id submission.ID, most int) {
 	w.t.Helper()
 	if n := w.fleet.Crashes(id); n == 0 || n > most {
-		w.t.Errorf("%d workers have crashed under %s, want 1 to %d", n, id, most)
+		w.t.Errorf("%s has crashed %d workers, want 1 to %d", id, n, most)
 	}
 	if n := w.fleet.StartsAfterCrashes(); n > runhost.StartsAfterMost {
-		w.t.Errorf("a task was started %d times after %d crashes", n, runhost.CrashesMost)
+		w.t.Errorf("a task was started %d times after it had crashed %d workers", n, runhost.CrashesMost)
 	}
 }
 
-// Guards against a task that takes down one worker after the other, and against an answer that never comes.
+// Guards against a task that crashes one worker after the other, and against a caller that gets no result.
 func TestSubmissionThatCrashesWorkersFails(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "poison", 1, runhost.Work{Time: 50 * ms, Crashes: true}, true), submission.Failed)
@@ -30,7 +31,7 @@
 	})
 }
 
-// Guards against a count that is lost when holders change between the crashes.
+// Guards against a count of crashed workers that is lost when the holder changes between two crashes.
 func TestLossCountSurvivesATakeover(t *testing.T) {
 	for name, transient := range map[string]bool{"stored": false, "transient": true} {
 		t.Run(name, func(t *testing.T) {
@@ -40,19 +41,19 @@
 				for w.fleet.Crashes("poison") == 0 {
 					time.Sleep(10 * ms)
 				}
-				time.Sleep(1300 * ms) // the lease of the worker that has crashed is over
+				time.Sleep(1300 * ms) // the lease of the crashed worker expires
 				for _, d := range w.domains {
 					if holder := w.holderOf(d); holder != home {
 						w.kill(holder)
 					}
 				}
 				if transient {
-					<-out // failed, or to be sent again as the holder is away
+					<-out // failed, or indeterminate because the holder is lost
 				} else {
 					w.wantAccepted(out)
 					time.Sleep(12 * time.Second)
 					if s := w.state(home, "poison"); s != submission.Failed {
-						t.Errorf("it is %s, want failed", s)
+						t.Errorf("its state is %s, want failed", s)
 					}
 				}
 				w.wantCrashes("poison", runhost.CrashesMost)
@@ -61,7 +62,7 @@
 	}
 }
 
-// Guards against a home that takes the loss of a task's worker for the task's end.
+// Guards against a home VM that takes the loss of a task's worker for the end of the task.
 func TestHomeKeepsLossesApartFromEnds(t *testing.T) {
 	v := &VM{now: func() time.Duration { return time.Hour }}
 	e := newEngine(context.Background(), v)
--- a/internal/kept/vm/offload_test.go
+++ b/internal/kept/vm/offload_test.go
@@ -9,11 +9,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: callers get no answer though half of the site is free. Sequence: all workers of a domain
-// fall silent at once, without a word, beside a steady load. Cause: a task stayed with the shard
-// that it was given to, whatever became of the shard's workers.
+// Guards against callers that get no result though half of the site is free: all workers of a domain stop
+// answering at once under a steady load, and tasks stayed with the shard that they were assigned to,
+// whatever happened to its workers.
 //
-// It plays the sudden loss of half of the room at half load: each submission is two tasks of 60 ms.
+// Half of the capacity is lost at half load: each submission has two tasks of 60 ms.
 func TestTasksLeaveAShardThatHasLostItsWorkers(t *testing.T) {
 	testWorld(t, func(w *world) {
 		var outs []chan Outcome
@@ -34,14 +34,14 @@
 			}
 		}
 		if lost > 0 {
-			t.Errorf("%d of %d callers have no whole answer, the other domain is free", lost, len(outs))
+			t.Errorf("%d of %d submissions were not done, though the other domain is free", lost, len(outs))
 		}
 	})
 }
 
-// Symptom: a submission waits beside free workers. Sequence: it was given to a full shard, by what
-// its home knew then; another one gets free before it. It keeps its age, and each of its tasks
-// starts once.
+// Guards against a submission that waits though workers are free: its home VM assigned it to a full shard, by the
+// loads that it knew then, and another shard becomes free earlier. The submission keeps its age in the queue, and
+// each of its tasks starts once.
 func TestWaitingTasksGoWhereRoomIsFree(t *testing.T) {
 	testWorld(t, func(w *world) {
 		short := w.submit("b1", "short", 6, runhost.Work{Time: 200 * ms}, true)
@@ -57,7 +57,7 @@
 			w.wantEnd(out, submission.Done)
 		}
 		if took := time.Since(began); took > 540*ms {
-			t.Errorf("they ended after %v, their objective is 540 ms and room for all was free after 140", took)
+			t.Errorf("they ended after %v, though their objective is 540 ms and there was capacity for all after 140 ms", took)
 		}
 		w.wantEnd(short, submission.Done)
 		w.wantEnd(long, submission.Done)
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -9,9 +9,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a partial answer. Sequence: a shard has completed a part of a submission and is given
-// another one, from an evacuated domain; the message is lost, and asked how far it is, the shard's
-// holder tells of the first part. Cause would be: its word is taken for the second one.
+// Guards against a submission that ends before all its tasks have completed: a shard has completed a part of it and
+// is assigned another part, from an evacuated domain; the message is lost, the holder is asked for the state and
+// reports that of the first part, which must not be taken for the second one's.
 func TestEndOfAnEarlierPartIsNotThatOfALaterOne(t *testing.T) {
 	testWorld(t, func(w *world) {
 		v := w.vms["a1"]
@@ -27,7 +27,7 @@
 			delete(e.transients, "job")
 		}))
 		if state := <-reply; state.Final() {
-			t.Errorf("the submission is %s by the word about an earlier part", state)
+			t.Errorf("the submission is %s after a report about an earlier part", state)
 		}
 	})
 }
@@ -37,22 +37,22 @@
 
 func (f engineFunc) apply(e *engine) { f(e) }
 
-// Symptom: an answer before all tasks have completed. Sequence: after a restart of all VMs a shard
-// rejects its part of a submission, as it cannot be done in time; tasks that another shard gave back
-// are given to the first one. Cause: the rejected part was taken for completed and replaced, and
-// its tasks were forgotten.
+// Guards against a submission that ends before all its tasks have completed: after a restart of all VMs a shard
+// rejects its part of the submission because it cannot be done in time, and tasks that another shard returned
+// are assigned to the first shard. The rejected part was taken for completed and replaced, and its tasks were
+// lost.
 func TestRejectedPartIsNotReplaced(t *testing.T) {
 	testWorld(t, func(w *world) {
 		v := w.vms["a1"]
 		reply := make(chan int, 1)
 		v.post(engineFunc(func(e *engine) {
 			whole := newOneStepRecord("job", 2, runhost.Work{Time: 50 * ms})
-			rejected, gone := *whole, *whole
+			rejected, returned := *whole, *whole
 			rejected.TasksElsewhere = []submission.Task{{Index: 1}}
-			gone.TasksElsewhere = []submission.Task{{Index: 0}, {Index: 1}}
+			returned.TasksElsewhere = []submission.Task{{Index: 0}, {Index: 1}}
 			p := &part{record: &rejected, shard: "b/0", state: submission.Rejected}
-			back := unassignedTasks{record: &gone, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
-			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{back}}
+			unassigned := unassignedTasks{record: &returned, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
+			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{unassigned}}
 			e.transients["job"] = sub
 			e.evacuations.Apply(evacuation.Notice{Domain: "a", Revision: 1 << 40, Evacuated: true})
 			e.placeUnassigned(sub)
@@ -65,7 +65,7 @@
 			reply <- left
 		}))
 		if left := <-reply; left != 2 {
-			t.Errorf("%d of 2 tasks are left to be done", left)
+			t.Errorf("%d of 2 tasks are assigned or still to be assigned, want all", left)
 		}
 	})
 }
--- a/internal/kept/vm/site_bench_test.go
+++ b/internal/kept/vm/site_bench_test.go
@@ -15,10 +15,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// BenchmarkSite plays a site of four failure domains in this process for some seconds and
-// reports the processor that it takes, in cores, at a rate of submissions a second of four
-// tasks of 100 ms. Idle sites show what links, holds and loads cost. The stand-ins take a
-// third of it: compare sizes, and versions in one run, not with a machine.
+// BenchmarkSite runs a site of four failure domains in this process for four seconds and reports
+// the CPU time that it uses, in cores, at a given rate (per second) of submissions of four tasks of
+// 100 ms. At rate 0 it shows the cost of links, worker sessions and load reports. The simulated store,
+// workers and network use a third of the CPU time: compare sizes, or versions within one run, but do
+// not take the figures for those of a real machine.
 func BenchmarkSite(b *testing.B) {
 	for _, size := range []struct{ vms, workers, rate int }{{8, 48, 0}, {8, 48, 140}, {34, 350, 0}, {34, 350, 800}, {100, 700, 0}, {100, 700, 800}} {
 		b.Run(fmt.Sprintf("vms=%d/workers=%d/rate=%d", size.vms, size.workers, size.rate), func(b *testing.B) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// newBenchWorld is a site in real time, after its shards have holders.
+// newBenchWorld returns a site that runs in real time, once its shards have holders.
 func newBenchWorld(b *testing.B, vms, workers int) *world {
 	w := newWorld(b, "a", "b", "c", "d")
 	for i := range workers {
@@ -55,7 +56,7 @@
 	return w
 }
 
-// load submits at a rate a second for some time, and returns the share that was done.
+// submitAtRate sends submissions at a rate per second for some time, and returns the share that ended.
 func (w *world) submitAtRate(rate int, span time.Duration) float64 {
 	var vms []*VM
 	for _, v := range w.vms {
@@ -84,7 +85,7 @@
 	return float64(done) / float64(max(sent, 1))
 }
 
-// processorTime is the processor time of this process.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -93,9 +94,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkLogs is the processor of a site under load with a line for each decision, as the
-// daemon writes them, over that without lines. The two take turns, as the machine may be
-// busy with other work.
+// BenchmarkLogs reports the CPU time of a site under load with a log line for each decision, as the
+// daemon writes them, divided by that without log lines. The two alternate because the machine may
+// be busy with other work.
 func BenchmarkLogs(b *testing.B) {
 	for b.Loop() {
 		var with, without time.Duration
@@ -111,7 +112,7 @@
 	}
 }
 
-// processorTimeUnderLoad is the processor that eight VMs take for four seconds of full load.
+// processorTimeUnderLoad returns the CPU time that a site of eight VMs uses in four seconds of full load.
 func processorTimeUnderLoad(b *testing.B) time.Duration {
 	w := newBenchWorld(b, 8, 48)
 	cpu := processorTime()
--- a/internal/kept/vm/succeed_test.go
+++ b/internal/kept/vm/succeed_test.go
@@ -9,10 +9,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a domain that is cut off refuses everything though its workers are there. Sequence: the
-// domain is cut off from the others and from the store; its workers crash and start again at their
-// addresses, all together. Cause: their new lives were only known from the list, which nobody there
-// can read.
+// Guards against a partitioned domain that refuses all submissions though its workers run: the domain is cut off
+// from the others and from the store, and its workers crash and restart at their addresses, all at once. Their new
+// incarnations were known only from the list in the store, which no VM of the domain can read.
 func TestWorkersThatStartAgainInACutDomainAreUsed(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.cut("a", true)
@@ -28,15 +27,15 @@
 	})
 }
 
-// Symptom: a task runs twice at once. Sequence: a worker starts again and is used at once; its old
-// entry is still in the list, which changes meanwhile. Cause would be: the old entry passes for a
-// newer life at the address, and what runs there for lost.
+// Guards against a task that runs twice at once: a worker restarts under a new ID and is used at once, while its
+// old entry is still in the list, which changes meanwhile. If the old entry were taken for a newer incarnation at
+// the address, the runs there would be taken for lost.
 func TestOldEntryDoesNotEndASuccessor(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.fleet.Reborn("worker-a0", "w-a0-again")
 		time.Sleep(300 * ms)
 		out := w.submit("a1", "job", 6, runhost.Work{Time: time.Second}, true)
-		for i := range 8 { // the list changes beside it
+		for i := range 8 { // the list changes meanwhile
 			w.addDeskWorker(fmt.Sprintf("a-new%d", i), "a")
 			time.Sleep(100 * ms)
 		}
@@ -45,7 +44,7 @@
 			t.Errorf("%d starts of 6 tasks", n)
 		}
 		if w.fleet.StartsOn("w-a0-again") == 0 {
-			t.Error("the new life was given nothing")
+			t.Error("the new incarnation got no task")
 		}
 	})
 }
--- a/internal/kept/vm/takeback_test.go
+++ b/internal/kept/vm/takeback_test.go
@@ -8,10 +8,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
-// Symptom: a caller waits to the end of its time and gets no word, though nothing has run.
-// Sequence: all workers are busy for long; a wide submission comes, is divided over two
-// shards, and none of its parts begins. Cause: only a submission that lies whole in one
-// shard was ever refused.
+// Guards against a caller that waits until its time-out without an answer though nothing has run: all
+// workers are busy for a long time, and a submission is split over two shards, of which none starts its
+// part. Only submissions that one shard has as a whole were ever refused.
 func TestSplitSubmissionThatCannotStartIsRefused(t *testing.T) {
 	testWorld(t, func(w *world) {
 		busy := w.submit("a1", "busy", 12, runhost.Work{Time: 10 * time.Second}, true)
@@ -19,23 +18,23 @@
 		began := time.Now()
 		o := <-w.submit("b1", "wide", 8, runhost.Work{Time: 200 * ms}, true)
 		if took := time.Since(began); o.Kind != Refused || took > 1200*ms {
-			t.Errorf("%+v after %v, want a refusal once it cannot be done in time", o, took)
+			t.Errorf("the outcome is %+v after %v, want Refused once the submission cannot be done in time", o, took)
 		}
 		if n := w.fleet.Starts("wide"); n != 0 {
-			t.Errorf("%d starts, and its caller was told that it has not run", n)
+			t.Errorf("%d starts of a submission that was refused", n)
 		}
 		w.wantEnd(busy, submission.Done)
 		time.Sleep(time.Second)
 		if n := w.fleet.Starts("wide"); n != 0 {
-			t.Errorf("%d starts after it was refused", n)
+			t.Errorf("%d starts after the submission was refused", n)
 		}
 	})
 }
 
-// Symptom: a caller is told that its submission has not run, and some of it has; or the
-// submission never ends. Sequence: one part of a divided submission has begun when its home
-// takes the parts back; the other comes back. Cause would be: refusing by the parts that
-// came back, or forgetting them.
+// Guards against a caller that is told that its submission has not run though some of it has, and against a
+// submission that never ends: one part of a split submission has started when the home VM recalls its
+// parts, and the other one is returned. The home VM must neither refuse the submission because of the returned
+// part nor lose that part.
 func TestRecalledPartsAreReassigned(t *testing.T) {
 	testWorld(t, func(w *world) {
 		w.wantEnd(w.submit("a1", "warm", 1, runhost.Work{Time: 50 * ms}, true), submission.Done)
--- a/internal/kept/vm/waiting_test.go
+++ b/internal/kept/vm/waiting_test.go
@@ -8,6 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/runhost"
 )
 
+// waitingAt asks a VM for the number of submissions that wait in a queue.
 func (w *world) waitingAt(at, queue string) int {
 	w.t.Helper()
 	n, err := w.vms[at].Waiting(context.Background(), queue)
@@ -17,10 +18,10 @@
 	return n
 }
 
-// Symptom: a queue passes for empty while submissions that were accepted five seconds ago
-// have not begun. Sequence: a domain is cut off; in the same second its shard is the one
-// with room, and a VM elsewhere stores a submission for it, of which the holder never
-// hears. Cause: holders alone counted what waits, and the last word of this one was 0.
+// Guards against a queue that is reported as empty though a submission accepted five seconds ago has
+// not started: a domain is cut off while its shard is the one with free capacity, and a VM of
+// the other domain stores a submission for it of which the holder never learns. Only holders counted
+// waiting submissions, and the last report of this one was 0.
 func TestWaitingCountsWhatItsHolderHasNotHeardOf(t *testing.T) {
 	testWorld(t, func(w *world) {
 		filler := w.submit("a1", "fill", 6, runhost.Work{Time: 2 * time.Second}, true)
@@ -30,30 +31,30 @@
 		time.Sleep(5 * time.Second)
 		for _, at := range []string{"a1", "a2"} {
 			if n := w.waitingAt(at, "q"); n != 1 {
-				t.Errorf("%d wait by the word of %s, want 1", n, at)
+				t.Errorf("%s counts %d waiting submissions, want 1", at, n)
 			}
 		}
 		w.cut("b", false)
 		time.Sleep(4 * time.Second)
 		for _, at := range []string{"a1", "a2", "b1", "b2"} {
 			if n := w.waitingAt(at, "q"); n != 0 {
-				t.Errorf("%d wait by the word of %s after the heal, want 0", n, at)
+				t.Errorf("%s counts %d waiting submissions after the partition, want 0", at, n)
 			}
 		}
 		<-filler
 	})
 }
 
-// Symptom: a count jumps back to what it was a second ago. Sequence: two holders pass on reports of
-// one domain, the older one comes last. Cause would be: the last to come is taken.
+// Guards against a count that returns to its value of a second ago: two holders forward reports about one domain,
+// and the older report, which arrives last, is applied.
 func TestOlderReportOfADomainIsIgnored(t *testing.T) {
 	w := newWaitingReports()
 	w.updateDomain("a", domainReport{counts: queueCounts{"q": 5}, countedAt: 2 * time.Second})
 	w.updateDomain("a", domainReport{counts: queueCounts{"q": 9}, countedAt: time.Second})
 	if n := w.fresh(2*time.Second + time.Millisecond)["a"].counts["q"]; n != 5 {
-		t.Errorf("%d wait by the reports, want the newer 5", n)
+		t.Errorf("the reports count %d waiting submissions, want 5 as in the newer report", n)
 	}
 	if len(w.fresh(2*time.Second+maxWaitingReportAge)) != 0 {
-		t.Error("a report that is too old is passed on")
+		t.Error("a report that is too old is still used")
 	}
 }
