--- a/internal/kept/shard/doc.go
+++ b/internal/kept/shard/doc.go
@@ -1,6 +1,19 @@
 // Package shard schedules the submissions of one shard on its workers. A shard is a set of workers
 // of one failure domain. One entry VM at a time, the holder, controls it under a fencing token.
 //
+// # Terms
+//
+//   - A submission consists of steps, and a step of equal tasks. A run is one attempt to
+//     carry out a task. Runs of a task are numbered.
+//   - The home VM of a submission is the entry VM that received it from its caller. It gives
+//     the submission, or parts of it, to shards, and the holders report to it.
+//   - The record of a stored submission is in the store. A transient submission is known to
+//     its home VM and the holder only, while its caller waits.
+//   - A hold is a heartbeat from the holder to a worker. It extends the lease of the worker's
+//     runs, and the worker answers it with a listing of its running and ended runs.
+//   - A worker that restarts is a new incarnation, also if it keeps its ID.
+//   - A suspect is a task that may have crashed a worker.
+//
 // # Contract
 //
 // A Shard is a deterministic state machine without I/O, clock or goroutines. The caller passes
@@ -21,9 +34,11 @@
 //
 // # Recovery
 //
-// Workers list an ended run until the holder acknowledges it, and the holder acknowledges it only
-// when its effect is stored. A new holder therefore recovers the state of the shard from the
-// records in the store and one listing of each worker. A task of an adopted submission
-// that no worker lists is started again only once every worker has answered under the new
-// token or the leases that earlier holders granted have certainly expired (the barrier).
+// Workers list an ended run until the holder acknowledges it. The holder acknowledges it only when
+// its effect is stored, or at once for a transient submission, whose home VM is told the outcome. A
+// new holder therefore recovers the state of the shard from the records in the store, the
+// submissions that home VMs hand over, and one listing of each worker. A task of an adopted
+// submission that no worker lists is started again only once every worker has answered under the
+// new token or the leases that earlier holders granted have certainly expired (the barrier). For
+// transient submissions the barrier ends earlier.
 package shard
--- a/internal/kept/shard/transient.go
+++ b/internal/kept/shard/transient.go
@@ -20,8 +20,9 @@
 
 // Times after a change of the holder.
 const (
-	// handoverTimeout is how long a new holder waits for the home VMs of transient submissions to hand
-	// them over. They do so within some milliseconds, but a home VM that is cut off does not.
+	// handoverTimeout is how long, from a worker's first answer, a new holder waits for the home VMs of
+	// transient submissions to hand them over. They do so within some milliseconds, but a home VM that is
+	// cut off does not.
 	handoverTimeout = 600 * time.Millisecond
 	// transientBarrier is the time after which an earlier holder can have left no unlisted runs of transient
 	// submissions. If it is alive, it ends the runs of home VMs that it cannot reach within 800 ms; if not,
@@ -136,7 +137,7 @@
 
 // HomeLost ends the transient submissions of a home VM that cannot be reached, and returns how many. Nobody
 // waits for their results here any more. Their callers submit them again to another VM, which may give them
-// to another shard, so that otherwise a task would run twice at the same time.
+// to another shard: a task could run twice at the same time if they went on here.
 func (s *Shard) HomeLost(now time.Duration, home string) (ended int) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
