--- a/internal/kept/journal/journal_test.go
+++ b/internal/kept/journal/journal_test.go
@@ -17,7 +17,7 @@
 type world struct {
 	t       *testing.T
 	store   *kvstore.Store
-	door    *kvstore.Door
+	door    *kvstore.Transport
 	journal *Journal
 	results map[string]Result
 	done    chan string
@@ -27,7 +27,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := kvstore.New()
-		w := &world{t: t, store: s, door: s.Door(2 * time.Millisecond), results: map[string]Result{}, done: make(chan string, 1000)}
+		w := &world{t: t, store: s, door: s.NewTransport(2 * time.Millisecond), results: map[string]Result{}, done: make(chan string, 1000)}
 		var calls relay.Transport = w.door
 		w.journal = New(Settings{Name: "test", BatchDelay: time.Millisecond, Capacity: 1000, MaxInFlight: 1}, &kvcall.Client{Calls: calls})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -93,10 +93,10 @@
 // lost, and on the retry the journal must recognize the row's own value.
 func TestRetriedRowRecognizesItsOwnValue(t *testing.T) {
 	withJournal(t, func(w *world) {
-		w.door.Set(kvstore.LosesReply)
+		w.door.SetFault(kvstore.ReplyLost)
 		w.create("a", 10*time.Second)
 		time.Sleep(time.Second)
-		w.door.Set(kvstore.Serves)
+		w.door.SetFault(kvstore.NoFault)
 		w.await(1)
 		if r := w.results["a"]; r.Outcome != Stored || r.Attempts < 2 {
 			t.Errorf("%+v", r)
@@ -107,9 +107,9 @@
 // Guards against callers that are told "not run" of a submission that the store may have taken: a row is
 // Refused only if each attempt was refused, and Unknown if one had no answer.
 func TestOnlyRowsRefusedEachTimeAreRefused(t *testing.T) {
-	for fault, want := range map[kvstore.Fault]Outcome{kvstore.Refuses: Refused, kvstore.LosesReply: Unknown, kvstore.Silent: Unknown} {
+	for fault, want := range map[kvstore.Fault]Outcome{kvstore.Unavailable: Refused, kvstore.ReplyLost: Unknown, kvstore.NoReply: Unknown} {
 		withJournal(t, func(w *world) {
-			w.door.Set(fault)
+			w.door.SetFault(fault)
 			w.create("a", time.Second)
 			w.await(1)
 			if r := w.results["a"]; r.Outcome != want {
--- a/internal/kept/vm/cancel_property_test.go
+++ b/internal/kept/vm/cancel_property_test.go
@@ -67,7 +67,7 @@
 	case 10:
 		p.recordFault()
 		p.withoutStore[name] = true
-		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[ev.N%3])
+		p.storeDoors[name].SetFault([]kvstore.Fault{kvstore.Unavailable, kvstore.NoReply, kvstore.ReplyLost}[ev.N%3])
 	case 11:
 		p.restoreStore()
 	}
@@ -86,7 +86,7 @@
 	p.recordFault()
 	clear(p.withoutStore)
 	for _, d := range p.storeDoors {
-		d.Set(kvstore.Serves)
+		d.SetFault(kvstore.NoFault)
 	}
 }
 
--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -68,12 +68,12 @@
 	case 5:
 		p.recordFault()
 		p.beginStoreOutage()
-		p.storeDoors[name].Set([]kvstore.Fault{kvstore.Refuses, kvstore.Silent, kvstore.LosesReply}[ev.N%3])
+		p.storeDoors[name].SetFault([]kvstore.Fault{kvstore.Unavailable, kvstore.NoReply, kvstore.ReplyLost}[ev.N%3])
 	case 6:
 		p.recordFault()
 		p.endStoreOutage()
 		for _, d := range p.storeDoors {
-			d.Set(kvstore.Serves)
+			d.SetFault(kvstore.NoFault)
 		}
 	case 7:
 		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%3) * 250 * ms })
--- a/internal/kept/vm/leaving_test.go
+++ b/internal/kept/vm/leaving_test.go
@@ -124,9 +124,9 @@
 func (w *world) silenceWorkerList(silent bool) {
 	for _, d := range w.storeDoors {
 		if silent {
-			d.Silence(isWorkerListCall)
+			d.SilenceCalls(isWorkerListCall)
 		} else {
-			d.Silence(nil)
+			d.SilenceCalls(nil)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // delayWorkerList makes each call for the list of workers take longer.
 func (w *world) delayWorkerList(by time.Duration) {
 	for _, d := range w.storeDoors {
-		d.Slow(func(c relay.Call) time.Duration {
+		d.DelayCalls(func(c relay.Call) time.Duration {
 			if isWorkerListCall(c) {
 				return by
 			}
@@ -188,7 +188,7 @@
 			time.Sleep(10 * ms)
 		}
 		for _, d := range w.storeDoors {
-			d.Set(kvstore.Silent)
+			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(2 * time.Second)
 		w.wantEnd(w.submit(next, "job", 8, runhost.Work{Time: 100 * ms}, true), submission.Done)
--- a/internal/kept/vm/reborn_test.go
+++ b/internal/kept/vm/reborn_test.go
@@ -78,7 +78,7 @@
 	testWorldWithIncarnations(t, 2, func(w *world) {
 		w.wantEnd(w.submit("a1", "before", 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
 		for _, d := range w.storeDoors {
-			d.Set(kvstore.Silent)
+			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(time.Second)
 		out := w.submit("a1", "during", 4, runhost.Work{Time: 300 * ms}, true)
@@ -89,7 +89,7 @@
 			t.Errorf("%d starts of four tasks of which the restart ended two, want at most 6", n)
 		}
 		for _, d := range w.storeDoors {
-			d.Set(kvstore.Serves)
+			d.SetFault(kvstore.NoFault)
 		}
 		time.Sleep(2 * time.Second)
 		w.wantEnd(w.submit("a2", "after", 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
--- a/internal/kept/vm/vm_test.go
+++ b/internal/kept/vm/vm_test.go
@@ -111,9 +111,9 @@
 // Guards against a VM that refuses all submissions because the store refuses its calls, or does not
 // answer them, while it serves the other VMs: the VM must relay its calls through a peer.
 func TestVMThatTheStoreTurnsAwayWorksOnThroughAPeer(t *testing.T) {
-	for _, fault := range []kvstore.Fault{kvstore.Refuses, kvstore.Silent} {
+	for _, fault := range []kvstore.Fault{kvstore.Unavailable, kvstore.NoReply} {
 		testWorld(t, func(w *world) {
-			w.storeDoors["a1"].Set(fault)
+			w.storeDoors["a1"].SetFault(fault)
 			time.Sleep(6 * time.Second)
 			began := time.Now()
 			w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
@@ -124,7 +124,7 @@
 			if s := w.state("a1", "kept"); s != submission.Done {
 				t.Errorf("its state is %s, want done", s)
 			}
-			w.storeDoors["a1"].Set(kvstore.Serves)
+			w.storeDoors["a1"].SetFault(kvstore.NoFault)
 			time.Sleep(2 * time.Second)
 			if !w.vms["a1"].router.ReachesStore() {
 				t.Error("it does not call the store directly again")
@@ -138,7 +138,7 @@
 func TestTransientSubmissionsGoOnWithoutTheStore(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, d := range w.storeDoors {
-			d.Set(kvstore.Silent)
+			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(5 * time.Second)
 		w.wantEnd(w.submit("a1", "job", 4, runhost.Work{Time: 100 * ms}, true), submission.Done)
@@ -147,7 +147,7 @@
 			t.Errorf("the outcome of a submission that cannot be stored is %+v, want Refused with a time to retry", o)
 		}
 		for _, d := range w.storeDoors {
-			d.Set(kvstore.Serves)
+			d.SetFault(kvstore.NoFault)
 		}
 		time.Sleep(5 * time.Second)
 		if w.fleet.Starts("kept") != 0 {
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -32,7 +32,7 @@
 	fleet           *fleet.Fleet
 	mesh            *mesh.Mesh
 	vms             map[string]*VM
-	storeDoors      map[string]*kvstore.Door // by VM: its access to the store
+	storeDoors      map[string]*kvstore.Transport // by VM: its access to the store
 	lastIncarnation uint64
 	domains         []string
 	cores           map[string]float64 // CPU cores by VM; absent: not known
@@ -86,7 +86,7 @@
 		fleet:      fleet.New(),
 		mesh:       mesh.New(),
 		vms:        make(map[string]*VM),
-		storeDoors: make(map[string]*kvstore.Door),
+		storeDoors: make(map[string]*kvstore.Transport),
 		domains:    domains,
 	}
 	w.store.Put("config/catalog", []byte("1"))
@@ -119,7 +119,7 @@
 	domain := name[:1]
 	w.lastIncarnation++
 	if w.storeDoors[name] == nil {
-		w.storeDoors[name] = w.store.Door(4 * ms)
+		w.storeDoors[name] = w.store.NewTransport(4 * ms)
 	}
 	w.vms[name] = Start(Config{
 		Name:           name,
@@ -175,9 +175,9 @@
 		switch {
 		case name[:1] != domain:
 		case cut:
-			d.Set(kvstore.Silent)
+			d.SetFault(kvstore.NoReply)
 		default:
-			d.Set(kvstore.Serves)
+			d.SetFault(kvstore.NoFault)
 		}
 	}
 }
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -16,7 +16,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/store/kvcall"
 )
 
-const pageMost = 500 // items
+const maxPageItems = 500 // items
 
 type lease struct {
 	ttl  time.Duration
@@ -104,7 +104,7 @@
 		if !strings.HasPrefix(key, prefix) || key <= after {
 			continue
 		}
-		if len(p.Items) == pageMost {
+		if len(p.Items) == maxPageItems {
 			p.More = true
 			break
 		}
@@ -264,85 +264,87 @@
 
 // The store's faults.
 const (
-	Serves     Fault = iota
-	Refuses          // 503, nothing is done
-	Silent           // no answer, nothing is done
-	LosesReply       // the call is done, its answer is lost
+	NoFault     Fault = iota
+	Unavailable       // 503, nothing is done
+	NoReply           // no answer, nothing is done
+	ReplyLost         // the call is done, its answer is lost
 )
 
 // Door is one client's way to the store.
-type Door struct {
+type Transport struct {
 	store *Store
 	delay time.Duration
 
-	mu     sync.Mutex
-	fault  Fault
-	silent func(relay.Call) bool // calls that get no answer; nil: none
-	slow   func(relay.Call) time.Duration
+	mu         sync.Mutex
+	fault      Fault
+	isSilenced func(relay.Call) bool // calls that get no answer; nil: none
+	extraDelay func(relay.Call) time.Duration
 }
 
 // Door returns a way to the store whose calls take delay.
-func (s *Store) Door(delay time.Duration) *Door { return &Door{store: s, delay: delay} }
+func (s *Store) NewTransport(delay time.Duration) *Transport {
+	return &Transport{store: s, delay: delay}
+}
 
 // Set changes how the store treats this client.
-func (d *Door) Set(f Fault) {
+func (d *Transport) SetFault(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
 }
 
 // Silence has some calls get no answer, as on one connection that has gone silent.
-func (d *Door) Silence(silent func(relay.Call) bool) {
+func (d *Transport) SilenceCalls(silent func(relay.Call) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = silent
+	d.isSilenced = silent
 }
 
 // Slow has some calls take longer, as those with large answers do on a narrow link.
-func (d *Door) Slow(extra func(relay.Call) time.Duration) {
+func (d *Transport) DelayCalls(extra func(relay.Call) time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = extra
+	d.extraDelay = extra
 }
 
-func (d *Door) extra(c relay.Call) time.Duration {
+func (d *Transport) callDelay(c relay.Call) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.slow == nil {
+	if d.extraDelay == nil {
 		return 0
 	}
-	return d.slow(c)
+	return d.extraDelay(c)
 }
 
-func (d *Door) treatment(c relay.Call) Fault {
+func (d *Transport) faultFor(c relay.Call) Fault {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.silent != nil && d.silent(c) {
-		return Silent
+	if d.isSilenced != nil && d.isSilenced(c) {
+		return NoReply
 	}
 	return d.fault
 }
 
 // Do implements relay.Transport.
-func (d *Door) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
+func (d *Transport) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
 	d.store.mu.Lock()
 	d.store.Calls++
 	d.store.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return relay.Reply{}, ctx.Err()
-	case <-time.After(d.delay + d.extra(c)):
+	case <-time.After(d.delay + d.callDelay(c)):
 	}
-	f := d.treatment(c)
+	f := d.faultFor(c)
 	switch f {
-	case Refuses:
+	case Unavailable:
 		return relay.Reply{Status: 503}, nil
-	case Silent:
+	case NoReply:
 		<-ctx.Done()
 		return relay.Reply{}, ctx.Err()
 	}
 	r := kvcall.Answer(ctx, d.store, c)
-	if f == LosesReply {
+	if f == ReplyLost {
 		<-ctx.Done()
 		return relay.Reply{}, ctx.Err()
 	}
--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	s.StoreAddr = l.Addr().String()
-	door := s.Store.Door(storeDelay)
+	door := s.Store.NewTransport(storeDelay)
 	server := &http.Server{Handler: storeHandler(door)}
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }()
@@ -145,7 +145,7 @@
 	}
 }
 
-func storeHandler(door *kvstore.Door) http.Handler {
+func storeHandler(door *kvstore.Transport) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
 		if err != nil {
