--- a/client/kept.go
+++ b/client/kept.go
@@ -43,19 +43,19 @@
 
 // NotRunError says that a submission has not run and will not under this attempt.
 type NotRunError struct {
-	Why   string
-	After time.Duration // when to come back
+	Reason     string
+	RetryAfter time.Duration // when to come back
 }
 
-func (e *NotRunError) Error() string { return e.Why }
+func (e *NotRunError) Error() string { return e.Reason }
 
 // WorkStep is a group of equal tasks.
 type WorkStep struct {
-	Count    uint32
-	CPUMilli uint32 // of each task, thousandths of a core
-	MemoryMB uint32
-	Estimate time.Duration // of one task
-	After    []uint32      // steps that must be done first
+	Count     uint32
+	CPUMilli  uint32 // of each task, thousandths of a core
+	MemoryMB  uint32
+	Estimate  time.Duration // of one task
+	DependsOn []uint32      // steps that must be done first
 }
 
 // Work is a submission under the caller's own key.
@@ -69,7 +69,7 @@
 
 // Kept submits work under keys of the caller's own, at any of a site's entry VMs. The
 // same key is the same submission, whichever VM takes it and however often.
-type Kept struct {
+type KeptClient struct {
 	services []pumiceyardv1connect.SubmissionServiceClient
 	pause    time.Duration
 }
@@ -81,12 +81,12 @@
 	keptPoll    = 50 * time.Millisecond
 )
 
-// NewKept returns a client of the entry VMs at the given base URLs.
-func NewKept(endpoints ...string) (*Kept, error) {
+// NewKeptClient returns a client of the entry VMs at the given base URLs.
+func NewKeptClient(endpoints ...string) (*KeptClient, error) {
 	if len(endpoints) == 0 {
 		return nil, errNoEndpoints
 	}
-	k := &Kept{pause: keptPause}
+	k := &KeptClient{pause: keptPause}
 	for _, e := range endpoints {
 		k.services = append(k.services, pumiceyardv1connect.NewSubmissionServiceClient(http.DefaultClient, e))
 	}
@@ -95,7 +95,7 @@
 
 // try calls one VM after the other until one answers, as long as ctx lasts. within
 // bounds one attempt; 0: ctx does.
-func try[R any](ctx context.Context, k *Kept, within time.Duration, call func(context.Context, pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[R], error)) (*R, error) {
+func try[R any](ctx context.Context, k *KeptClient, within time.Duration, call func(context.Context, pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[R], error)) (*R, error) {
 	for i := 0; ; i++ {
 		attempt, cancel := ctx, context.CancelFunc(func() {})
 		if within > 0 {
@@ -134,7 +134,7 @@
 	if parseErr != nil {
 		return errors.Join(err, parseErr)
 	}
-	return &NotRunError{Why: c.Message(), After: time.Duration(seconds) * time.Second}
+	return &NotRunError{Reason: c.Message(), RetryAfter: time.Duration(seconds) * time.Second}
 }
 
 func (w *Work) request() *pb.SubmitWorkRequest {
@@ -145,7 +145,7 @@
 			CpuMilli:       s.CPUMilli,
 			MemoryMb:       s.MemoryMB,
 			EstimateMillis: uint32(s.Estimate.Milliseconds()),
-			After:          s.After,
+			After:          s.DependsOn,
 		})
 	}
 	return req
@@ -153,7 +153,7 @@
 
 // Submit hands work in, at one VM after the other until one takes it or ctx ends. It
 // returns the state: of kept work queued, of transient work its end.
-func (k *Kept) Submit(ctx context.Context, w Work) (State, error) {
+func (k *KeptClient) Submit(ctx context.Context, w Work) (State, error) {
 	req := w.request()
 	within := keptAttempt
 	if w.Transient {
@@ -180,7 +180,7 @@
 }
 
 // State returns how far a submission is.
-func (k *Kept) State(ctx context.Context, key string) (State, error) {
+func (k *KeptClient) State(ctx context.Context, key string) (State, error) {
 	r, err := try(ctx, k, keptAttempt, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.GetStateResponse], error) {
 		return s.GetState(ctx, connect.NewRequest(&pb.GetStateRequest{Key: key}))
 	})
@@ -191,7 +191,7 @@
 }
 
 // Wait returns the final state of a submission once it has one.
-func (k *Kept) Wait(ctx context.Context, key string) (State, error) {
+func (k *KeptClient) Wait(ctx context.Context, key string) (State, error) {
 	for {
 		s, err := k.State(ctx, key)
 		if err != nil || s.Final() || s == StateNone {
@@ -204,7 +204,7 @@
 }
 
 // Cancel ends a submission and returns its final state.
-func (k *Kept) Cancel(ctx context.Context, key string) (State, error) {
+func (k *KeptClient) Cancel(ctx context.Context, key string) (State, error) {
 	r, err := try(ctx, k, keptAttempt, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.CancelWorkResponse], error) {
 		return s.CancelWork(ctx, connect.NewRequest(&pb.CancelWorkRequest{Key: key}))
 	})
@@ -216,7 +216,7 @@
 
 // Waiting returns how many submissions of a queue have not begun. It may be some
 // hundred milliseconds old.
-func (k *Kept) Waiting(ctx context.Context, queue string) (int, error) {
+func (k *KeptClient) Waiting(ctx context.Context, queue string) (int, error) {
 	r, err := try(ctx, k, keptAttempt, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.CountWaitingResponse], error) {
 		return s.CountWaiting(ctx, connect.NewRequest(&pb.CountWaitingRequest{Queue: queue}))
 	})
--- a/cmd/pumiceyard/kept.go
+++ b/cmd/pumiceyard/kept.go
@@ -38,7 +38,7 @@
 }
 
 // run calls do with a client, within the timeout.
-func (f *keptFlags) run(c *cobra.Command, do func(context.Context, *client.Kept) error) error {
+func (f *keptFlags) run(c *cobra.Command, do func(context.Context, *client.KeptClient) error) error {
 	endpoints := f.endpoints
 	if len(endpoints) == 0 {
 		endpoints = fromEnvironment(endpointsVariable)
@@ -46,7 +46,7 @@
 	if len(endpoints) == 0 {
 		endpoints = []string{"http://127.0.0.1:8080"}
 	}
-	k, err := client.NewKept(endpoints...)
+	k, err := client.NewKeptClient(endpoints...)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			work.Queue, work.Key = args[0], args[1]
 			work.Steps = []client.WorkStep{step}
-			return flags.run(c, func(ctx context.Context, k *client.Kept) error {
+			return flags.run(c, func(ctx context.Context, k *client.KeptClient) error {
 				state, err := k.Submit(ctx, work)
 				if err == nil && wait && !state.Final() {
 					state, err = k.Wait(ctx, work.Key)
@@ -98,21 +98,21 @@
 }
 
 func keptState() *cobra.Command {
-	return keptKeyed("state KEY", "Say how far a submission is", (*client.Kept).State)
+	return keptKeyed("state KEY", "Say how far a submission is", (*client.KeptClient).State)
 }
 
 func keptCancel() *cobra.Command {
-	return keptKeyed("cancel KEY", "End a submission and say its final state", (*client.Kept).Cancel)
+	return keptKeyed("cancel KEY", "End a submission and say its final state", (*client.KeptClient).Cancel)
 }
 
-func keptKeyed(use, short string, do func(*client.Kept, context.Context, string) (client.State, error)) *cobra.Command {
+func keptKeyed(use, short string, do func(*client.KeptClient, context.Context, string) (client.State, error)) *cobra.Command {
 	var flags keptFlags
 	c := &cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return flags.run(c, func(ctx context.Context, k *client.Kept) error {
+			return flags.run(c, func(ctx context.Context, k *client.KeptClient) error {
 				state, err := do(k, ctx, args[0])
 				return say(c, state, err)
 			})
@@ -129,7 +129,7 @@
 		Short: "Count the submissions of a queue that have not begun",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return flags.run(c, func(ctx context.Context, k *client.Kept) error {
+			return flags.run(c, func(ctx context.Context, k *client.KeptClient) error {
 				n, err := k.Waiting(ctx, args[0])
 				if err != nil {
 					return err
--- a/internal/connection/submissions/submissions_test.go
+++ b/internal/connection/submissions/submissions_test.go
@@ -58,13 +58,13 @@
 func work(key string) client.Work {
 	return client.Work{Queue: "q", Key: key, Spec: "s", Steps: []client.WorkStep{
 		{Count: 2, CPUMilli: 500, Estimate: 40 * time.Millisecond},
-		{Count: 1, After: []uint32{0}},
+		{Count: 1, DependsOn: []uint32{0}},
 	}}
 }
 
 func TestSubmissionReadsBack(t *testing.T) {
 	e := newEntry()
-	k, err := client.NewKept(serve(t, e))
+	k, err := client.NewKeptClient(serve(t, e))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,12 +83,12 @@
 
 func TestWhatCannotBeTakenIsSaidAtOnce(t *testing.T) {
 	e := newEntry()
-	k, err := client.NewKept(serve(t, e))
+	k, err := client.NewKeptClient(serve(t, e))
 	if err != nil {
 		t.Fatal(err)
 	}
 	circle := work("b")
-	circle.Steps[0].After = []uint32{1}
+	circle.Steps[0].DependsOn = []uint32{1}
 	other := work("b")
 	other.Queue = "none"
 	for name, w := range map[string]client.Work{"key": work("a b"), "empty": {Queue: "q", Key: "b"}, "circle": circle, "queue": other} {
@@ -106,7 +106,7 @@
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	e := newEntry()
 	e.outcome = vm.Outcome{Kind: vm.Refused, RetryAfter: 1500 * time.Millisecond, Reason: "no room"}
-	k, err := client.NewKept(serve(t, e))
+	k, err := client.NewKeptClient(serve(t, e))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	defer cancel()
 	_, err = k.Submit(ctx, work("a"))
 	var refused *client.NotRunError
-	if !errors.As(err, &refused) || refused.After != 2*time.Second {
+	if !errors.As(err, &refused) || refused.RetryAfter != 2*time.Second {
 		t.Errorf("the error is %v", err)
 	}
 }
@@ -125,7 +125,7 @@
 	dead.Close()
 	e := newEntry()
 	e.state = submission.Done
-	k, err := client.NewKept(dead.URL, serve(t, e))
+	k, err := client.NewKeptClient(dead.URL, serve(t, e))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -267,11 +267,11 @@
 	if vms["k2"].VM.HoldsShard("hall/0") {
 		doomed, survivor = survivor, doomed
 	}
-	first, err := client.NewKept(endpoints[doomed])
+	first, err := client.NewKeptClient(endpoints[doomed])
 	if err != nil {
 		return err
 	}
-	second, err := client.NewKept(endpoints[survivor])
+	second, err := client.NewKeptClient(endpoints[survivor])
 	if err != nil {
 		return err
 	}
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	for i, p := range s.vms {
-		k, err := client.NewKept(p.callers)
+		k, err := client.NewKeptClient(p.callers)
 		if err != nil {
 			return err
 		}
@@ -275,7 +275,7 @@
 	for _, p := range s.vms {
 		all = append(all, p.callers)
 	}
-	k, err := client.NewKept(all...)
+	k, err := client.NewKeptClient(all...)
 	if err != nil {
 		return err
 	}
