--- a/internal/kept/vm/load.go
+++ b/internal/kept/vm/load.go
@@ -13,7 +13,7 @@
 )
 
 // candidates returns the shards that can take a submission, or the refusal if none can.
-func (e *engine) candidates(r *submission.Record, came time.Duration) ([]policy.Candidate, *Outcome) {
+func (e *engine) candidates(r *submission.Record, receivedAt time.Duration) ([]policy.Candidate, *Outcome) {
 	shards := e.eligibleShards(r)
 	if len(shards) == 0 && e.anyReachable() {
 		why := policy.NoWorkerForService
@@ -22,7 +22,7 @@
 		}
 		return nil, &Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: string(why)}
 	}
-	if reason := policy.Admit(e.now, e.policyWork(r, came), shards); reason.Refused() {
+	if reason := policy.Admit(e.now, e.policyWork(r, receivedAt), shards); reason.Refused() {
 		return nil, &Outcome{Kind: Refused, RetryAfter: e.retryDelay(r, shards), Reason: string(reason)}
 	}
 	return shards, nil
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -37,7 +37,7 @@
 	state          submission.State
 	receivedAt     time.Duration
 	endedAt        time.Duration
-	outcomeWaiters []chan Outcome
+	outcomeWaiters []chan Outcome    // callers of Submit
 	recalledAt     time.Duration     // when its parts were recalled; 0: no recall is in progress
 	started        bool              // tasks have started that none of the parts accounts for
 	unassigned     []unassignedTasks // tasks that no shard has
@@ -50,9 +50,9 @@
 	holderToken      uint64        // fencing token of the holder that the part was sent to; 0: it was not sent
 	holder           string        // that the part was sent to
 	unreachableSince time.Duration // since when the holder cannot be reached; 0: it can
-	resends          int
-	updatedAt        time.Duration
-	queriedAt        time.Duration
+	resends          int           // how often the part was sent again
+	updatedAt        time.Duration // when the holder last reported
+	queriedAt        time.Duration // when the holder was last sent the part or queried
 	state            submission.State
 }
 
@@ -169,7 +169,7 @@
 		e.sendState(from, r.ID, stateReport{shard: r.Shard, token: r.Token})
 	case resumed:
 		e.vm.metrics.resumedSubmissions.Inc(1)
-		klog.InfoS("kept: resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
+		klog.InfoS("kept: part resumed", "id", r.ID, "home", from, "shard", r.Shard, "token", h.holding.Token)
 		h.core.Resume(e.now, r)
 	default:
 		h.core.Assign(e.now, shard.StoredRecord{Record: r})
--- a/internal/kept/vm/waiting.go
+++ b/internal/kept/vm/waiting.go
@@ -93,7 +93,7 @@
 			out[queue] += uint32(n)
 		}
 	}
-	if r, told := e.waiting.fresh(e.now)[domain]; told && domain != e.vm.config.Domain {
+	if r, reported := e.waiting.fresh(e.now)[domain]; reported && domain != e.vm.config.Domain {
 		for queue, n := range r.counts {
 			out[queue] = max(out[queue], n)
 		}
