--- a/internal/connection/caller/doc.go
+++ b/internal/connection/caller/doc.go
@@ -46,22 +46,22 @@
 	// WriteTimeout bounds the time for which a caller may take to read an answer.
 	WriteTimeout time.Duration
 	// Wait bounds one GET; the caller asks again afterwards.
-	Wait time.Duration
+	AttachTimeout time.Duration
 	// Beat is the time between heartbeats to callers that ask for them.
-	Beat time.Duration
+	HeartbeatInterval time.Duration
 }
 
 // Defaults returns bounds that fit a job of 920 tasks of some KB each.
 func Defaults() Settings {
 	return Settings{
-		MaxBodyBytes: 16 << 20,
-		MaxTasks:     4096,
-		MaxDepth:     32,
-		MaxTickets:   256,
-		BodyTimeout:  10 * time.Second,
-		WriteTimeout: 30 * time.Second,
-		Wait:         25 * time.Second,
-		Beat:         time.Second,
+		MaxBodyBytes:      16 << 20,
+		MaxTasks:          4096,
+		MaxDepth:          32,
+		MaxTickets:        256,
+		BodyTimeout:       10 * time.Second,
+		WriteTimeout:      30 * time.Second,
+		AttachTimeout:     25 * time.Second,
+		HeartbeatInterval: time.Second,
 	}
 }
 
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -228,7 +228,7 @@
 		refuseTicket(w, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.settings.Wait)
+	ctx, cancel := context.WithTimeout(r.Context(), s.settings.AttachTimeout)
 	defer cancel()
 	a := s.wait(w, r, func() *job.Answer { return s.router.Attach(ctx, token, t, false) })
 	if a == nil {
--- a/internal/connection/caller/write.go
+++ b/internal/connection/caller/write.go
@@ -67,7 +67,7 @@
 	}
 	answer := make(chan *job.Answer, 1)
 	go func() { answer <- f() }()
-	beats := time.NewTicker(s.settings.Beat)
+	beats := time.NewTicker(s.settings.HeartbeatInterval)
 	defer beats.Stop()
 	for {
 		select {
--- a/internal/connection/caller/write_test.go
+++ b/internal/connection/caller/write_test.go
@@ -28,7 +28,7 @@
 			r := httptest.NewRequest(http.MethodPut, "/", nil)
 			r.Header.Set(heartbeatHeader, header)
 			s.wait(w, r, func() *job.Answer {
-				time.Sleep(3*s.settings.Beat + s.settings.Beat/2)
+				time.Sleep(3*s.settings.HeartbeatInterval + s.settings.HeartbeatInterval/2)
 				return &job.Answer{}
 			})
 			if len(w.written) != want {
--- a/internal/connection/peer/client.go
+++ b/internal/connection/peer/client.go
@@ -82,7 +82,7 @@
 	cl := c.pool.Get(address)
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	guard := time.AfterFunc(c.settings.Silence, cancel)
+	guard := time.AfterFunc(c.settings.SilenceTimeout, cancel)
 	defer guard.Stop()
 	stream, err := cl.Service.Submit(callCtx, connect.NewRequest(req))
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 	defer stream.Close()
 	for stream.Receive() {
-		guard.Reset(c.settings.Silence)
+		guard.Reset(c.settings.SilenceTimeout)
 		if a := stream.Msg().Answer; a != nil {
 			return a, nil
 		}
@@ -121,7 +121,7 @@
 
 func unary[M any](ctx context.Context, c *Calls, address string, call func(context.Context, pumiceyardv1connect.PeerServiceClient) (*connect.Response[M], error)) (*M, error) {
 	cl := c.pool.Get(address)
-	ctx, cancel := context.WithTimeout(ctx, c.settings.Silence)
+	ctx, cancel := context.WithTimeout(ctx, c.settings.SilenceTimeout)
 	defer cancel()
 	resp, err := call(ctx, cl.Service)
 	if err != nil {
--- a/internal/connection/peer/doc.go
+++ b/internal/connection/peer/doc.go
@@ -19,19 +19,19 @@
 
 // Settings are the bounds of peer connections.
 type Settings struct {
-	Beat        time.Duration // between heartbeats, both ways
-	Silence     time.Duration // without any message: the connection is left
-	RedialDelay time.Duration
-	Ring        int // messages waiting to be written to one peer
+	HeartbeatInterval time.Duration // between heartbeats, both ways
+	SilenceTimeout    time.Duration // without any message: the connection is left
+	RedialDelay       time.Duration
+	QueueSize         int // messages waiting to be written to one peer
 }
 
 // Defaults returns bounds that suit failure domains 0.5 ms apart.
 func Defaults() Settings {
 	return Settings{
-		Beat:        500 * time.Millisecond,
-		Silence:     1500 * time.Millisecond,
-		RedialDelay: 100 * time.Millisecond,
-		Ring:        8192,
+		HeartbeatInterval: 500 * time.Millisecond,
+		SilenceTimeout:    1500 * time.Millisecond,
+		RedialDelay:       100 * time.Millisecond,
+		QueueSize:         8192,
 	}
 }
 
--- a/internal/connection/peer/exchange.go
+++ b/internal/connection/peer/exchange.go
@@ -131,7 +131,7 @@
 
 // post sends one batch and reports whether it arrived.
 func (e *Exchange) post(ctx context.Context, service pumiceyardv1connect.PeerServiceClient, messages []*pb.ControlMessage) bool {
-	ctx, cancel := context.WithTimeout(ctx, e.settings.Silence)
+	ctx, cancel := context.WithTimeout(ctx, e.settings.SilenceTimeout)
 	defer cancel()
 	req := &pb.ExchangeRequest{EntryVm: e.sender.Name, Domain: e.domain, Messages: messages}
 	_, err := service.Exchange(ctx, connect.NewRequest(req))
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -59,7 +59,7 @@
 		self:     self,
 		dial:     dial,
 		events:   events,
-		out:      ring.New[*pb.RunRequest](s.Ring),
+		out:      ring.New[*pb.RunRequest](s.QueueSize),
 		cancel:   cancel,
 		done:     make(chan struct{}),
 	}
@@ -99,7 +99,7 @@
 		Incarnation:     l.self.Incarnation,
 		PeerIncarnation: l.target.Incarnation,
 	}}
-	guard := time.AfterFunc(l.settings.Silence, cancel)
+	guard := time.AfterFunc(l.settings.SilenceTimeout, cancel)
 	if err := conn.Send(hello); err != nil {
 		guard.Stop()
 		return
@@ -149,7 +149,7 @@
 }
 
 func (l *Link) write(ctx context.Context, conn *runStream, last *atomic.Int64) string {
-	beats := time.NewTicker(l.settings.Beat)
+	beats := time.NewTicker(l.settings.HeartbeatInterval)
 	defer beats.Stop()
 	beat := uint64(0)
 	for {
@@ -158,7 +158,7 @@
 		case <-ctx.Done():
 			return "stream ended"
 		case <-beats.C:
-			if time.Duration(time.Now().UnixNano()-last.Load()) > l.settings.Silence {
+			if time.Duration(time.Now().UnixNano()-last.Load()) > l.settings.SilenceTimeout {
 				return "silent"
 			}
 			beat++
--- a/internal/connection/peer/server.go
+++ b/internal/connection/peer/server.go
@@ -84,7 +84,7 @@
 	if hello == nil || (hello.PeerIncarnation != 0 && hello.PeerIncarnation != s.self.Incarnation) {
 		return connect.NewError(connect.CodeFailedPrecondition, errors.New("not the incarnation that was asked for"))
 	}
-	session := &session{out: ring.New[*pb.RunResponse](s.settings.Ring)}
+	session := &session{out: ring.New[*pb.RunResponse](s.settings.QueueSize)}
 	if !s.owner.Join(session) {
 		return connect.NewError(connect.CodeUnavailable, errors.New("not taking sessions"))
 	}
@@ -125,7 +125,7 @@
 // heartbeat at each beat. It ends when the home was silent too long, because
 // tasks must not wait here for a home that is gone.
 func (s *Server) send(ctx context.Context, conn *serverStream, session *session, heard <-chan struct{}) error {
-	beats := time.NewTicker(s.settings.Beat)
+	beats := time.NewTicker(s.settings.HeartbeatInterval)
 	defer beats.Stop()
 	last := time.Now()
 	beat := uint64(0)
@@ -138,7 +138,7 @@
 			last = time.Now()
 			continue
 		case <-beats.C:
-			if time.Since(last) > s.settings.Silence {
+			if time.Since(last) > s.settings.SilenceTimeout {
 				return connect.NewError(connect.CodeDeadlineExceeded, errors.New("home is silent"))
 			}
 			beat++
@@ -208,7 +208,7 @@
 	defer s.serving.Add(-1)
 	answer := make(chan *pb.Answer, 1)
 	go func() { answer <- s.home.Submit(ctx.Done(), req.Msg) }()
-	beats := time.NewTicker(s.settings.Beat)
+	beats := time.NewTicker(s.settings.HeartbeatInterval)
 	defer beats.Stop()
 	for beat := uint64(1); ; beat++ {
 		select {
--- a/internal/connection/peer/silence_test.go
+++ b/internal/connection/peer/silence_test.go
@@ -81,7 +81,7 @@
 		synctest.Wait()
 		n.Silence()
 		l.Send(batchOf(2))
-		time.Sleep(2 * s.Silence)
+		time.Sleep(2 * s.SilenceTimeout)
 		l.Send(batchOf(3))
 		synctest.Wait()
 		want := []string{"up", "results", "lost: silent", "up", "results"}
@@ -106,13 +106,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		o, n, dial := serve(t)
 		s := Defaults()
-		o.answerAfter = 10 * s.Silence
+		o.answerAfter = 10 * s.SilenceTimeout
 		c := NewCalls(s, dial)
 		defer c.Close()
 		if a, err := c.Submit(context.Background(), "b:1", &pb.SubmitRequest{Ticket: "one"}); err != nil || a.Detail != "one" {
 			t.Fatalf("answer %v, %v", a, err)
 		}
-		time.AfterFunc(s.Beat, n.Silence)
+		time.AfterFunc(s.HeartbeatInterval, n.Silence)
 		if _, err := c.Submit(context.Background(), "b:1", &pb.SubmitRequest{Ticket: "two"}); err == nil {
 			t.Fatal("an answer came over a silent connection")
 		}
@@ -139,7 +139,7 @@
 		synctest.Wait()
 		n.Silence()
 		e.Send("b:1", want())
-		time.Sleep(s.Silence + 2*s.RedialDelay)
+		time.Sleep(s.SilenceTimeout + 2*s.RedialDelay)
 		e.Send("b:1", want(), want())
 		synctest.Wait()
 		if len(o.exchanged) != 3 || n.Dials() != 2 {
--- a/internal/connection/upstream/doc.go
+++ b/internal/connection/upstream/doc.go
@@ -18,17 +18,17 @@
 
 // Settings are the bounds of links and control calls.
 type Settings struct {
-	LeaseTTL     time.Duration // asked of the worker
-	Beat         time.Duration // between heartbeats
-	Silence      time.Duration // without any message: the connection is left
-	RedialDelay  time.Duration // between attempts to get the lease
-	CallTimeout  time.Duration // one control call
-	CallAttempts int           // control calls to a silent worker
-	Ring         int           // messages waiting to be written to one worker
-	// DeniedRetry bounds the wait after another holder was found on a worker. The
+	LeaseTTL          time.Duration // asked of the worker
+	HeartbeatInterval time.Duration // between heartbeats
+	SilenceTimeout    time.Duration // without any message: the connection is left
+	RedialDelay       time.Duration // between attempts to get the lease
+	CallTimeout       time.Duration // one control call
+	CallAttempts      int           // control calls to a silent worker
+	QueueSize         int           // messages waiting to be written to one worker
+	// MaxDeniedRetryDelay bounds the wait after another holder was found on a worker. The
 	// worker tells when that lease lapses, but in a planned hand-over the lease is
 	// given back long before, and the worker would stand idle until then.
-	DeniedRetry time.Duration
+	MaxDeniedRetryDelay time.Duration
 	// MayAcquire is asked before each attempt to get a lease; nil: always.
 	MayAcquire func() bool
 }
@@ -36,14 +36,14 @@
 // Defaults returns bounds that suit a site whose round trip is below 5 ms.
 func Defaults() Settings {
 	return Settings{
-		LeaseTTL:     2 * time.Second,
-		Beat:         500 * time.Millisecond,
-		Silence:      1500 * time.Millisecond,
-		RedialDelay:  100 * time.Millisecond,
-		CallTimeout:  700 * time.Millisecond,
-		CallAttempts: 3,
-		Ring:         4096,
-		DeniedRetry:  300 * time.Millisecond,
+		LeaseTTL:            2 * time.Second,
+		HeartbeatInterval:   500 * time.Millisecond,
+		SilenceTimeout:      1500 * time.Millisecond,
+		RedialDelay:         100 * time.Millisecond,
+		CallTimeout:         700 * time.Millisecond,
+		CallAttempts:        3,
+		QueueSize:           4096,
+		MaxDeniedRetryDelay: 300 * time.Millisecond,
 	}
 }
 
--- a/internal/connection/upstream/link.go
+++ b/internal/connection/upstream/link.go
@@ -55,7 +55,7 @@
 		self:     self,
 		events:   events,
 		dial:     dial,
-		out:      ring.New[*pb.HoldRequest](s.Ring),
+		out:      ring.New[*pb.HoldRequest](s.QueueSize),
 		cancel:   cancel,
 		done:     make(chan struct{}),
 	}
@@ -158,7 +158,7 @@
 		m, err := conn.Receive()
 		got <- reply{m, err}
 	}()
-	timeout := time.NewTimer(l.settings.Silence)
+	timeout := time.NewTimer(l.settings.SilenceTimeout)
 	defer timeout.Stop()
 	select {
 	case r := <-got:
@@ -167,7 +167,7 @@
 		}
 		if r.m.Granted == nil {
 			lapses := time.Duration(r.m.GetDenied().GetRetryAfterMillis()) * time.Millisecond
-			return nil, nil, max(retry, min(lapses, l.settings.DeniedRetry))
+			return nil, nil, max(retry, min(lapses, l.settings.MaxDeniedRetryDelay))
 		}
 		return r.m.Granted, conn, 0
 	case <-timeout.C:
@@ -240,7 +240,7 @@
 // worker was silent too long, or when this process was: a paused process must
 // not believe in a lease that lapsed meanwhile.
 func (l *Link) write(ctx context.Context, conn *holdStream, epoch uint64, w *watchdog) string {
-	beats := time.NewTicker(l.settings.Beat)
+	beats := time.NewTicker(l.settings.HeartbeatInterval)
 	defer beats.Stop()
 	beat := uint64(0)
 	for {
@@ -249,7 +249,7 @@
 		case <-ctx.Done():
 			return "stream ended"
 		case <-beats.C:
-			if w.silentFor() > l.settings.Silence {
+			if w.silentFor() > l.settings.SilenceTimeout {
 				return "silent"
 			}
 			beat++
--- a/internal/connection/upstream/silence_test.go
+++ b/internal/connection/upstream/silence_test.go
@@ -71,7 +71,7 @@
 		}
 		n.Silence()
 		l.Send(start(e.granted[0], 1))
-		time.Sleep(s.Silence + 2*s.Beat + 2*s.RedialDelay)
+		time.Sleep(s.SilenceTimeout + 2*s.HeartbeatInterval + 2*s.RedialDelay)
 		synctest.Wait()
 		if len(e.lost) != 1 || e.lost[0] != "silent" || len(e.granted) != 2 || n.Dials() != 2 {
 			t.Fatalf("lost %v, leases %v, %d connections: want the silent one left for a new one", e.lost, e.granted, n.Dials())
@@ -144,7 +144,7 @@
 		defer l.Stop()
 		time.Sleep(s.LeaseTTL)
 		old.Release()
-		time.Sleep(s.DeniedRetry + s.RedialDelay)
+		time.Sleep(s.MaxDeniedRetryDelay + s.RedialDelay)
 		synctest.Wait()
 		if len(first.granted) != 1 || len(next.granted) != 1 || len(next.lost) != 0 {
 			t.Errorf("granted %v, then %v, lost %v", first.granted, next.granted, next.lost)
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -221,7 +221,7 @@
 
 	callers := caller.Defaults()
 	callers.MaxBodyBytes = vm.settings.MaxBodyBytes
-	callers.Beat = callerBeats * millis(vm.settings.BeatMillis)
+	callers.HeartbeatInterval = callerBeats * millis(vm.settings.BeatMillis)
 	callers.BodyTimeout = millis(vm.settings.BodyTimeoutMillis)
 	vm.serve(vm.listeners.caller, caller.NewServer(callers, vm.router, vm, vm.Document, vm.newClaims(vm.store)).Handler(), nil)
 	self := peer.Identity{Name: vm.settings.Name, Incarnation: vm.incarnation}
--- a/internal/process/entry/settings.go
+++ b/internal/process/entry/settings.go
@@ -227,14 +227,14 @@
 func (s *Settings) upstream() upstream.Settings {
 	u := upstream.Defaults()
 	u.LeaseTTL = millis(s.LeaseTTLMillis)
-	u.Beat = millis(s.BeatMillis)
-	u.Silence = millis(s.SilenceMillis)
+	u.HeartbeatInterval = millis(s.BeatMillis)
+	u.SilenceTimeout = millis(s.SilenceMillis)
 	return u
 }
 
 func (s *Settings) peer() peer.Settings {
 	p := peer.Defaults()
-	p.Beat = millis(s.BeatMillis)
-	p.Silence = millis(s.SilenceMillis)
+	p.HeartbeatInterval = millis(s.BeatMillis)
+	p.SilenceTimeout = millis(s.SilenceMillis)
 	return p
 }
