--- a/internal/connection/peer/client.go
+++ b/internal/connection/peer/client.go
@@ -86,7 +86,7 @@
 	defer guard.Stop()
 	stream, err := cl.Service.Submit(callCtx, connect.NewRequest(req))
 	if err != nil {
-		c.pool.Leave(address, cl)
+		c.pool.Discard(address, cl)
 		return nil, err
 	}
 	defer stream.Close()
@@ -97,7 +97,7 @@
 		}
 	}
 	if ctx.Err() == nil {
-		c.pool.Leave(address, cl)
+		c.pool.Discard(address, cl)
 	}
 	if err := stream.Err(); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 	defer cancel()
 	resp, err := call(ctx, cl.Service)
 	if err != nil {
-		c.pool.Leave(address, cl)
+		c.pool.Discard(address, cl)
 		return nil, err
 	}
 	return resp.Msg, nil
--- a/internal/connection/peer/exchange.go
+++ b/internal/connection/peer/exchange.go
@@ -109,7 +109,7 @@
 
 func (e *Exchange) serve(ctx context.Context, address string, out *outbox) {
 	client := e.dial.client()
-	defer func() { client.Leave() }()
+	defer func() { client.CloseAll() }()
 	service := e.dial.service(client, address)
 	for {
 		select {
@@ -122,7 +122,7 @@
 			continue
 		}
 		// The connection may be silent for good: the next batch gets a new one.
-		client.Leave()
+		client.CloseAll()
 		client = e.dial.client()
 		service = e.dial.service(client, address)
 		pause.For(ctx, e.settings.RedialDelay)
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := l.dial.client()
-	defer client.Leave()
+	defer client.CloseAll()
 	conn := l.dial.service(client, l.target.Address).Run(ctx)
 	hello := &pb.RunRequest{Hello: &pb.Hello{
 		EntryVm:         l.self.Name,
@@ -127,7 +127,7 @@
 		l.read(conn, &last)
 	})
 	why := l.write(ctx, conn, &last)
-	client.Leave()
+	client.CloseAll()
 	duties.Wait()
 	return why
 }
--- a/internal/connection/runhost/runhost.go
+++ b/internal/connection/runhost/runhost.go
@@ -43,7 +43,7 @@
 	conn := c.pool.Get(address)
 	resp, err := do(conn.Service)
 	if err != nil {
-		c.pool.Leave(address, conn)
+		c.pool.Discard(address, conn)
 		return nil, false
 	}
 	return resp.Msg, true
--- a/internal/connection/upstream/control.go
+++ b/internal/connection/upstream/control.go
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 		last = err
-		c.pool.Leave(address, cl)
+		c.pool.Discard(address, cl)
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/connection/upstream/link.go
+++ b/internal/connection/upstream/link.go
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := wire.NewClient(l.dial, nil)
-	defer client.Leave()
+	defer client.CloseAll()
 	granted, conn, wait := l.acquire(ctx, client)
 	if granted == nil {
 		return wait
@@ -192,7 +192,7 @@
 	if why == released {
 		l.awaitEnd(ctx)
 	}
-	client.Leave()
+	client.CloseAll()
 	duties.Wait()
 	return why
 }
--- a/internal/connection/wire/http.go
+++ b/internal/connection/wire/http.go
@@ -20,7 +20,7 @@
 )
 
 // unencrypted enables HTTP/2 with and without TLS.
-func unencrypted() *http.Protocols {
+func serverProtocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
 	p.SetHTTP2(true)
@@ -36,9 +36,9 @@
 	*http.Client
 	dial Dialer
 
-	mu   sync.Mutex
-	open map[net.Conn]struct{}
-	left bool
+	mu        sync.Mutex
+	openConns map[net.Conn]struct{}
+	closed    bool
 }
 
 // NewClient returns a client that speaks HTTP/2 only. With a TLS configuration
@@ -55,7 +55,7 @@
 		d := &net.Dialer{Timeout: dialTimeout}
 		dial = d.DialContext
 	}
-	c := &Client{dial: dial, open: make(map[net.Conn]struct{})}
+	c := &Client{dial: dial, openConns: make(map[net.Conn]struct{})}
 	c.Client = &http.Client{Transport: &http.Transport{
 		DialContext: c.dialContext,
 		// A server that accepts and then says nothing would hold the dial for good:
@@ -80,11 +80,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.closed {
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
-	c.open[conn] = struct{}{}
+	c.openConns[conn] = struct{}{}
 	return &trackedConn{Conn: conn, client: c}, nil
 }
 
@@ -92,11 +92,11 @@
 // stream's context is not enough: the transport notices it only after its next
 // write, and on a connection that went silent a write may block for minutes.
 // One would see the reader of a cancelled stream wait on.
-func (c *Client) Leave() {
+func (c *Client) CloseAll() {
 	c.mu.Lock()
-	c.left = true
-	open := c.open
-	c.open = nil
+	c.closed = true
+	open := c.openConns
+	c.openConns = nil
 	c.mu.Unlock()
 	for conn := range open {
 		_ = conn.Close()
@@ -112,7 +112,7 @@
 
 func (t *trackedConn) Close() error {
 	t.client.mu.Lock()
-	delete(t.client.open, t.Conn)
+	delete(t.client.openConns, t.Conn)
 	t.client.mu.Unlock()
 	return t.Conn.Close()
 }
@@ -123,7 +123,7 @@
 	return &http.Server{
 		Handler:           handler,
 		TLSConfig:         secure,
-		Protocols:         unencrypted(),
+		Protocols:         serverProtocols(),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		HTTP2: &http.HTTP2Config{
--- a/internal/connection/wire/pool.go
+++ b/internal/connection/wire/pool.go
@@ -38,13 +38,13 @@
 
 // Leave drops a connection that did not answer. A silent connection may stay
 // open for good while a new one works, so the next call must not reuse it.
-func (p *Pool[S]) Leave(address string, c *Pooled[S]) {
+func (p *Pool[S]) Discard(address string, c *Pooled[S]) {
 	p.mu.Lock()
 	if p.clients[address] == c {
 		delete(p.clients, address)
 	}
 	p.mu.Unlock()
-	c.http.Leave()
+	c.http.CloseAll()
 }
 
 // Close drops all connections.
@@ -52,7 +52,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, c := range p.clients {
-		c.http.Leave()
+		c.http.CloseAll()
 		delete(p.clients, address)
 	}
 }
--- a/internal/kept/link/link.go
+++ b/internal/kept/link/link.go
@@ -157,12 +157,12 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := wire.NewClient(l.dial, nil)
-	defer client.Leave()
+	defer client.CloseAll()
 	service := pumiceyardv1connect.NewKeptServiceClient(client.Client, "http://"+l.address,
 		wire.ClientOptions()...)
 	timeout := time.AfterFunc(l.settings.OpenTimeout, func() {
 		cancel()
-		client.Leave()
+		client.CloseAll()
 	})
 	defer timeout.Stop()
 	conn := service.Link(ctx)
@@ -197,8 +197,8 @@
 	}()
 	heartbeats := time.NewTicker(l.settings.HeartbeatInterval)
 	defer heartbeats.Stop()
-	defer client.Leave() // ends a Send or Receive that hangs on a silent connection
-	frameSent := false   // a frame was sent since the last heartbeat was due
+	defer client.CloseAll() // ends a Send or Receive that hangs on a silent connection
+	frameSent := false      // a frame was sent since the last heartbeat was due
 	for {
 		var frame *pb.KeptFrame
 		select {
@@ -233,7 +233,7 @@
 // send drops the connection if a write takes longer than SilenceTimeout. The write to a peer that does
 // not read would otherwise block until TCP gives up, minutes later.
 func (l *Link) send(client *wire.Client, conn *stream, f *pb.KeptFrame) error {
-	timeout := time.AfterFunc(l.settings.SilenceTimeout, client.Leave)
+	timeout := time.AfterFunc(l.settings.SilenceTimeout, client.CloseAll)
 	defer timeout.Stop()
 	return conn.Send(f)
 }
--- a/internal/kept/link/link_test.go
+++ b/internal/kept/link/link_test.go
@@ -131,7 +131,7 @@
 func TestFramesDelayedByAPartitionAreDropped(t *testing.T) {
 	withServer(t, func(ctx context.Context, m *mesh.Mesh, server *recorder, _ func() time.Duration) {
 		client := wire.NewClient(m.Dialer("a:1", "a"), nil)
-		defer client.Leave()
+		defer client.CloseAll()
 		conn := pumiceyardv1connect.NewKeptServiceClient(client.Client, "http://b:1", wire.ClientOptions()...).Link(ctx)
 		if err := conn.Send(&pb.KeptFrame{EntryVm: "a", Incarnation: 1}); err != nil {
 			t.Fatal(err)
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -340,7 +340,7 @@
 // itself.
 func (s *Site) PublishOnly(ctx context.Context, d *document.Document, author, change string) (publication.Receipt, error) {
 	httpClient := wire.NewClient(nil, nil)
-	defer httpClient.Leave()
+	defer httpClient.CloseAll()
 	store := storeclient.New(platform.Dial(httpClient, s.platformURL), storeclient.Options{
 		StoreReadsPerSecond:  2000,
 		StoreWritesPerSecond: 300,
