--- a/internal/connection/peer/client.go
+++ b/internal/connection/peer/client.go
@@ -15,8 +15,8 @@
 
 const tokenHeader = "Pumiceyard-Peer-Token"
 
-// SecureClient is the TLS side of a Dial. Nil means plain connections.
-type SecureClient struct{ Config *tls.Config }
+// TLSClient is the TLS side of a Dial. Nil means plain connections.
+type TLSClient struct{ Config *tls.Config }
 
 func (d Dial) client() *wire.Client {
 	if d.Secure == nil {
--- a/internal/connection/peer/exchange.go
+++ b/internal/connection/peer/exchange.go
@@ -15,16 +15,16 @@
 // Control takes the messages of other entry VMs' membership and distribution.
 type Control interface {
 	// Exchanged takes one batch. It must not block.
-	Exchanged(m *pb.ExchangeRequest)
+	HandleExchange(m *pb.ExchangeRequest)
 	// LastList is the newest list of VMs, empty before there is one.
 	LastList() *pb.ListVMsResponse
 	// LastPlan is the power plan in force, empty before there is one.
 	LastPlan() *pb.LastPlanResponse
 }
 
-// exchangeRing bounds the messages that wait for one peer. Heartbeats of that
+// exchangeQueueSize bounds the messages that wait for one peer. Heartbeats of that
 // many beats would be of no use any more.
-const exchangeRing = 64
+const exchangeQueueSize = 64
 
 // Exchange sends control messages to other entry VMs. Messages to one peer go
 // out in batches, one call at a time, on a connection that nothing else uses: a
@@ -36,9 +36,9 @@
 	sender   Identity
 	domain   string
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	duties sync.WaitGroup
+	ctx     context.Context
+	cancel  context.CancelFunc
+	senders sync.WaitGroup
 
 	mu   sync.Mutex
 	outs map[string]*outbox // by address
@@ -73,22 +73,22 @@
 	}
 	out := e.outs[address]
 	if out == nil {
-		out = e.open(address)
+		out = e.startSender(address)
 	}
 	out.waiting.TryPush(messages...)
 }
 
 // open starts the duty that sends to an address. The caller holds the lock.
-func (e *Exchange) open(address string) *outbox {
+func (e *Exchange) startSender(address string) *outbox {
 	ctx, cancel := context.WithCancel(e.ctx)
-	out := &outbox{waiting: ring.New[*pb.ControlMessage](exchangeRing), cancel: cancel}
+	out := &outbox{waiting: ring.New[*pb.ControlMessage](exchangeQueueSize), cancel: cancel}
 	e.outs[address] = out
-	e.duties.Go(func() { e.serve(ctx, address, out) })
+	e.senders.Go(func() { e.runSender(ctx, address, out) })
 	return out
 }
 
 // Keep ends the sending to all addresses that are not wanted any more.
-func (e *Exchange) Keep(wanted map[string]bool) {
+func (e *Exchange) RetainOnly(wanted map[string]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for address, out := range e.outs {
@@ -104,10 +104,10 @@
 	e.mu.Lock()
 	e.cancel()
 	e.mu.Unlock()
-	e.duties.Wait()
+	e.senders.Wait()
 }
 
-func (e *Exchange) serve(ctx context.Context, address string, out *outbox) {
+func (e *Exchange) runSender(ctx context.Context, address string, out *outbox) {
 	client := e.dial.client()
 	defer func() { client.CloseAll() }()
 	service := e.dial.service(client, address)
@@ -147,7 +147,7 @@
 
 // Exchange implements the service.
 func (s *Server) Exchange(_ context.Context, req *connect.Request[pb.ExchangeRequest]) (*connect.Response[pb.ExchangeResponse], error) {
-	s.control.Exchanged(req.Msg)
+	s.control.HandleExchange(req.Msg)
 	return connect.NewResponse(&pb.ExchangeResponse{}), nil
 }
 
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -33,7 +33,7 @@
 // Dial says how to reach peers.
 type Dial struct {
 	Dialer wire.Dialer
-	Secure *SecureClient
+	Secure *TLSClient
 	Token  string // shared secret of the site's entry VMs
 }
 
--- a/internal/connection/peer/server.go
+++ b/internal/connection/peer/server.go
@@ -24,7 +24,7 @@
 }
 
 // Took counts tasks that show in the owner's advert from now on.
-func (s *session) Took(tasks int) { s.taken.Add(uint64(tasks)) }
+func (s *session) AddTaken(tasks int) { s.taken.Add(uint64(tasks)) }
 
 // Report queues results for the home. When the ring is full the session ends:
 // the home then asks the workers, which is slower but loses nothing.
@@ -42,11 +42,11 @@
 	owner    Owner
 	home     Home
 	control  Control
-	serving  atomic.Int64 // forwarded submissions without a sent answer
+	inFlight atomic.Int64 // forwarded submissions without a sent answer
 }
 
 // Serving is the number of forwarded submissions that wait for their answer.
-func (s *Server) Serving() int { return int(s.serving.Load()) }
+func (s *Server) InFlightSubmits() int { return int(s.inFlight.Load()) }
 
 // NewServer returns a server. token is the shared secret of the site's entry
 // VMs.
@@ -89,7 +89,7 @@
 		return connect.NewError(connect.CodeUnavailable, errors.New("not taking sessions"))
 	}
 	defer s.owner.Leave(session)
-	if err := conn.Send(&pb.RunResponse{Advert: session.brief(s.owner.Advert(), true)}); err != nil {
+	if err := conn.Send(&pb.RunResponse{Advert: session.advertForHome(s.owner.Advert(), true)}); err != nil {
 		return err
 	}
 	heard := make(chan struct{}, 1)
@@ -152,7 +152,7 @@
 		if m == nil {
 			continue
 		}
-		m.Advert = session.brief(s.owner.Advert(), m.Beat != 0)
+		m.Advert = session.advertForHome(s.owner.Advert(), m.Beat != 0)
 		if err := conn.Send(m); err != nil {
 			return err
 		}
@@ -162,8 +162,8 @@
 // brief is the advert for this home. What accounts use goes with heartbeats
 // only, which bounds its cost. It leaves the list of workers out of an advert that the home has already:
 // the list is long and changes seldom.
-func (s *session) brief(m *pb.Advert, beat bool) *pb.Advert {
-	brief := ForSession(m, s.taken.Load())
+func (s *session) advertForHome(m *pb.Advert, beat bool) *pb.Advert {
+	brief := AdvertForSession(m, s.taken.Load())
 	if beat {
 		brief.Usage, brief.Periodic = m.Usage, true
 	}
@@ -174,9 +174,9 @@
 	return brief
 }
 
-// ForSession is an owner's advert with the count of tasks that one session has brought,
+// AdvertForSession is an owner's advert with the count of tasks that one session has brought,
 // without what accounts use.
-func ForSession(m *pb.Advert, takenTasks uint64) *pb.Advert {
+func AdvertForSession(m *pb.Advert, takenTasks uint64) *pb.Advert {
 	return &pb.Advert{
 		Incarnation:    m.Incarnation,
 		Domain:         m.Domain,
@@ -204,8 +204,8 @@
 
 // Submit implements the service: heartbeats until the final answer.
 func (s *Server) Submit(ctx context.Context, req *connect.Request[pb.SubmitRequest], conn *connect.ServerStream[pb.SubmitResponse]) error {
-	s.serving.Add(1)
-	defer s.serving.Add(-1)
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	answer := make(chan *pb.Answer, 1)
 	go func() { answer <- s.home.Submit(ctx.Done(), req.Msg) }()
 	beats := time.NewTicker(s.settings.HeartbeatInterval)
--- a/internal/connection/peer/silence_test.go
+++ b/internal/connection/peer/silence_test.go
@@ -40,7 +40,7 @@
 	return &pb.Answer{Outcome: "complete", Detail: m.Ticket}
 }
 
-func (o *entryVM) Exchanged(m *pb.ExchangeRequest) {
+func (o *entryVM) HandleExchange(m *pb.ExchangeRequest) {
 	o.exchanged = append(o.exchanged, m.Messages...)
 }
 func (o *entryVM) LastList() *pb.ListVMsResponse  { return &pb.ListVMsResponse{} }
--- a/internal/connection/secure/secure_test.go
+++ b/internal/connection/secure/secure_test.go
@@ -79,7 +79,7 @@
 func askPeer(ctx context.Context, address string, config *tls.Config) error {
 	dial := peer.Dial{Token: token}
 	if config != nil {
-		dial.Secure = &peer.SecureClient{Config: config}
+		dial.Secure = &peer.TLSClient{Config: config}
 	}
 	calls := peer.NewCalls(peer.Defaults(), dial)
 	defer calls.Close()
--- a/internal/process/entry/control.go
+++ b/internal/process/entry/control.go
@@ -77,7 +77,7 @@
 	for _, o := range others {
 		addresses[o.Address] = true
 	}
-	vm.exchange.Keep(addresses)
+	vm.exchange.RetainOnly(addresses)
 	vm.store.SetFleet(len(others) + 1)
 	vm.peers.reconcile(others)
 	vm.workers.reconcile()
@@ -105,7 +105,7 @@
 }
 
 // Exchanged implements peer.Control.
-func (c controlled) Exchanged(m *pb.ExchangeRequest) {
+func (c controlled) HandleExchange(m *pb.ExchangeRequest) {
 	from := distribution.Peer{ID: m.EntryVm, Domain: m.Domain}
 	for _, message := range m.Messages {
 		c.vm.control.FromPeer(from, fleetwire.Membership(message), fleetwire.Revision(message))
--- a/internal/process/entry/fleet_test.go
+++ b/internal/process/entry/fleet_test.go
@@ -76,7 +76,7 @@
 		r.results = append(r.results, group.Results...)
 	}
 }
-func (r *rig) Took(int) {}
+func (r *rig) AddTaken(int) {}
 
 // offer hands over one task that may run on the worker.
 func (r *rig) offer(counter uint64) {
--- a/internal/process/entry/local.go
+++ b/internal/process/entry/local.go
@@ -23,7 +23,7 @@
 
 // on returns the advert with the count of this session.
 func (c *takenCounter) on(m *pb.Advert) *pb.Advert {
-	return peer.ForSession(m, c.n.Load())
+	return peer.AdvertForSession(m, c.n.Load())
 }
 
 // steps returns this VM's timeline of a submission.
--- a/internal/process/entry/peers.go
+++ b/internal/process/entry/peers.go
@@ -46,7 +46,7 @@
 func newPeerSet(vm *VM) *peerSet {
 	dial := peer.Dial{Dialer: vm.settings.dialer(), Token: vm.settings.PeerToken}
 	if config := vm.secure.Client(); config != nil {
-		dial.Secure = &peer.SecureClient{Config: config}
+		dial.Secure = &peer.TLSClient{Config: config}
 	}
 	return &peerSet{
 		vm:    vm,
@@ -348,7 +348,7 @@
 func (l *localSession) name() string { return l.vm.settings.Name }
 
 // Took implements holder.Session.
-func (l *localSession) Took(tasks int) { l.taken.add(tasks) }
+func (l *localSession) AddTaken(tasks int) { l.taken.add(tasks) }
 
 func (l *localSession) send(m *pb.RunRequest) bool {
 	if len(m.Groups) > 0 && !l.vm.holder.TryOffer(l, m.Groups) {
--- a/internal/process/entry/stop.go
+++ b/internal/process/entry/stop.go
@@ -59,7 +59,7 @@
 // waitIdle waits until no submission is open here, no task runs, and every
 // forwarded answer was sent.
 func (vm *VM) waitIdle(ctx context.Context) bool {
-	for vm.home.Busy() || vm.holder.Busy() || vm.peerSide.Serving() > 0 {
+	for vm.home.Busy() || vm.holder.Busy() || vm.peerSide.InFlightSubmits() > 0 {
 		if !pause.For(ctx, drainPoll) {
 			return false
 		}
--- a/internal/process/holder/doc.go
+++ b/internal/process/holder/doc.go
@@ -70,7 +70,7 @@
 	// Report queues results for the home and does not block.
 	Report(m *pb.RunResponse)
 	// Took counts tasks of an offer that show in the advert from now on.
-	Took(tasks int)
+	AddTaken(tasks int)
 }
 
 // Workers sends messages under leases.
--- a/internal/process/holder/holder_test.go
+++ b/internal/process/holder/holder_test.go
@@ -16,7 +16,7 @@
 // home is a session that keeps its results.
 type home struct{ results []*pb.TaskResult }
 
-func (s *home) Took(int) {}
+func (s *home) AddTaken(int) {}
 func (s *home) Report(m *pb.RunResponse) {
 	for _, r := range m.Results {
 		s.results = append(s.results, r.Results...)
--- a/internal/process/holder/queue.go
+++ b/internal/process/holder/queue.go
@@ -37,7 +37,7 @@
 func (ev offerEvent) apply(h *Holder) {
 	h.offered = true
 	for _, g := range ev.groups {
-		ev.session.Took(len(g.Index))
+		ev.session.AddTaken(len(g.Index))
 		if len(g.Index) != len(g.Input) {
 			continue
 		}
