--- a/internal/connection/operator/doc.go
+++ b/internal/connection/operator/doc.go
@@ -75,8 +75,8 @@
 	// MayAct: it places work and takes leases. False for about a second after a
 	// pause, and for good once another start has taken its name.
 	MayAct bool `json:"may_act"`
-	// InDoubt are the entry VMs of which it is in doubt whether they live.
-	InDoubt []Doubt `json:"in_doubt,omitempty"`
+	// Suspected are the entry VMs of which it is in doubt whether they live.
+	Suspected []SuspectedVM `json:"in_doubt,omitempty"`
 }
 
 // Power is one entry VM's part of the cap. Watts are in thousandths and include
@@ -90,7 +90,7 @@
 	Free      int64  `json:"free_milliwatts"`      // tasks can be charged now
 	Stranded  int64  `json:"stranded_milliwatts"`  // a new plan would bring back
 	// Last is the last decision about watts.
-	Last PowerDecision `json:"last"`
+	LastDecision PowerDecision `json:"last"`
 }
 
 // PowerDecision is one decision about watts and why it was made.
@@ -109,30 +109,30 @@
 
 // WorkerStanding is how far a worker is trusted, and why.
 type WorkerStanding struct {
-	Worker    string      `json:"worker"`
-	Tier      string      `json:"tier"`
-	Reason    reason.Code `json:"reason"`
-	Running   int         `json:"running"`         // tasks
-	Ejections int         `json:"ejections"`       // in a row
-	Until     time.Time   `json:"until,omitzero"`  // end of the ejection
-	Pace      float64     `json:"pace,omitempty"`  // run time against other workers, 1 is equal
-	Score     float64     `json:"score,omitempty"` // confirmed failures, less what successes took off
+	Worker       string      `json:"worker"`
+	Tier         string      `json:"tier"`
+	Reason       reason.Code `json:"reason"`
+	Running      int         `json:"running"`         // tasks
+	Ejections    int         `json:"ejections"`       // in a row
+	EjectedUntil time.Time   `json:"until,omitzero"`  // end of the ejection
+	Pace         float64     `json:"pace,omitempty"`  // run time against other workers, 1 is equal
+	Score        float64     `json:"score,omitempty"` // confirmed failures, less what successes took off
 }
 
 // AccountStanding is what a client account has and waits for at one entry VM.
 type AccountStanding struct {
-	Account     string      `json:"account"`
-	Slots       int         `json:"slots"`       // in use
-	QuotaSlots  uint32      `json:"quota_slots"` // 0: no bound
-	QueuedTasks int         `json:"queued_tasks"`
-	QueuedJobs  int         `json:"queued_jobs"`
-	Service     float64     `json:"service"` // given, in share-seconds
-	Due         float64     `json:"due"`     // that its weight entitled it to while it was active
-	Why         reason.Code `json:"why"`     // it waits
+	Account         string      `json:"account"`
+	Slots           int         `json:"slots"`       // in use
+	QuotaSlots      uint32      `json:"quota_slots"` // 0: no bound
+	QueuedTasks     int         `json:"queued_tasks"`
+	QueuedJobs      int         `json:"queued_jobs"`
+	ServiceReceived float64     `json:"service"` // given, in share-seconds
+	ServiceDue      float64     `json:"due"`     // that its weight entitled it to while it was active
+	WaitReason      reason.Code `json:"why"`     // it waits
 }
 
 // Doubt is an entry VM in doubt, as another one sees it.
-type Doubt struct {
+type SuspectedVM struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	Reason string `json:"reason"` // such as silent_to_several, domain_unreachable
@@ -149,11 +149,11 @@
 
 // EntryVM is one listed entry VM.
 type EntryVM struct {
-	Name    string `json:"name"`
-	Domain  string `json:"domain"`
-	Address string `json:"address"` // for its peers
-	Leaving bool   `json:"leaving,omitempty"`
-	Answers bool   `json:"answers"` // to the entry VM that was asked
+	Name        string `json:"name"`
+	Domain      string `json:"domain"`
+	Address     string `json:"address"` // for its peers
+	Leaving     bool   `json:"leaving,omitempty"`
+	IsReachable bool   `json:"answers"` // to the entry VM that was asked
 }
 
 // PublishBody is a document to be put in force.
@@ -222,7 +222,7 @@
 // Problem makes Problem an error of the command-line tool.
 func (p *Problem) Error() string { return string(p.Reason) + ": " + p.Detail }
 
-var statuses = map[reason.Code]int{
+var statusOfReason = map[reason.Code]int{
 	reason.MalformedRequest: http.StatusBadRequest,
 	reason.BadTicket:        http.StatusBadRequest,
 	Conflict:                http.StatusConflict,
--- a/internal/connection/operator/server.go
+++ b/internal/connection/operator/server.go
@@ -45,15 +45,15 @@
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	m.HandleFunc("/readyz", s.ready)
 	m.Handle("/metrics", s.metrics)
-	m.HandleFunc("/v1/status", reply(func(*http.Request) (any, error) { return s.vm.Status(), nil })).Methods(http.MethodGet)
-	m.HandleFunc("/v1/fleet", reply(func(*http.Request) (any, error) { return s.vm.Fleet(), nil })).Methods(http.MethodGet)
-	m.HandleFunc("/v1/explain/{ticket}", reply(s.explain)).Methods(http.MethodGet)
-	m.HandleFunc("/v1/configuration", reply(s.configuration)).Methods(http.MethodGet)
-	m.HandleFunc("/v1/configuration", reply(s.publish)).Methods(http.MethodPost)
-	m.HandleFunc("/v1/rollback", reply(s.rollback)).Methods(http.MethodPost)
-	m.HandleFunc("/v1/history", reply(s.history)).Methods(http.MethodGet)
-	m.HandleFunc("/v1/diff", reply(s.diff)).Methods(http.MethodGet)
-	m.NotFoundHandler = reply(func(r *http.Request) (any, error) { return nil, noSuchPath(r.URL.Path) })
+	m.HandleFunc("/v1/status", jsonHandler(func(*http.Request) (any, error) { return s.vm.Status(), nil })).Methods(http.MethodGet)
+	m.HandleFunc("/v1/fleet", jsonHandler(func(*http.Request) (any, error) { return s.vm.Fleet(), nil })).Methods(http.MethodGet)
+	m.HandleFunc("/v1/explain/{ticket}", jsonHandler(s.explain)).Methods(http.MethodGet)
+	m.HandleFunc("/v1/configuration", jsonHandler(s.configuration)).Methods(http.MethodGet)
+	m.HandleFunc("/v1/configuration", jsonHandler(s.publish)).Methods(http.MethodPost)
+	m.HandleFunc("/v1/rollback", jsonHandler(s.rollback)).Methods(http.MethodPost)
+	m.HandleFunc("/v1/history", jsonHandler(s.history)).Methods(http.MethodGet)
+	m.HandleFunc("/v1/diff", jsonHandler(s.diff)).Methods(http.MethodGet)
+	m.NotFoundHandler = jsonHandler(func(r *http.Request) (any, error) { return nil, noSuchPath(r.URL.Path) })
 	return m
 }
 
@@ -66,13 +66,13 @@
 }
 
 // reply writes what a function returns, or the problem of its error.
-func reply(answer func(*http.Request) (any, error)) http.HandlerFunc {
+func jsonHandler(answer func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			writeProblem(w, malformed("the body is over %d bytes, came too slowly or ended early", maxBodyBytes))
+			writeProblem(w, malformedRequest("the body is over %d bytes, came too slowly or ended early", maxBodyBytes))
 			return
 		}
 		_ = control.SetReadDeadline(time.Time{})
@@ -91,19 +91,19 @@
 	p.Type = "about:blank"
 	p.Title = strings.ReplaceAll(string(p.Reason), "_", " ")
 	if p.Status == 0 {
-		p.Status = statuses[p.Reason]
+		p.Status = statusOfReason[p.Reason]
 	}
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(p.Status)
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-func malformed(format string, args ...any) *Problem {
+func malformedRequest(format string, args ...any) *Problem {
 	return &Problem{Reason: reason.MalformedRequest, Detail: fmt.Sprintf(format, args...)}
 }
 
 func noSuchPath(path string) *Problem {
-	p := malformed("no such path: %s", path)
+	p := malformedRequest("no such path: %s", path)
 	p.Status = http.StatusNotFound
 	return p
 }
@@ -166,7 +166,7 @@
 		}
 		return doc, err
 	}
-	revision, err := number(r, "revision")
+	revision, err := revisionParam(r, "revision")
 	if err != nil {
 		return nil, err
 	}
@@ -179,11 +179,11 @@
 }
 
 func (s *Server) diff(r *http.Request) (any, error) {
-	from, err := number(r, "from")
+	from, err := revisionParam(r, "from")
 	if err != nil {
 		return nil, err
 	}
-	to, err := number(r, "to")
+	to, err := revisionParam(r, "to")
 	if err != nil {
 		return nil, err
 	}
@@ -191,11 +191,11 @@
 	return Differences{differences}, err
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func revisionParam(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, malformed("%s is %q, allowed is a revision number", name, text)
+		return 0, malformedRequest("%s is %q, allowed is a revision number", name, text)
 	}
 	return n, nil
 }
@@ -229,10 +229,10 @@
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return malformed("not the JSON that is expected here: %v", err)
+		return malformedRequest("not the JSON that is expected here: %v", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return malformed("something follows the JSON value")
+		return malformedRequest("something follows the JSON value")
 	}
 	return nil
 }
--- a/internal/connection/peer/exchange.go
+++ b/internal/connection/peer/exchange.go
@@ -40,8 +40,8 @@
 	cancel  context.CancelFunc
 	senders sync.WaitGroup
 
-	mu   sync.Mutex
-	outs map[string]*outbox // by address
+	mu       sync.Mutex
+	outboxes map[string]*outbox // by address
 }
 
 // outbox is what waits for one peer.
@@ -60,7 +60,7 @@
 		domain:   domain,
 		ctx:      ctx,
 		cancel:   cancel,
-		outs:     make(map[string]*outbox),
+		outboxes: make(map[string]*outbox),
 	}
 }
 
@@ -71,7 +71,7 @@
 	if e.ctx.Err() != nil {
 		return
 	}
-	out := e.outs[address]
+	out := e.outboxes[address]
 	if out == nil {
 		out = e.startSender(address)
 	}
@@ -82,7 +82,7 @@
 func (e *Exchange) startSender(address string) *outbox {
 	ctx, cancel := context.WithCancel(e.ctx)
 	out := &outbox{waiting: ring.New[*pb.ControlMessage](exchangeQueueSize), cancel: cancel}
-	e.outs[address] = out
+	e.outboxes[address] = out
 	e.senders.Go(func() { e.runSender(ctx, address, out) })
 	return out
 }
@@ -91,10 +91,10 @@
 func (e *Exchange) RetainOnly(wanted map[string]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for address, out := range e.outs {
+	for address, out := range e.outboxes {
 		if !wanted[address] {
 			out.cancel()
-			delete(e.outs, address)
+			delete(e.outboxes, address)
 		}
 	}
 }
--- a/internal/connection/secure/secure.go
+++ b/internal/connection/secure/secure.go
@@ -50,10 +50,10 @@
 
 // What the files may be.
 const (
-	allowedCert  = "a file of PEM certificates, this end's first"
-	allowedKey   = "a file with the certificate's private key in PEM"
-	allowedCA    = "a file with at least one PEM certificate of a CA"
-	allowedNamed = "all of the certificate, key and CA files, or none"
+	allowedCert = "a file of PEM certificates, this end's first"
+	allowedKey  = "a file with the certificate's private key in PEM"
+	allowedCA   = "a file with at least one PEM certificate of a CA"
+	allowedSet  = "all of the certificate, key and CA files, or none"
 )
 
 // maxFileBytes is far above any chain of certificates.
@@ -66,30 +66,30 @@
 )
 
 // None reports whether no file is named.
-func (f Files) None() bool { return f == Files{} }
+func (f Files) IsEmpty() bool { return f == Files{} }
 
 // Material is what was read from Files. It makes the configurations of servers
 // and clients.
-type Material struct {
-	pair tls.Certificate
-	ca   *x509.CertPool
+type Credentials struct {
+	certificate tls.Certificate
+	ca          *x509.CertPool
 }
 
 // Load reads the files. It returns nil when none is named. The error is a
 // *FileError.
-func (f Files) Load() (*Material, error) {
-	if f.None() {
+func (f Files) Load() (*Credentials, error) {
+	if f.IsEmpty() {
 		return nil, nil
 	}
-	cert, err := read(Cert, f.Cert, allowedCert)
+	cert, err := readFile(Cert, f.Cert, allowedCert)
 	if err != nil {
 		return nil, err
 	}
-	key, err := read(Key, f.Key, allowedKey)
+	key, err := readFile(Key, f.Key, allowedKey)
 	if err != nil {
 		return nil, err
 	}
-	ca, err := read(CA, f.CA, allowedCA)
+	ca, err := readFile(CA, f.CA, allowedCA)
 	if err != nil {
 		return nil, err
 	}
@@ -101,14 +101,14 @@
 	if !pool.AppendCertsFromPEM(ca) {
 		return nil, &FileError{CA, f.CA, allowedCA, errNoCA}
 	}
-	return &Material{pair: pair, ca: pool}, nil
+	return &Credentials{certificate: pair, ca: pool}, nil
 }
 
 // read reads a file that must be named. A device or a pipe is refused: reading it
 // may never end, and one would see a daemon that neither starts nor says why.
-func read(part Part, path, allowed string) ([]byte, error) {
+func readFile(part Part, path, allowed string) ([]byte, error) {
 	if path == "" {
-		return nil, &FileError{part, path, allowedNamed, nil}
+		return nil, &FileError{part, path, allowedSet, nil}
 	}
 	info, err := os.Stat(path)
 	if err != nil {
@@ -133,35 +133,35 @@
 }
 
 // protocols are those of the connections in the clear.
-var protocols = []string{"h2", "http/1.1"}
+var alpnProtocols = []string{"h2", "http/1.1"}
 
 // Server is the configuration of a listener: it takes clients with a certificate
 // of the CA for client authentication, and no others. Nil Material means plain
 // connections, and the configuration is nil.
-func (m *Material) Server() *tls.Config {
+func (m *Credentials) Server() *tls.Config {
 	if m == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{m.pair},
+		Certificates: []tls.Certificate{m.certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    m.ca,
-		NextProtos:   protocols,
+		NextProtos:   alpnProtocols,
 	}
 }
 
 // Client is the configuration of connections that are dialled: the server's
 // certificate must come from the CA and name the host or IP that was dialled. Nil
 // Material means plain connections, and the configuration is nil.
-func (m *Material) Client() *tls.Config {
+func (m *Credentials) Client() *tls.Config {
 	if m == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{m.pair},
+		Certificates: []tls.Certificate{m.certificate},
 		RootCAs:      m.ca,
-		NextProtos:   protocols,
+		NextProtos:   alpnProtocols,
 	}
 }
--- a/internal/connection/secure/secure_test.go
+++ b/internal/connection/secure/secure_test.go
@@ -55,7 +55,7 @@
 	return files
 }
 
-func load(t *testing.T, files secure.Files) *secure.Material {
+func load(t *testing.T, files secure.Files) *secure.Credentials {
 	m, err := files.Load()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -45,7 +45,7 @@
 // VM is one running entry VM.
 type VM struct {
 	settings    Settings
-	secure      *secure.Material // nil: operators and peers connect in the clear
+	secure      *secure.Credentials // nil: operators and peers connect in the clear
 	incarnation uint64
 
 	document  atomic.Pointer[document.Document]
--- a/internal/process/entry/operator.go
+++ b/internal/process/entry/operator.go
@@ -46,7 +46,7 @@
 	s.Isolated = view.Isolated
 	s.MayAct = vm.control.MayAct(time.Now())
 	for _, d := range view.Suspects {
-		s.InDoubt = append(s.InDoubt, operator.Doubt{Name: d.VM.ID, Domain: d.VM.Domain, Reason: string(d.Reason), Live: d.Live})
+		s.Suspected = append(s.Suspected, operator.SuspectedVM{Name: d.VM.ID, Domain: d.VM.Domain, Reason: string(d.Reason), Live: d.Live})
 	}
 	for _, w := range advert.Workers {
 		s.Workers = append(s.Workers, w.Id)
@@ -71,7 +71,7 @@
 		Part:     int64(s.Part),
 		Free:     int64(s.Free),
 		Stranded: int64(s.Stranded),
-		Last: operator.PowerDecision{
+		LastDecision: operator.PowerDecision{
 			At:         s.Last.At,
 			Reason:     string(s.Last.Reason),
 			Concerns:   s.Last.Worker,
@@ -89,7 +89,7 @@
 func (vm *VM) unreachable() []operator.Unreachable {
 	var out []operator.Unreachable
 	for _, e := range vm.Fleet().Entries {
-		if !e.Answers {
+		if !e.IsReachable {
 			out = append(out, operator.Unreachable{Name: e.Name, Domain: e.Domain})
 		}
 	}
@@ -101,7 +101,7 @@
 	for i, w := range all {
 		out[i] = operator.WorkerStanding{
 			Worker: w.Worker, Tier: w.Tier.String(), Reason: reason.Code(w.Reason), Running: w.Running,
-			Ejections: w.Ejections, Until: w.Until, Pace: w.Pace, Score: w.Score,
+			Ejections: w.Ejections, EjectedUntil: w.Until, Pace: w.Pace, Score: w.Score,
 		}
 	}
 	return out
@@ -119,7 +119,7 @@
 		out[i] = operator.AccountStanding{
 			Account: a.Name, Slots: a.SlotsInUse, QuotaSlots: quotas[a.Name],
 			QueuedTasks: a.QueuedTasks, QueuedJobs: a.QueuedJobs,
-			Service: a.Service, Due: a.Due, Why: a.Why,
+			ServiceReceived: a.Service, ServiceDue: a.Due, WaitReason: a.Why,
 		}
 	}
 	return out
@@ -133,11 +133,11 @@
 	for name, e := range snapshot.Entries {
 		_, answers := answering[name]
 		f.Entries = append(f.Entries, operator.EntryVM{
-			Name:    name,
-			Domain:  e.Domain,
-			Address: e.Address,
-			Leaving: e.Leaving,
-			Answers: answers || name == vm.settings.Name,
+			Name:        name,
+			Domain:      e.Domain,
+			Address:     e.Address,
+			Leaving:     e.Leaving,
+			IsReachable: answers || name == vm.settings.Name,
 		})
 	}
 	slices.SortFunc(f.Entries, func(a, b operator.EntryVM) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/process/entry/settings.go
+++ b/internal/process/entry/settings.go
@@ -202,7 +202,7 @@
 // from other hosts. An address that can not be read is refused elsewhere.
 func (s *Settings) plainAbroad(address string) bool {
 	host, _, err := net.SplitHostPort(address)
-	return err == nil && s.TLS.None() && host != "localhost" && !net.ParseIP(host).IsLoopback()
+	return err == nil && s.TLS.IsEmpty() && host != "localhost" && !net.ParseIP(host).IsLoopback()
 }
 
 // checkTLS reads the files that tls names.
--- a/internal/process/entry/tls_test.go
+++ b/internal/process/entry/tls_test.go
@@ -107,7 +107,7 @@
 
 // cutOff reports whether an entry VM does not answer or does not hear its peer.
 func cutOff(v operate.VMStatus) bool {
-	return v.Status == nil || len(v.Status.Peers) != 1 || v.Status.Isolated || len(v.Status.InDoubt) > 0
+	return v.Status == nil || len(v.Status.Peers) != 1 || v.Status.Isolated || len(v.Status.Suspected) > 0
 }
 
 // Symptom: operators' or peers' listeners are open to other hosts in the clear;
--- a/internal/tool/demo/power.go
+++ b/internal/tool/demo/power.go
@@ -179,6 +179,6 @@
 	for _, e := range r.site.Entries() {
 		p := e.VM.Status().Power
 		fmt.Fprintf(r.opt.Out, "         %-3s plan %d: %4d W allotted, %4d W committed, %4d W free; %s %s\n", e.Name, p.Revision,
-			p.Allotted/perWatt, p.Committed/perWatt, p.Free/perWatt, p.Last.Reason, p.Last.Concerns)
+			p.Allotted/perWatt, p.Committed/perWatt, p.Free/perWatt, p.LastDecision.Reason, p.LastDecision.Concerns)
 	}
 }
--- a/internal/tool/operate/show.go
+++ b/internal/tool/operate/show.go
@@ -66,20 +66,20 @@
 
 // doubt is one doubt and the entry VMs that share it.
 type doubt struct {
-	operator.Doubt
+	operator.SuspectedVM
 	saidBy []string
 }
 
 // doubts joins what the entry VMs doubt, by name and reason.
 func doubts(all []VMStatus) []doubt {
-	joined := make(map[operator.Doubt]*doubt)
+	joined := make(map[operator.SuspectedVM]*doubt)
 	for _, v := range all {
 		if v.Status == nil {
 			continue
 		}
-		for _, d := range v.Status.InDoubt {
+		for _, d := range v.Status.Suspected {
 			if joined[d] == nil {
-				joined[d] = &doubt{Doubt: d}
+				joined[d] = &doubt{SuspectedVM: d}
 			}
 			joined[d].saidBy = append(joined[d].saidBy, v.Name)
 		}
@@ -106,7 +106,7 @@
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%d W\t%d W\t%d W\t%d W\t%s %s %d W\n", s.Name, s.Domain, plan,
 		p.Allotted/perWatt, p.Committed/perWatt, p.Free/perWatt, p.Stranded/perWatt,
-		p.Last.Reason, p.Last.Concerns, p.Last.Milliwatts/perWatt)
+		p.LastDecision.Reason, p.LastDecision.Concerns, p.LastDecision.Milliwatts/perWatt)
 }
 
 // perWatt is the milliwatts of one watt.
--- a/internal/tool/operate/standing.go
+++ b/internal/tool/operate/standing.go
@@ -104,9 +104,9 @@
 	a.QuotaSlots = max(a.QuotaSlots, s.QuotaSlots)
 	a.QueuedTasks += s.QueuedTasks
 	a.QueuedJobs += s.QueuedJobs
-	a.Service += s.Service
-	a.Due += s.Due
-	if why := string(s.Why); s.Why != fairness.Idle && !slices.Contains(a.waits, why) {
+	a.ServiceReceived += s.ServiceReceived
+	a.ServiceDue += s.ServiceDue
+	if why := string(s.WaitReason); s.WaitReason != fairness.Idle && !slices.Contains(a.waits, why) {
 		a.waits = append(a.waits, why)
 	}
 }
@@ -119,8 +119,8 @@
 }
 
 func serviceOverDue(a *account) string {
-	if a.Due == 0 {
+	if a.ServiceDue == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f", a.Service/a.Due)
+	return fmt.Sprintf("%.2f", a.ServiceReceived/a.ServiceDue)
 }
