--- a/cmd/pumiceyard/caller.go
+++ b/cmd/pumiceyard/caller.go
@@ -19,9 +19,9 @@
 	defaultTimeout    = 2 * time.Minute
 )
 
-var errNoKey = errors.New("no key: give --key, or set " + keyVariable)
+var errNoKey = errors.New("no account key: give --key or set " + keyVariable)
 
-// callerFlags are shared by the callers' commands.
+// callerFlags are the flags that all caller commands share.
 type callerFlags struct {
 	endpoints []string
 	key       string
@@ -29,14 +29,14 @@
 
 func (f *callerFlags) add(c *cobra.Command) {
 	c.GroupID = callers
-	c.Flags().StringSliceVar(&f.endpoints, "endpoints", nil, "callers' base URLs of entry VMs, or of the balancer (or "+endpointsVariable+"; default http://127.0.0.1:8080)")
-	c.Flags().StringVar(&f.key, "key", "", "the client account's key (or "+keyVariable+", which other users can not read)")
+	c.Flags().StringSliceVar(&f.endpoints, "endpoints", nil, "base URLs of the entry VMs' caller listeners, or of the load balancer (or "+endpointsVariable+"; default http://127.0.0.1:8080)")
+	c.Flags().StringVar(&f.key, "key", "", "the client account's key (or "+keyVariable+", which other users of the machine cannot read)")
 }
 
 func (f *callerFlags) options() (client.Options, error) {
 	opt := client.Options{Endpoints: f.endpoints, Key: cmp.Or(f.key, os.Getenv(keyVariable)), Prefetch: 1}
 	if len(opt.Endpoints) == 0 {
-		opt.Endpoints = fromEnvironment(endpointsVariable)
+		opt.Endpoints = urlsFromEnvironment(endpointsVariable)
 	}
 	if len(opt.Endpoints) == 0 {
 		opt.Endpoints = []string{"http://127.0.0.1:8080"}
@@ -63,8 +63,8 @@
 		Short: "Run a job and print its answer",
 		Long: `Run a job and print its answer as JSON.
 
-Tasks are JSON: one array, or values one after the other. A job that may have
-been submitted before is put under its --ticket again: it runs once at most.`,
+Tasks are JSON: one array, or a sequence of values. To submit a job again that may
+already have been submitted, give its --ticket: the job runs at most once.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var err error
@@ -81,11 +81,11 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().StringVarP(&tasks, "tasks", "f", "-", "file of the tasks; - is standard input")
-	c.Flags().StringVar(&opt.Ticket, "ticket", "", "put the job under this ticket, which may have been used")
-	c.Flags().DurationVar(&opt.Job.Deadline, "deadline", 0, "end the job after it (default the template's)")
-	c.Flags().DurationVar(&opt.Timeout, "timeout", defaultTimeout, "give the answer up after it")
-	c.Flags().IntVar(&retries, "retries", 0, "how often a job that was not run is submitted anew")
+	c.Flags().StringVarP(&tasks, "tasks", "f", "-", "file with the tasks; - is standard input")
+	c.Flags().StringVar(&opt.Ticket, "ticket", "", "submit the job under this ticket, which may have been used before")
+	c.Flags().DurationVar(&opt.Job.Deadline, "deadline", 0, "time limit of the job (default the template's)")
+	c.Flags().DurationVar(&opt.Timeout, "timeout", defaultTimeout, "how long to wait for the answer")
+	c.Flags().IntVar(&retries, "retries", 0, "how many times a job that was not run is resubmitted")
 	return c
 }
 
@@ -108,7 +108,7 @@
 	)
 	c := &cobra.Command{
 		Use:   "tickets",
-		Short: "Print new tickets, one a line",
+		Short: "Print new tickets, one per line",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			opt, err := flags.options()
@@ -119,7 +119,7 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().IntVarP(&count, "count", "n", 1, "how many")
+	c.Flags().IntVarP(&count, "count", "n", 1, "number of tickets")
 	return c
 }
 
@@ -127,7 +127,7 @@
 	var flags callerFlags
 	c := &cobra.Command{
 		Use:   "cancel TICKET",
-		Short: "Give a job up; its submitter gets the final answer",
+		Short: "Cancel a job; its submitter gets the final answer",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			opt, err := flags.options()
--- a/cmd/pumiceyard/configuration.go
+++ b/cmd/pumiceyard/configuration.go
@@ -11,13 +11,13 @@
 	"github.com/pumiceyard/pumiceyard/internal/tool/operate"
 )
 
-const defaultWait = 10 * time.Second
+const defaultActivationTimeout = 10 * time.Second
 
 func configurationCommands() []*cobra.Command {
 	return []*cobra.Command{publishCommand(), rollbackCommand(), getCommand(), diffCommand(), historyCommand()}
 }
 
-// changeFlags are shared by the commands that publish.
+// changeFlags are the flags that publish and rollback share.
 type changeFlags struct {
 	operate.Change
 	wait    bool
@@ -26,14 +26,15 @@
 
 func (f *changeFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.Author, "author", "", "who publishes (required)")
-	c.Flags().StringVar(&f.ID, "change-id", "", "names the change; asking twice under one id publishes once (default made of base and content)")
-	c.Flags().Uint64Var(&f.Base, "base", 0, "revision that the change starts from (default the one in force)")
-	c.Flags().BoolVar(&f.wait, "wait", false, "wait until every entry VM has it in force, and name those that have not")
-	c.Flags().DurationVar(&f.timeout, "timeout", defaultWait, "how long --wait waits")
+	c.Flags().StringVar(&f.ID, "change-id", "", "identifies the change: a request repeated under the same id publishes once (default derived from base and content)")
+	c.Flags().Uint64Var(&f.Base, "base", 0, "revision that the change is based on (default the one in force)")
+	c.Flags().BoolVar(&f.wait, "wait", false, "wait until the revision is in force on every entry VM, and name those where it is not")
+	c.Flags().DurationVar(&f.timeout, "timeout", defaultActivationTimeout, "how long --wait waits")
 	_ = c.MarkFlagRequired("author")
 }
 
-// change completes what the flags leave out.
+// change returns the change that the flags describe. Without --base it is based on the
+// revision in force.
 func (f *changeFlags) change(c *cobra.Command, s *operate.Site) (operate.Change, error) {
 	change := f.Change
 	if f.wait {
@@ -49,7 +50,7 @@
 
 func publishCommand() *cobra.Command {
 	var flags changeFlags
-	c := siteCommand("publish FILE", "Put a configuration document in force", cobra.ExactArgs(1),
+	c := siteCommand("publish FILE", "Publish a configuration document", cobra.ExactArgs(1),
 		func(c *cobra.Command, s *operate.Site, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -61,17 +62,17 @@
 			}
 			return s.Publish(c.Context(), text, change, c.OutOrStdout())
 		})
-	c.Long = `Put a configuration document in force, whole or not at all.
+	c.Long = `Publish a configuration document. All of it comes into force, or none.
 
-Give --base, the revision that you edited, when others publish too: a change that
-came in between is then named and not overwritten.`
+When others publish too, give the revision that you edited as --base: a change that
+was published in the meantime is then reported and not overwritten.`
 	flags.add(c)
 	return c
 }
 
 func rollbackCommand() *cobra.Command {
 	var flags changeFlags
-	c := siteCommand("rollback REVISION", "Put a kept revision in force again, as a new one", cobra.ExactArgs(1),
+	c := siteCommand("rollback REVISION", "Publish an earlier revision again, as a new one", cobra.ExactArgs(1),
 		func(c *cobra.Command, s *operate.Site, args []string) error {
 			revision, err := revisionOf(args[0])
 			if err != nil {
@@ -93,12 +94,12 @@
 		func(c *cobra.Command, s *operate.Site, _ []string) error {
 			return s.Get(c.Context(), revision, c.OutOrStdout())
 		})
-	c.Flags().Uint64Var(&revision, "revision", 0, "print a kept revision instead")
+	c.Flags().Uint64Var(&revision, "revision", 0, "print this earlier revision instead")
 	return c
 }
 
 func diffCommand() *cobra.Command {
-	return siteCommand("diff FROM TO", "Show what changed between two kept revisions", cobra.ExactArgs(2),
+	return siteCommand("diff FROM TO", "Show what changed between two revisions", cobra.ExactArgs(2),
 		func(c *cobra.Command, s *operate.Site, args []string) error {
 			from, err := revisionOf(args[0])
 			if err != nil {
@@ -114,7 +115,7 @@
 
 func historyCommand() *cobra.Command {
 	var asJSON bool
-	c := siteCommand("history", "List the publications that are kept", cobra.NoArgs,
+	c := siteCommand("history", "List the revisions that are still stored", cobra.NoArgs,
 		func(c *cobra.Command, s *operate.Site, _ []string) error {
 			return s.History(c.Context(), asJSON, c.OutOrStdout())
 		})
--- a/cmd/pumiceyard/evacuate.go
+++ b/cmd/pumiceyard/evacuate.go
@@ -14,17 +14,17 @@
 
 const storeVariable = "PUMICEYARD_STORE"
 
-var errNoStore = errors.New("no store is given: --store HOST:PORT or " + storeVariable)
+var errNoStore = errors.New("no store address: give --store HOST:PORT or set " + storeVariable)
 
 func keptEvacuate() *cobra.Command {
-	return domainCommand("evacuate DOMAIN", "Ask that nothing starts in a failure domain, until it is returned", cobra.ExactArgs(1),
+	return domainCommand("evacuate DOMAIN", "Stop starting work in a failure domain until it is returned", cobra.ExactArgs(1),
 		func(ctx context.Context, _ *cobra.Command, r evacuations.Requests, args []string) error {
 			return r.Evacuate(ctx, args[0])
 		})
 }
 
 func keptReturn() *cobra.Command {
-	return domainCommand("return DOMAIN", "Give an evacuated failure domain back to use", cobra.ExactArgs(1),
+	return domainCommand("return DOMAIN", "Put an evacuated failure domain back into use", cobra.ExactArgs(1),
 		func(ctx context.Context, _ *cobra.Command, r evacuations.Requests, args []string) error {
 			return r.Return(ctx, args[0])
 		})
@@ -46,11 +46,11 @@
 		})
 }
 
-// domainCommand makes a command about operators' requests in the store.
+// domainCommand makes a command that reads or writes the evacuation requests in the store.
 func domainCommand(use, short string, args cobra.PositionalArgs, do func(context.Context, *cobra.Command, evacuations.Requests, []string) error) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: args}
 	address := c.Flags().String("store", os.Getenv(storeVariable), "host:port of the platform's store (or "+storeVariable+")")
-	timeout := c.Flags().Duration("timeout", 10*time.Second, "give up after it")
+	timeout := c.Flags().Duration("timeout", 10*time.Second, "give up after this time")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if *address == "" {
 			return errNoStore
--- a/cmd/pumiceyard/kept.go
+++ b/cmd/pumiceyard/kept.go
@@ -14,11 +14,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/tool/losses"
 )
 
-// keptCommand groups the commands for submissions under the caller's own key.
+// keptCommand groups the commands for submissions under keys that the caller chooses.
 func keptCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "kept",
-		Short:   "Submit work under a key of your own, which is kept until it has ended",
+		Short:   "Submit work under a key of your own, and follow it; the site stores it until it has ended",
 		GroupID: callers,
 	}
 	c.AddCommand(keptSubmit(), keptState(), keptCancel(), keptWaiting(), keptExplain(), keptLosses(),
@@ -26,22 +26,22 @@
 	return c
 }
 
-// keptFlags are shared by the commands.
+// keptFlags are the flags of the commands that call entry VMs.
 type keptFlags struct {
 	endpoints []string
 	timeout   time.Duration
 }
 
 func (f *keptFlags) add(c *cobra.Command) {
-	c.Flags().StringSliceVar(&f.endpoints, "endpoints", nil, "callers' base URLs of entry VMs (or "+endpointsVariable+"; default http://127.0.0.1:8080)")
-	c.Flags().DurationVar(&f.timeout, "timeout", 30*time.Second, "give up after it")
+	c.Flags().StringSliceVar(&f.endpoints, "endpoints", nil, "base URLs of the entry VMs' caller listeners (or "+endpointsVariable+"; default http://127.0.0.1:8080)")
+	c.Flags().DurationVar(&f.timeout, "timeout", 30*time.Second, "give up after this time")
 }
 
-// run calls do with a client, within the timeout.
+// run calls do with a client and a context that ends after the timeout.
 func (f *keptFlags) run(c *cobra.Command, do func(context.Context, *client.KeptClient) error) error {
 	endpoints := f.endpoints
 	if len(endpoints) == 0 {
-		endpoints = fromEnvironment(endpointsVariable)
+		endpoints = urlsFromEnvironment(endpointsVariable)
 	}
 	if len(endpoints) == 0 {
 		endpoints = []string{"http://127.0.0.1:8080"}
@@ -64,7 +64,7 @@
 	)
 	c := &cobra.Command{
 		Use:   "submit QUEUE KEY",
-		Short: "Submit equal tasks; the same key again is the same submission",
+		Short: "Submit a number of equal tasks; repeating a key repeats no work",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			work.Queue, work.Key = args[0], args[1]
@@ -74,22 +74,22 @@
 				if err == nil && wait && !state.Final() {
 					state, err = k.Wait(ctx, work.Key)
 				}
-				return say(c, state, err)
+				return printState(c, state, err)
 			})
 		},
 	}
 	flags.add(c)
 	c.Flags().Uint32Var(&step.Count, "tasks", 1, "tasks")
-	c.Flags().Uint32Var(&step.CPUMilli, "cpu-milli", 1000, "processor of a task, thousandths of a core")
-	c.Flags().Uint32Var(&step.MemoryMB, "memory-mb", 64, "memory of a task")
-	c.Flags().DurationVar(&step.Estimate, "estimate", 100*time.Millisecond, "time of a task")
-	c.Flags().StringVar(&work.Spec, "spec", "", "handed to the workers; the stand-in takes {\"run_millis\":100,\"cpu_milli\":1000}")
-	c.Flags().BoolVar(&work.Transient, "transient", false, "it need not be kept; the answer is its end")
-	c.Flags().BoolVar(&wait, "wait", false, "wait for its end")
+	c.Flags().Uint32Var(&step.CPUMilli, "cpu-milli", 1000, "CPU that each task needs, in thousandths of a core")
+	c.Flags().Uint32Var(&step.MemoryMB, "memory-mb", 64, "memory that each task needs, in MB")
+	c.Flags().DurationVar(&step.Estimate, "estimate", 100*time.Millisecond, "estimated run time of each task")
+	c.Flags().StringVar(&work.Spec, "spec", "", "specification handed to the workers; the stand-in workers take {\"run_millis\":100,\"cpu_milli\":1000}")
+	c.Flags().BoolVar(&work.Transient, "transient", false, "do not store the submission; the answer is its final state")
+	c.Flags().BoolVar(&wait, "wait", false, "wait until the submission has ended")
 	return c
 }
 
-func say(c *cobra.Command, state client.State, err error) error {
+func printState(c *cobra.Command, state client.State, err error) error {
 	if err != nil {
 		return err
 	}
@@ -98,14 +98,14 @@
 }
 
 func keptState() *cobra.Command {
-	return keptKeyed("state KEY", "Say how far a submission is", (*client.KeptClient).State)
+	return keptByKey("state KEY", "Print the state of a submission", (*client.KeptClient).State)
 }
 
 func keptCancel() *cobra.Command {
-	return keptKeyed("cancel KEY", "End a submission and say its final state", (*client.KeptClient).Cancel)
+	return keptByKey("cancel KEY", "Cancel a submission and print its final state", (*client.KeptClient).Cancel)
 }
 
-func keptKeyed(use, short string, do func(*client.KeptClient, context.Context, string) (client.State, error)) *cobra.Command {
+func keptByKey(use, short string, do func(*client.KeptClient, context.Context, string) (client.State, error)) *cobra.Command {
 	var flags keptFlags
 	c := &cobra.Command{
 		Use:   use,
@@ -114,7 +114,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			return flags.run(c, func(ctx context.Context, k *client.KeptClient) error {
 				state, err := do(k, ctx, args[0])
-				return say(c, state, err)
+				return printState(c, state, err)
 			})
 		},
 	}
@@ -126,7 +126,7 @@
 	var flags keptFlags
 	c := &cobra.Command{
 		Use:   "waiting QUEUE",
-		Short: "Count the submissions of a queue that have not begun",
+		Short: "Count the submissions of a queue that have not started",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return flags.run(c, func(ctx context.Context, k *client.KeptClient) error {
@@ -146,7 +146,7 @@
 func keptExplain() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain KEY LOG...",
-		Short: "Tell what became of a submission, from the logs of entry VMs",
+		Short: "Reconstruct what happened to a submission from the logs of entry VMs",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := openAll(args[1:])
@@ -167,10 +167,10 @@
 func keptLosses() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "losses LOG...",
-		Short: "Count the submissions that were not served in time by cause, from the logs of entry VMs",
+		Short: "Count submissions that were not served in time, by cause, from the logs of entry VMs",
 		Args:  cobra.MinimumNArgs(1),
 	}
-	every := c.Flags().Duration("every", 0, "one table for each such span of time; 0: one for all")
+	every := c.Flags().Duration("every", 0, "print one table per interval of this length; 0: one table for all")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		files, err := openAll(args)
 		defer closeAll(files)
@@ -190,7 +190,8 @@
 	return c
 }
 
-// openAll opens files for reading. Those that were opened before an error are returned.
+// openAll opens files for reading. On an error it returns those already opened, for the
+// caller to close.
 func openAll(paths []string) ([]*os.File, error) {
 	var out []*os.File
 	for _, path := range paths {
@@ -205,6 +206,6 @@
 
 func closeAll(files []*os.File) {
 	for _, f := range files {
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened for reading only
 	}
 }
--- a/cmd/pumiceyard/load.go
+++ b/cmd/pumiceyard/load.go
@@ -16,8 +16,8 @@
 	var duration time.Duration
 	c := &cobra.Command{
 		Use:     "load",
-		GroupID: trying,
-		Short:   "Drive a site with an open-loop load and report how it answered",
+		GroupID: tryout,
+		Short:   "Put an open-loop load on a site and report how it answered",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if site != "" && site != "demo" {
@@ -42,13 +42,13 @@
 	}
 	f := c.Flags()
 	f.StringVar(&profile, "profile", "tsagaan-shavar", "tsagaan-shavar, ventilsvaz, burst, or a JSON file")
-	f.StringVar(&site, "site", "", "demo: start a site of the profile's size in this process")
+	f.StringVar(&site, "site", "", "demo: start a site of the size that the profile needs in this process")
 	f.StringSliceVar(&opt.Endpoints, "endpoints", nil, "base URLs of the entry VMs of a site that runs elsewhere")
-	f.Uint64Var(&seed, "seed", 0, "seed in place of the profile's")
-	f.DurationVar(&duration, "duration", 0, "how long jobs arrive, in place of the profile's")
-	f.StringVar(&opt.JSON, "json", "", "file for the report as JSON")
-	f.StringVar(&opt.HTML, "html", "", "file for the report as one HTML page with plots")
-	f.StringVar(&opt.Compare, "compare", "", "JSON report of an older run to print ratios against")
+	f.Uint64Var(&seed, "seed", 0, "seed, instead of the profile's")
+	f.DurationVar(&duration, "duration", 0, "how long jobs arrive, instead of the profile's duration")
+	f.StringVar(&opt.JSON, "json", "", "write the report as JSON to this file")
+	f.StringVar(&opt.HTML, "html", "", "write the report as one HTML page with plots to this file")
+	f.StringVar(&opt.Compare, "compare", "", "JSON report of an earlier run; ratios to its figures are printed")
 	c.MarkFlagsMutuallyExclusive("site", "endpoints")
 	c.MarkFlagsOneRequired("site", "endpoints")
 	return c
--- a/cmd/pumiceyard/main.go
+++ b/cmd/pumiceyard/main.go
@@ -1,4 +1,5 @@
-// Command pumiceyard is the tool for callers and operators of a pumiceyard site.
+// Command pumiceyard is the command-line tool for callers and operators of a pumiceyard
+// site.
 //
 // Exit codes: 0 complete, 1 wrong usage or any other error, 2 not run, 3 failed,
 // 4 outcome unknown.
@@ -23,19 +24,19 @@
 		Long: `Submit work to a pumiceyard site, operate it, and explain what it did.
 
 Exit codes:
-  0  complete, or carried out
+  0  success
   1  wrong usage, or any other error
   2  not run: nothing of the job has run or will run
   3  failed: the job ended, and something of it may have run
-  4  unknown: it can not be said whether something of the job ran`,
+  4  unknown: the job may or may not have run`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddGroup(&cobra.Group{ID: callers, Title: "For callers:"}, &cobra.Group{ID: operators, Title: "For operators:"}, &cobra.Group{ID: trying, Title: "For trying it:"})
+	root.AddGroup(&cobra.Group{ID: callers, Title: "For callers:"}, &cobra.Group{ID: operators, Title: "For operators:"}, &cobra.Group{ID: tryout, Title: "For trying it out:"})
 	root.AddCommand(callerCommands()...)
 	root.AddCommand(operatorCommands()...)
 	root.AddCommand(configurationCommands()...)
-	root.AddCommand(tryingCommands()...)
+	root.AddCommand(tryoutCommands()...)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root.ExecuteContext(ctx); err != nil {
@@ -44,14 +45,15 @@
 	}
 }
 
-// Groups of commands.
+// IDs of the groups that the help lists commands under.
 const (
 	callers   = "callers"
 	operators = "operators"
-	trying    = "trying"
+	tryout    = "trying"
 )
 
-// fromEnvironment splits a list of URLs in an environment variable.
-func fromEnvironment(name string) []string {
+// urlsFromEnvironment returns the URLs in an environment variable, which are separated by
+// commas or spaces.
+func urlsFromEnvironment(name string) []string {
 	return strings.FieldsFunc(os.Getenv(name), func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/cmd/pumiceyard/offline.go
+++ b/cmd/pumiceyard/offline.go
@@ -20,9 +20,9 @@
 		GroupID: operators,
 		Long: `Make client accounts' keys and their hashes.
 
-To rotate a key without an interruption: make a new one, add its hash to the
-account's key_hashes beside the old one and publish; give the caller the new key;
-when it uses it, take the old hash out and publish again.`,
+To rotate a key without interruption: make a new key, add its hash to the account's
+key_hashes next to the old one and publish; give the new key to the caller; once the
+caller uses it, remove the old hash and publish again.`,
 	}
 	c.AddCommand(&cobra.Command{
 		Use:   "new",
@@ -38,7 +38,7 @@
 	return c
 }
 
-// sampleSecret fills in the secrets of sample settings.
+// sampleSecret is the ticket key and peer token in the output of settings --sample.
 const sampleSecret = "sample-secret-not-for-use"
 
 func settingsCommand() *cobra.Command {
@@ -50,7 +50,7 @@
 	c := &cobra.Command{
 		Use:     "settings",
 		Short:   "Print the daemon's default settings as JSON",
-		Long:    "Print the daemon's default settings as JSON. Name, domain, platform and both\nsecrets are yours to fill in; pumiceyardd --check tells what is missing.",
+		Long:    "Print the daemon's default settings as JSON. Fill in the name, the domain, the\nplatform and both secrets; pumiceyardd --check reports what is missing.",
 		GroupID: operators,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -64,10 +64,10 @@
 		},
 	}
 	c.Flags().StringVar(&s.Name, "name", "", "name of the entry VM")
-	c.Flags().StringVar(&s.Domain, "domain", "", "its failure domain")
+	c.Flags().StringVar(&s.Domain, "domain", "", "failure domain of the entry VM")
 	c.Flags().StringVar(&s.Platform, "platform", "", "base URL of the platform's service")
-	c.Flags().Uint16Var(&port, "port", 0, "listen on loopback at this port and the next two: callers, operators, peers")
-	c.Flags().BoolVar(&sample, "sample", false, "fill in sample secrets, for trying only")
+	c.Flags().Uint16Var(&port, "port", 0, "listen on loopback, for callers at this port, for operators and peers at the next two")
+	c.Flags().BoolVar(&sample, "sample", false, "fill in sample secrets, for trials only")
 	return c
 }
 
@@ -77,7 +77,7 @@
 	var markdown bool
 	c := &cobra.Command{
 		Use:     "reasons [CODE]",
-		Short:   "Say what reason codes mean and what to do",
+		Short:   "Explain reason codes and what to do about them",
 		GroupID: operators,
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/pumiceyard/operator.go
+++ b/cmd/pumiceyard/operator.go
@@ -17,7 +17,7 @@
 const (
 	operatorsVariable = "PUMICEYARD_OPERATORS"
 	operatorPort      = "8081"
-	watchEvery        = time.Second
+	watchInterval     = time.Second
 
 	tlsVariables    = "PUMICEYARD_TLS_"
 	tlsCertVariable = tlsVariables + "CERT"
@@ -25,7 +25,7 @@
 	tlsCAVariable   = tlsVariables + "CA"
 )
 
-// operatorFlags are shared by the operators' commands.
+// operatorFlags are the flags that all operator commands share.
 type operatorFlags struct {
 	operators []string
 	port      string
@@ -34,11 +34,11 @@
 
 func (f *operatorFlags) add(c *cobra.Command) {
 	c.GroupID = operators
-	c.Flags().StringSliceVar(&f.operators, "operators", nil, "base URLs of operators' listeners (or "+operatorsVariable+"; default http://127.0.0.1:"+operatorPort+", https:// with --tls-cert)")
-	c.Flags().StringVar(&f.port, "operator-port", operatorPort, "port of the operators' listeners of entry VMs that only the platform's list names")
-	c.Flags().StringVar(&f.tls.Cert, "tls-cert", "", "certificate to show, PEM (or "+tlsCertVariable+")")
+	c.Flags().StringSliceVar(&f.operators, "operators", nil, "base URLs of the entry VMs' operator listeners (or "+operatorsVariable+"; default http://127.0.0.1:"+operatorPort+", https:// with --tls-cert)")
+	c.Flags().StringVar(&f.port, "operator-port", operatorPort, "operator port of entry VMs that are known only from the platform's list")
+	c.Flags().StringVar(&f.tls.Cert, "tls-cert", "", "client certificate, PEM (or "+tlsCertVariable+")")
 	c.Flags().StringVar(&f.tls.Key, "tls-key", "", "private key of the certificate, PEM (or "+tlsKeyVariable+")")
-	c.Flags().StringVar(&f.tls.CA, "tls-ca", "", "CA certificates that the entry VMs' come from, PEM (or "+tlsCAVariable+")")
+	c.Flags().StringVar(&f.tls.CA, "tls-ca", "", "CA certificates that the entry VMs' certificates are verified with, PEM (or "+tlsCAVariable+")")
 }
 
 func (f *operatorFlags) site() (*operate.Site, error) {
@@ -53,7 +53,7 @@
 	}
 	named := f.operators
 	if len(named) == 0 {
-		named = fromEnvironment(operatorsVariable)
+		named = urlsFromEnvironment(operatorsVariable)
 	}
 	if len(named) == 0 {
 		scheme := "http://"
@@ -65,7 +65,7 @@
 	return operate.NewSite(named, f.port, material.Client())
 }
 
-// explainFile names the flag of a file that can not be used.
+// explainFile adds the flag to the error about a file that cannot be used.
 func explainFile(err error) error {
 	var file *secure.FileError
 	if !errors.As(err, &file) {
@@ -75,7 +75,7 @@
 	return fmt.Errorf("--tls-%s (or %s%s): %w", part, tlsVariables, strings.ToUpper(part), err)
 }
 
-// siteCommand is a command that talks to operators' listeners.
+// siteCommand makes a command that calls operator listeners.
 func siteCommand(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *operate.Site, []string) error) *cobra.Command {
 	var flags operatorFlags
 	c := &cobra.Command{
@@ -103,11 +103,11 @@
 	c := siteCommand("status", "Show all entry VMs: readiness, revision in force, leases, slots, queue", cobra.NoArgs,
 		func(c *cobra.Command, s *operate.Site, _ []string) error {
 			if watch {
-				return s.Watch(c.Context(), watchEvery, c.OutOrStdout())
+				return s.Watch(c.Context(), watchInterval, c.OutOrStdout())
 			}
 			return s.Status(c.Context(), asJSON, c.OutOrStdout())
 		})
-	c.Flags().BoolVarP(&watch, "watch", "w", false, "show it again every second")
+	c.Flags().BoolVarP(&watch, "watch", "w", false, "refresh every second")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.MarkFlagsMutuallyExclusive("watch", "json")
 	return c
@@ -115,10 +115,10 @@
 
 func explainCommand() *cobra.Command {
 	var asJSON bool
-	c := siteCommand("explain TICKET", "Show what happened to a job, over all entry VMs, and why", cobra.ExactArgs(1),
+	c := siteCommand("explain TICKET", "Show what happened to a job on all entry VMs, and why", cobra.ExactArgs(1),
 		func(c *cobra.Command, s *operate.Site, args []string) error {
 			return s.Explain(c.Context(), args[0], asJSON, c.OutOrStdout())
 		})
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON, all steps")
+	c.Flags().BoolVar(&asJSON, "json", false, "print all steps as JSON")
 	return c
 }
--- a/cmd/pumiceyard/soak.go
+++ b/cmd/pumiceyard/soak.go
@@ -17,11 +17,12 @@
 	)
 	c := &cobra.Command{
 		Use:   "soak --daemon PATH",
-		Short: "Run entry VMs as processes, break things from outside, and check the promises",
-		Long: `Run entry VMs as separate processes on loopback, delay, cut and silence their
-connections, pause, kill and restart them, and check by what callers and workers see
-that no promise is broken. The seed decides the faults; the machine's timing is its own.`,
-		GroupID: trying,
+		Short: "Run entry VMs as processes, inject faults from outside, and check the guarantees",
+		Long: `Run entry VMs as separate processes on loopback; delay, cut and silence their
+connections; pause, kill and restart the processes; and check from what callers and
+workers observe that no guarantee is violated. The seed determines the faults, but not
+the timing of the machine.`,
+		GroupID: tryout,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			opt.Out = c.OutOrStdout()
@@ -41,11 +42,11 @@
 		},
 	}
 	c.Flags().StringVar(&opt.Daemon, "daemon", "", "path of pumiceyardd (required)")
-	c.Flags().Uint64Var(&opt.Seed, "seed", 1, "the first seed")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, one after the other")
-	c.Flags().DurationVar(&opt.Duration, "duration", 10*time.Second, "how long faults are made, for each seed")
-	c.Flags().IntVar(&opt.VMs, "vms", 4, "entry VMs, in two failure domains")
-	c.Flags().StringVar(&opt.Logs, "logs", "", "directory for the VMs' logs (default a new one)")
+	c.Flags().Uint64Var(&opt.Seed, "seed", 1, "first seed")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, run one after the other")
+	c.Flags().DurationVar(&opt.Duration, "duration", 10*time.Second, "how long faults are injected, for each seed")
+	c.Flags().IntVar(&opt.VMs, "vms", 4, "number of entry VMs, in two failure domains")
+	c.Flags().StringVar(&opt.Logs, "logs", "", "directory for the VMs' logs (default a new temporary one)")
 	_ = c.MarkFlagRequired("daemon")
 	return c
 }
--- a/cmd/pumiceyard/top.go
+++ b/cmd/pumiceyard/top.go
@@ -14,19 +14,19 @@
 	o := top.Options{}
 	c := &cobra.Command{
 		Use:     "top",
-		Short:   "Show holders, workers, room, queues and calls of the store as they change",
+		Short:   "Show shard holders, workers, free capacity, queues and store calls, refreshed regularly",
 		GroupID: operators,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			o.Out = c.OutOrStdout()
 			if len(o.URLs) == 0 {
-				o.URLs = fromEnvironment(metricsVariable)
+				o.URLs = urlsFromEnvironment(metricsVariable)
 			}
 			return top.Run(c.Context(), o)
 		},
 	}
-	c.Flags().StringSliceVar(&o.URLs, "metrics", nil, "metrics URLs of entry VMs that keep submissions (or "+metricsVariable+")")
-	c.Flags().DurationVar(&o.Every, "every", time.Second, "between two pictures")
-	c.Flags().IntVar(&o.Count, "count", 0, "pictures to show; 0: until interrupted")
+	c.Flags().StringSliceVar(&o.URLs, "metrics", nil, "metrics URLs of entry VMs that run pumiceyardd kept (or "+metricsVariable+")")
+	c.Flags().DurationVar(&o.Every, "every", time.Second, "refresh interval")
+	c.Flags().IntVar(&o.Count, "count", 0, "number of refreshes; 0: until interrupted")
 	return c
 }
--- a/cmd/pumiceyardd/kept.go
+++ b/cmd/pumiceyardd/kept.go
@@ -12,11 +12,12 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/serve"
 )
 
-// keptCommand runs an entry VM for submissions under their callers' own keys.
+// keptCommand runs an entry VM for kept submissions: those that are stored under keys
+// their callers choose.
 func keptCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "kept --settings FILE",
-		Short: "Run one entry VM for submissions that are kept in the store",
+		Short: "Run one entry VM for kept submissions, which are stored under their callers' keys",
 		Args:  cobra.NoArgs,
 	}
 	path := c.Flags().String("settings", "", "settings file, JSON (required)")
@@ -43,12 +44,12 @@
 		return d.Stop, nil
 	}
 	return serve.RunUntilSignal(ctx, start, func() {
-		// Addresses and names hold for the life of a process; the file is checked so
-		// that a mistake shows before the next start.
+		// Names and addresses cannot change while the process runs. The file is only
+		// checked, so that a mistake shows before the next start.
 		if _, err := daemon.LoadSettings(path); err != nil {
-			klog.ErrorS(err, "kept: the settings in force stay")
+			klog.ErrorS(err, "kept: settings file is invalid; the running process keeps its settings")
 			return
 		}
-		klog.InfoS("kept: settings read again", "path", path)
+		klog.InfoS("kept: settings file checked; changes apply at the next start", "path", path)
 	})
 }
--- a/cmd/pumiceyardd/main.go
+++ b/cmd/pumiceyardd/main.go
@@ -19,7 +19,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:           "pumiceyardd --settings FILE",
-		Short:         "Run one entry VM: take callers' jobs and run their tasks on leased workers",
+		Short:         "Run one entry VM, which accepts callers' jobs and runs their tasks on leased workers",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -44,10 +44,10 @@
 	}
 }
 
-var errSuperseded = errors.New("a later start has taken this entry VM's name")
+var errSuperseded = errors.New("another process with this entry VM's name was started later")
 
-// run serves until SIGTERM or SIGINT, or until a later start has taken the VM's
-// name, then stops as planned.
+// run serves until SIGTERM or SIGINT, or until a process started later has taken the
+// VM's name, then shuts down gracefully.
 func run(ctx context.Context, s entry.Settings) error {
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
