--- a/internal/connection/caller/decode_test.go
+++ b/internal/connection/caller/decode_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// What the parser accepts is whole: it has a template and tasks within the
-// limits, each task is JSON that nests within the limit, and it reads back as
-// itself. What it refuses has a reason and a detail.
+// FuzzSubmission checks that an accepted submission has a template, has tasks
+// within the limits on number and nesting depth, and keeps its content when it is
+// encoded and parsed again, and that a refusal has a reason and a detail.
 func FuzzSubmission(f *testing.F) {
 	for _, seed := range []string{
 		`{"template":"quote","tasks":[{"room":1},[2,"x"],null],"deadline_millis":500,"first":true}`,
@@ -26,7 +26,7 @@
 		var body SubmitBody
 		code, detail := parse(text, &body)
 		if code == "" {
-			code, detail = body.check(&limits)
+			code, detail = body.validate(&limits)
 		}
 		if code != "" {
 			if detail == "" {
@@ -38,8 +38,8 @@
 			t.Errorf("accepted %+v", body)
 		}
 		for _, task := range body.Tasks {
-			if nesting(t, task) > limits.MaxDepth {
-				t.Errorf("accepted a task that nests too deep: %s", task)
+			if decodedDepth(t, task) > limits.MaxDepth {
+				t.Errorf("accepted a task that is nested too deeply: %s", task)
 			}
 		}
 		var again SubmitBody
@@ -53,25 +53,25 @@
 	})
 }
 
-// nesting is how deep a task nests, by the standard decoder.
-func nesting(t *testing.T, task json.RawMessage) int {
+// decodedDepth returns the nesting depth of a task as decoded by encoding/json.
+func decodedDepth(t *testing.T, task json.RawMessage) int {
 	var value any
 	if err := json.Unmarshal(task, &value); err != nil {
 		t.Fatalf("accepted a task that is not JSON: %q", task)
 	}
-	return levels(value)
+	return valueDepth(value)
 }
 
-func levels(value any) int {
+func valueDepth(value any) int {
 	deepest := 0
 	switch value := value.(type) {
 	case []any:
 		for _, v := range value {
-			deepest = max(deepest, levels(v))
+			deepest = max(deepest, valueDepth(v))
 		}
 	case map[string]any:
 		for _, v := range value {
-			deepest = max(deepest, levels(v))
+			deepest = max(deepest, valueDepth(v))
 		}
 	default:
 		return 0
--- a/internal/connection/caller/doc.go
+++ b/internal/connection/caller/doc.go
@@ -1,22 +1,23 @@
-// Package caller is the HTTP/JSON interface to callers.
+// Package caller serves the HTTP/JSON interface for callers.
 //
-//	POST   /v1/tickets                        tickets, in batches
-//	PUT    /v1/submissions/{ticket}           submit, or attach when known
-//	POST   /v1/submissions                    submit under a ticket minted on arrival, or
-//	                                          under the caller's own Idempotency-Key
-//	GET    /v1/submissions/{ticket}           attach, waits for the answer
+//	POST   /v1/tickets                        issue a batch of tickets
+//	PUT    /v1/submissions/{ticket}           submit, or attach to a known submission
+//	POST   /v1/submissions                    submit under a new ticket, or under the
+//	                                          caller's own Idempotency-Key
+//	GET    /v1/submissions/{ticket}           attach and wait for the answer
 //	DELETE /v1/submissions/{ticket}           cancel
-//	GET    /v1/submissions/{ticket}/timeline  what happened and why
+//	GET    /v1/submissions/{ticket}/timeline  list the steps of a submission and their reasons
 //
 // A caller authenticates with its client account's key as a bearer token.
-// While a caller that sent the header Pumiceyard-Heartbeat waits for an answer, it
-// gets a 102 (Processing) at each beat, and can tell a connection that went
-// silent from a job that takes its time. It is on request only, since some HTTP
-// clients take any 1xx but 100 for the answer.
+//
+// A caller that sends the header Pumiceyard-Heartbeat gets a 102 (Processing)
+// response at a fixed interval while it waits, so that it can tell a dead
+// connection from a long job. Heartbeats are opt-in because some HTTP clients
+// take any 1xx response other than 100 for the final one.
 //
 // Refusals and failures are RFC 9457 problem details with the members outcome
-// (not_run, failed, unknown), reason (a stable code) and, where it makes sense
-// to ask again, retry_after_millis.
+// (not_run, failed, unknown), reason (a stable code) and, if a retry makes
+// sense, retry_after_millis.
 package caller
 
 import (
@@ -35,23 +36,25 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// Settings bound what a caller may send.
+// Settings limit the size and duration of callers' requests.
 type Settings struct {
 	MaxBodyBytes int64
-	MaxTasks     int // over all templates
-	MaxDepth     int // of nested JSON in a task
-	MaxTickets   int // in one batch
-	// BodyTimeout bounds the time for which one request's body may take to come.
+	MaxTasks     int // per submission, for every template
+	MaxDepth     int // nesting depth of the JSON of a task
+	MaxTickets   int // per batch
+	// BodyTimeout limits how long a request's body may take to arrive.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds the time for which a caller may take to read an answer.
+	// WriteTimeout limits how long a caller may take to read an answer.
 	WriteTimeout time.Duration
-	// Wait bounds one GET; the caller asks again afterwards.
+	// AttachTimeout limits how long one GET waits for the answer. The caller
+	// then sends the GET again.
 	AttachTimeout time.Duration
-	// Beat is the time between heartbeats to callers that ask for them.
+	// HeartbeatInterval is the time between heartbeats to callers that request
+	// them.
 	HeartbeatInterval time.Duration
 }
 
-// Defaults returns bounds that fit a job of 920 tasks of some KB each.
+// Defaults returns limits that admit a job of 920 tasks of a few KB each.
 func Defaults() Settings {
 	return Settings{
 		MaxBodyBytes:      16 << 20,
@@ -65,10 +68,11 @@
 	}
 }
 
-// Router drives submissions.
+// Router runs submissions and finds the entry VM that runs a known one.
 type Router interface {
 	Mint(account string) (ticket.Ticket, string)
-	// Leaving reports that tickets of this entry VM would soon be refused.
+	// Leaving reports whether this entry VM is shutting down, so that its tickets
+	// would soon be refused.
 	Leaving() bool
 	Parse(token, account string) (ticket.Ticket, *ticket.Error)
 	Submit(ctx context.Context, req router.Request) *job.Answer
@@ -76,28 +80,28 @@
 	Cancel(ctx context.Context, token string, t ticket.Ticket, forwarded bool) bool
 }
 
-// Timelines collects the steps of a submission over the entry VMs.
+// Timelines collects the steps of a submission from all entry VMs.
 type Timelines interface {
 	Collect(ctx context.Context, id ticket.ID) []NamedStep
 }
 
-// NamedStep is a step with the entry VM that noted it.
+// NamedStep is a timeline step with the name of the entry VM that recorded it.
 type NamedStep struct {
 	EntryVM string
 	timeline.Step
 }
 
-// SubmitBody is the body of a submission.
+// SubmitBody is the request body of a submission.
 type SubmitBody struct {
 	Template       string            `json:"template"`
 	Tasks          []json.RawMessage `json:"tasks"`
 	DeadlineMillis uint32            `json:"deadline_millis,omitempty"`
-	// First says that the caller never sent this ticket before. A refusal can
-	// then say "not run" without asking any worker.
+	// First asserts that the caller has never sent this ticket or key before. A
+	// refusal can then say "not run" without asking any worker.
 	First bool `json:"first,omitempty"`
 }
 
-// TicketsBody asks for tickets.
+// TicketsBody is the request body for a batch of tickets.
 type TicketsBody struct {
 	Count int `json:"count"`
 }
@@ -114,7 +118,7 @@
 	ExpiryUnixMillis int64  `json:"expiry_unix_millis"`
 }
 
-// Result is a complete answer.
+// Result is the response body of a submission that completed.
 type Result struct {
 	Ticket   string            `json:"ticket"`
 	Outcome  reason.Outcome    `json:"outcome"`
@@ -122,7 +126,8 @@
 	Revision uint64            `json:"revision"`
 }
 
-// Problem tells why there is no complete answer (RFC 9457).
+// Problem is the RFC 9457 response body if a submission did not complete or a
+// request was refused.
 type Problem struct {
 	Type             string         `json:"type"`
 	Title            string         `json:"title"`
@@ -135,13 +140,13 @@
 	Ticket           string         `json:"ticket,omitempty"`
 }
 
-// TimelineBody lists what happened to a submission.
+// TimelineBody is the response body of a timeline.
 type TimelineBody struct {
 	ID    string         `json:"id"`
 	Steps []TimelineStep `json:"steps"`
 }
 
-// TimelineStep is one step, in the order of time.
+// TimelineStep is one step of a timeline. Steps are in order of time.
 type TimelineStep struct {
 	UnixMicros int64       `json:"unix_micros"`
 	EntryVM    string      `json:"entry_vm"`
@@ -150,7 +155,7 @@
 	Detail     string      `json:"detail,omitempty"`
 }
 
-// statusOf maps a reason to an HTTP status.
+// statusOf maps a reason, and else an outcome, to an HTTP status.
 func statusOf(code reason.Code, outcome reason.Outcome) int {
 	switch code {
 	case reason.MalformedRequest, reason.BadTicket, reason.TooManyTasks, reason.TicketExpired:
@@ -180,12 +185,13 @@
 	return http.StatusServiceUnavailable
 }
 
-// Claims binds callers' own idempotency keys to tickets.
+// Claims binds callers' idempotency keys to tickets.
 type Claims interface {
-	// Claim returns the ticket that the account's key is bound to: the given
-	// one, or that of an earlier request.
+	// Claim binds the account's key to the ticket token unless an earlier request
+	// has bound it, and returns the token that the key is bound to.
 	Claim(ctx context.Context, account, key, token string) (bound string, refusal *claims.Refusal)
 }
 
-// Documents gives the configuration in force, nil before there is one.
+// Documents returns the configuration document in force, or nil before the first
+// one is known.
 type Documents func() *document.Document
--- a/internal/connection/caller/claimed.go
+++ b/internal/connection/caller/idempotency.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// idempotencyHeader carries a caller's own key for a submission.
+	// idempotencyHeader is the header with a caller's own key for a submission.
 	idempotencyHeader = "Idempotency-Key"
-	// maxKeyBytes bounds a caller's own key.
+	// maxKeyBytes is the maximum length of an idempotency key.
 	maxKeyBytes = 255
 )
 
-// submitClaimed submits under a caller's own key, for any template.
+// submitWithKey submits under a caller's idempotency key, for any template.
 //
-// "Not run" is said only when the caller says that it never sent this key
-// before: while the store is out, nothing else tells whether an earlier request
-// under the key ran.
-func (s *Server) submitClaimed(w http.ResponseWriter, r *http.Request, account, key string, body *SubmitBody) {
+// A refusal reports "not run" only if the caller asserts that it has never sent
+// this key before: during a store outage there is no other way to tell whether an
+// earlier request with the key ran.
+func (s *Server) submitWithKey(w http.ResponseWriter, r *http.Request, account, key string, body *SubmitBody) {
 	if len(key) > maxKeyBytes {
-		refuseAs(w, body.refusedOutcome(r), reason.MalformedRequest, fmt.Sprintf("%s is over %d bytes", idempotencyHeader, maxKeyBytes))
+		refuseAs(w, body.refusedOutcome(r), reason.MalformedRequest, fmt.Sprintf("%s is longer than %d bytes", idempotencyHeader, maxKeyBytes))
 		return
 	}
 	_, token := s.router.Mint(account)
@@ -39,11 +39,11 @@
 	}
 	t, err := s.router.Parse(bound, account)
 	if err != nil {
-		refuse(w, r, err.Code, "the ticket that the key is bound to: "+err.Detail)
+		refuse(w, r, err.Code, "the ticket that the idempotency key is bound to is refused: "+err.Detail)
 		return
 	}
-	// Between the claim and this submission another request under the key may
-	// already have attached to the ticket and been driven.
+	// If the key is bound to another ticket, an earlier request with this key may
+	// already have been run.
 	body.First = body.First && bound == token
-	s.run(w, r, body, t, bound)
+	s.submitAndAnswer(w, r, body, t, bound)
 }
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -17,24 +17,24 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Server answers callers.
+// Server handles callers' requests.
 type Server struct {
-	settings  Settings
-	router    Router
-	timelines Timelines
-	document  Documents
-	claims    Claims
+	settings      Settings
+	router        Router
+	timelines     Timelines
+	configuration Documents
+	claims        Claims
 }
 
 // NewServer returns a server.
 func NewServer(s Settings, r Router, t Timelines, d Documents, c Claims) *Server {
-	return &Server{settings: s, router: r, timelines: t, document: d, claims: c}
+	return &Server{settings: s, router: r, timelines: t, configuration: d, claims: c}
 }
 
-// Handler serves the interface.
+// Handler returns the HTTP handler of the interface.
 func (s *Server) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/v1/tickets", s.authenticated(s.tickets)).Methods(http.MethodPost)
+	m.HandleFunc("/v1/tickets", s.authenticated(s.issueTickets)).Methods(http.MethodPost)
 	m.HandleFunc("/v1/submissions", s.authenticated(s.submitNew)).Methods(http.MethodPost)
 	m.HandleFunc(submissionPath+"{ticket}", s.authenticated(s.submit)).Methods(http.MethodPut)
 	m.HandleFunc(submissionPath+"{ticket}", s.authenticated(s.attach)).Methods(http.MethodGet)
@@ -42,16 +42,18 @@
 	m.HandleFunc(submissionPath+"{ticket}/timeline", s.authenticated(s.timeline)).Methods(http.MethodGet)
 	m.NotFoundHandler = problemHandler(http.StatusNotFound, "no such path")
 	m.MethodNotAllowedHandler = problemHandler(http.StatusMethodNotAllowed, "method not allowed here")
-	return s.boundWrites(m)
+	return s.limitWriteTime(m)
 }
 
+// problemHandler answers every request with the same problem.
 func problemHandler(status int, detail string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		writeProblem(w, Problem{Status: status, Outcome: refusedOutcome(r), Reason: reason.MalformedRequest, Detail: detail})
 	})
 }
 
-// refusedOutcome is what can be said of a submission whose body was read.
+// refusedOutcome is the outcome to report if a submission whose body was read is
+// refused.
 func (b *SubmitBody) refusedOutcome(r *http.Request) reason.Outcome {
 	if b.First {
 		return reason.NotRun
@@ -59,13 +61,14 @@
 	return refusedOutcome(r)
 }
 
-// submissionPath begins the paths that name a ticket.
+// submissionPath is the prefix of the paths that contain a ticket.
 const submissionPath = "/v1/submissions/"
 
-// refusedOutcome is what can be said of a submission when the request is refused
-// by its form. What goes wrong otherwise: a caller repeats a submission whose
-// answer was lost, its key was rotated meanwhile, and "not run" makes it submit
-// the work anew although the first request ran it.
+// refusedOutcome is the outcome to report if a request is refused before its
+// submission is looked up. A request that names a ticket or an idempotency key may
+// be a retry, so its outcome is unknown. For example, the answer to a submission is
+// lost and the account's key is rotated before the caller retries: "not run"
+// would make the caller submit again work that the first request has run.
 func refusedOutcome(r *http.Request) reason.Outcome {
 	if strings.HasPrefix(r.URL.Path, submissionPath) || r.Header.Get(idempotencyHeader) != "" {
 		return reason.Unknown
@@ -73,14 +76,16 @@
 	return reason.NotRun
 }
 
-// accountHandler handles a request of a known client account.
+// accountHandler handles a request of an authenticated client account.
 type accountHandler func(w http.ResponseWriter, r *http.Request, account string)
 
+// authenticated finds the client account of a request's bearer token and refuses
+// requests without one.
 func (s *Server) authenticated(next accountHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		doc := s.document()
+		doc := s.configuration()
 		if doc == nil {
-			refuse(w, r, reason.NoConfiguration, "no configuration revision is known yet")
+			refuse(w, r, reason.NoConfiguration, "this entry VM has not received a configuration revision yet")
 			return
 		}
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -90,22 +95,23 @@
 		}
 		account := doc.AccountOfKey(key)
 		if account == nil {
-			refuse(w, r, reason.WrongKey, "the key belongs to no client account")
+			refuse(w, r, reason.WrongKey, "the bearer token is not the key of any client account")
 			return
 		}
 		next(w, r, account.Name)
 	}
 }
 
-// refuse answers a request that had no effect. It says "not run" only where no
+// refuse answers a request that had no effect. It reports "not run" only if no
 // earlier request can have run the same submission.
 func refuse(w http.ResponseWriter, r *http.Request, code reason.Code, detail string) {
 	refuseAs(w, refusedOutcome(r), code, detail)
 }
 
+// refuseAs answers a request that had no effect, with a given outcome.
 func refuseAs(w http.ResponseWriter, outcome reason.Outcome, code reason.Code, detail string) {
 	if outcome == reason.Unknown {
-		detail += "; this request ran nothing, an earlier one under the same ticket or key may have"
+		detail += "; this request ran nothing, but an earlier request with the same ticket or key may have"
 	}
 	writeProblem(w, Problem{
 		Status:  statusOf(code, outcome),
@@ -115,8 +121,9 @@
 	})
 }
 
-// refuseTicket answers a token that is not a ticket of this account: nothing of
-// the account's can ever have run under it.
+// refuseTicket answers a request whose token is not a valid ticket of the account.
+// The outcome is "not run", because no submission of the account can ever have run
+// under that token.
 func refuseTicket(w http.ResponseWriter, err *ticket.Error) {
 	refuseAs(w, reason.NotRun, err.Code, err.Detail)
 }
@@ -134,7 +141,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (s *Server) tickets(w http.ResponseWriter, r *http.Request, account string) {
+func (s *Server) issueTickets(w http.ResponseWriter, r *http.Request, account string) {
 	var body TicketsBody
 	if code, detail := s.decode(w, r, &body); code != "" {
 		refuse(w, r, code, detail)
@@ -145,7 +152,7 @@
 		return
 	}
 	if s.router.Leaving() {
-		refuse(w, r, reason.Draining, "the entry VM is stopping: ask another one")
+		refuse(w, r, reason.Draining, "this entry VM is shutting down; send the request to another one")
 		return
 	}
 	out := Tickets{Tickets: make([]IssuedTicket, 0, body.Count)}
@@ -156,30 +163,30 @@
 	writeJSON(w, out)
 }
 
-// submitNew takes a submission without a ticket. Only idempotent templates may,
-// unless the caller has a key of its own: were the answer lost, the caller could
-// not ask again without running the work a second time.
+// submitNew accepts a submission without a ticket. The template must be idempotent
+// unless the request has an idempotency key: if the answer is lost, a caller that
+// has neither ticket nor key can only retry by running the work a second time.
 func (s *Server) submitNew(w http.ResponseWriter, r *http.Request, account string) {
-	body, ok := s.submission(w, r)
+	body, ok := s.readSubmission(w, r)
 	if !ok {
 		return
 	}
-	t := s.document().Template(body.Template)
+	t := s.configuration().Template(body.Template)
 	if t == nil {
-		refuseAs(w, body.refusedOutcome(r), reason.UnknownTemplate, "no template has that name")
+		refuseAs(w, body.refusedOutcome(r), reason.UnknownTemplate, "there is no template of this name")
 		return
 	}
 	if key := r.Header.Get(idempotencyHeader); key != "" {
-		s.submitClaimed(w, r, account, key, body)
+		s.submitWithKey(w, r, account, key, body)
 		return
 	}
 	if !t.Idempotent {
-		refuse(w, r, reason.TicketRequired, "the template is not idempotent: PUT it under a ticket, or send an "+idempotencyHeader)
+		refuse(w, r, reason.TicketRequired, "the template is not idempotent: submit with PUT and a ticket, or send an "+idempotencyHeader)
 		return
 	}
 	tk, token := s.router.Mint(account)
 	body.First = true
-	s.run(w, r, body, tk, token)
+	s.submitAndAnswer(w, r, body, tk, token)
 }
 
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, account string) {
@@ -189,28 +196,30 @@
 		refuseTicket(w, err)
 		return
 	}
-	body, ok := s.submission(w, r)
+	body, ok := s.readSubmission(w, r)
 	if !ok {
 		return
 	}
-	s.run(w, r, body, t, token)
+	s.submitAndAnswer(w, r, body, t, token)
 }
 
-// submission reads and checks the form of a body.
-func (s *Server) submission(w http.ResponseWriter, r *http.Request) (*SubmitBody, bool) {
+// readSubmission reads and validates the body of a submission. If the body is
+// refused, it has answered the request and returns false.
+func (s *Server) readSubmission(w http.ResponseWriter, r *http.Request) (*SubmitBody, bool) {
 	var body SubmitBody
 	if code, detail := s.decode(w, r, &body); code != "" {
 		refuse(w, r, code, detail)
 		return nil, false
 	}
-	if code, detail := body.check(&s.settings); code != "" {
+	if code, detail := body.validate(&s.settings); code != "" {
 		refuseAs(w, body.refusedOutcome(r), code, detail)
 		return nil, false
 	}
 	return &body, true
 }
 
-func (s *Server) run(w http.ResponseWriter, r *http.Request, body *SubmitBody, t ticket.Ticket, token string) {
+// submitAndAnswer routes a valid submission, waits for its answer and writes it.
+func (s *Server) submitAndAnswer(w http.ResponseWriter, r *http.Request, body *SubmitBody, t ticket.Ticket, token string) {
 	req := router.Request{Token: token, Ticket: t, Template: body.Template, First: body.First, Inputs: make([][]byte, len(body.Tasks))}
 	for i, task := range body.Tasks {
 		req.Inputs[i] = task
@@ -218,7 +227,7 @@
 	if body.DeadlineMillis > 0 {
 		req.Deadline = time.Now().Add(time.Duration(body.DeadlineMillis) * time.Millisecond)
 	}
-	s.answer(w, token, s.wait(w, r, func() *job.Answer { return s.router.Submit(r.Context(), req) }))
+	s.writeAnswer(w, token, s.awaitAnswer(w, r, func() *job.Answer { return s.router.Submit(r.Context(), req) }))
 }
 
 func (s *Server) attach(w http.ResponseWriter, r *http.Request, account string) {
@@ -230,12 +239,12 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), s.settings.AttachTimeout)
 	defer cancel()
-	a := s.wait(w, r, func() *job.Answer { return s.router.Attach(ctx, token, t, false) })
+	a := s.awaitAnswer(w, r, func() *job.Answer { return s.router.Attach(ctx, token, t, false) })
 	if a == nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	s.answer(w, token, a)
+	s.writeAnswer(w, token, a)
 }
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request, account string) {
@@ -250,7 +259,7 @@
 			Status:  http.StatusNotFound,
 			Outcome: reason.Unknown,
 			Reason:  reason.NoSuchSubmission,
-			Detail:  "no entry VM that can be reached drives this submission",
+			Detail:  "no reachable entry VM is running this submission",
 			Ticket:  token,
 		})
 		return
@@ -258,10 +267,10 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// answer writes a final answer.
-func (s *Server) answer(w http.ResponseWriter, token string, a *job.Answer) {
+// writeAnswer writes the final answer as a Result or a Problem.
+func (s *Server) writeAnswer(w http.ResponseWriter, token string, a *job.Answer) {
 	if a == nil {
-		return // the caller went away
+		return // the caller has disconnected
 	}
 	if a.Outcome == reason.Complete {
 		writeResult(w, token, a)
@@ -281,8 +290,8 @@
 	writeProblem(w, p)
 }
 
-// writeResult writes a Result. The outputs are JSON already, so they are joined
-// and not encoded anew; one that is not JSON is sent as a string.
+// writeResult writes a Result. Outputs that are valid JSON are copied into the
+// body without encoding them again; any other output is sent as a JSON string.
 func writeResult(w http.ResponseWriter, token string, a *job.Answer) {
 	size := resultOverhead + len(token)
 	for _, o := range a.Outputs {
@@ -302,8 +311,11 @@
 	_, _ = w.Write(b)
 }
 
+// resultOverhead is the space reserved in bytes for a result's fields around the
+// ticket and the outputs.
 const resultOverhead = 96
 
+// appendOutput appends one output as a JSON value.
 func appendOutput(b, output []byte) []byte {
 	switch {
 	case len(output) == 0:
@@ -324,7 +336,7 @@
 	writeJSON(w, NewTimeline(t.ID, s.timelines.Collect(r.Context(), t.ID)))
 }
 
-// NewTimeline writes the steps of a submission.
+// NewTimeline returns the response body for the steps of a submission.
 func NewTimeline(id ticket.ID, steps []NamedStep) TimelineBody {
 	out := TimelineBody{ID: id.String(), Steps: []TimelineStep{}}
 	for _, step := range steps {
--- a/internal/connection/caller/server_test.go
+++ b/internal/connection/caller/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// fixedRouter gives every submission the same answer.
+// fixedRouter returns the same answer for every submission.
 type fixedRouter struct{ answer *job.Answer }
 
 func (fixedRouter) Mint(string) (ticket.Ticket, string)                      { return ticket.Ticket{}, "t" }
@@ -30,19 +30,19 @@
 	return f.answer
 }
 
-// Symptom: goroutines and memory of an entry VM grow. Sequence: a caller asks for
-// a large answer and does not read it. Cause: a write without a bound.
-func TestCallerThatDoesNotReadIsLeft(t *testing.T) {
-	const large = 24 << 20 // more than the sockets' buffers hold
-	answer := &job.Answer{Outcome: reason.Complete, Outputs: [][]byte{append(bytes.Repeat([]byte("1"), large), ' ')}}
+// Guards against goroutines and memory that pile up in an entry VM: a caller
+// requests a large answer and does not read it, and the write has no deadline.
+func TestConnectionOfNonReadingCallerIsClosed(t *testing.T) {
+	const outputBytes = 24 << 20 // more than the sockets' buffers hold
+	answer := &job.Answer{Outcome: reason.Complete, Outputs: [][]byte{append(bytes.Repeat([]byte("1"), outputBytes), ' ')}}
 	doc := &document.Document{Accounts: []document.Account{{Name: "desk", KeyHashes: []string{document.KeyHash("k")}}}}
 	s := Defaults()
 	s.WriteTimeout = 100 * time.Millisecond
 	handler := NewServer(s, fixedRouter{answer}, nil, func() *document.Document { return doc }, nil).Handler()
-	left := make(chan struct{})
+	returned := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler.ServeHTTP(w, r)
-		close(left)
+		close(returned)
 	}))
 	defer server.Close()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
@@ -52,8 +52,8 @@
 	defer conn.Close()
 	_, _ = fmt.Fprintf(conn, "GET /v1/submissions/t HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\n\r\n")
 	select {
-	case <-left:
+	case <-returned:
 	case <-time.After(20 * time.Second):
-		t.Error("still writing")
+		t.Error("the handler is still writing to a caller that does not read")
 	}
 }
--- a/internal/connection/caller/write.go
+++ b/internal/connection/caller/write.go
@@ -7,43 +7,44 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/job"
 )
 
-// boundWrites bounds the time for which a caller may take to read an answer.
+// limitWriteTime limits how long a caller may take to read an answer. The time
+// starts with the first write, so waiting for the answer does not count.
 //
-// What goes wrong otherwise: a caller stops reading, or its connection goes
-// silent, in the middle of a large answer; its goroutine and the answer stay
-// until the kernel gives up after many minutes, and one would see both grow. The
-// wait for the answer does not count: the time starts with the first write.
-func (s *Server) boundWrites(next http.Handler) http.Handler {
+// Without the limit, a caller that stops reading or loses its connection in the
+// middle of a large answer keeps a goroutine and the answer in memory until the
+// kernel gives up many minutes later, and both accumulate.
+func (s *Server) limitWriteTime(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A connection that is used again still has the last answer's deadline.
+		// A reused connection still has the deadline of the previous answer.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
-		next.ServeHTTP(&boundedWriter{ResponseWriter: w, timeout: s.settings.WriteTimeout}, r)
+		next.ServeHTTP(&deadlineWriter{ResponseWriter: w, timeout: s.settings.WriteTimeout}, r)
 	})
 }
 
-// boundedWriter starts the write deadline with the first write.
-type boundedWriter struct {
+// deadlineWriter sets the write deadline at the first write of an answer.
+type deadlineWriter struct {
 	http.ResponseWriter
 	timeout time.Duration
 	started bool
 }
 
-// Unwrap lets http.ResponseController find the connection.
-func (w *boundedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (w *deadlineWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *boundedWriter) WriteHeader(status int) {
-	w.start()
+func (w *deadlineWriter) WriteHeader(status int) {
+	w.startDeadline()
 	w.ResponseWriter.WriteHeader(status)
-	// The time for the answer itself starts anew after a heartbeat.
+	// A heartbeat (1xx) does not count as the start of the answer, so the next
+	// write sets a new deadline.
 	w.started = status >= http.StatusOK
 }
 
-func (w *boundedWriter) Write(b []byte) (int, error) {
-	w.start()
+func (w *deadlineWriter) Write(b []byte) (int, error) {
+	w.startDeadline()
 	return w.ResponseWriter.Write(b)
 }
 
-func (w *boundedWriter) start() {
+func (w *deadlineWriter) startDeadline() {
 	if w.started {
 		return
 	}
@@ -51,29 +52,28 @@
 	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now().Add(w.timeout))
 }
 
-// heartbeatHeader is sent by callers that want heartbeats while they wait.
+// heartbeatHeader is the request header that enables heartbeats.
 const heartbeatHeader = "Pumiceyard-Heartbeat"
 
-// wait runs f, which waits for an answer, and sends heartbeats meanwhile to a
-// caller that asked for them.
+// awaitAnswer runs f, which waits for an answer, and sends heartbeats in the
+// meantime if the caller requested them.
 //
-// What goes wrong otherwise: something between caller and entry VM loses track of
-// the connection, and both ends wait on it for good; the caller's job is answered,
-// and one would see its caller hang. A caller that misses heartbeats asks again on
-// a new connection.
-func (s *Server) wait(w http.ResponseWriter, r *http.Request, f func() *job.Answer) *job.Answer {
+// Without heartbeats, a caller hangs if a device between it and the entry VM
+// drops the connection's state: neither end notices, and the answer to the job
+// never arrives. A caller that misses heartbeats retries on a new connection.
+func (s *Server) awaitAnswer(w http.ResponseWriter, r *http.Request, f func() *job.Answer) *job.Answer {
 	if r.Header.Get(heartbeatHeader) == "" {
 		return f()
 	}
 	answer := make(chan *job.Answer, 1)
 	go func() { answer <- f() }()
-	beats := time.NewTicker(s.settings.HeartbeatInterval)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(s.settings.HeartbeatInterval)
+	defer heartbeats.Stop()
 	for {
 		select {
 		case a := <-answer:
 			return a
-		case <-beats.C:
+		case <-heartbeats.C:
 			w.WriteHeader(http.StatusProcessing)
 		}
 	}
