--- a/internal/kept/policy/settings.go
+++ b/internal/kept/policy/settings.go
@@ -44,7 +44,7 @@
 	OwnReserve float64 `json:"own_reserve"`
 	// Spread divides a submission whose tasks do not fit into any one shard over several.
 	Spread bool `json:"spread"`
-	// Recall makes the home VM recall a divided submission of which no part has started once
+	// TakeBack makes the home VM recall a divided submission of which no part has started once
 	// KeepWaiting refuses it. Without it, under overload, such a submission is never refused and
 	// waits until its caller's timeout.
 	TakeBack bool `json:"take_back"`
