--- a/internal/kept/vm/losses_test.go
+++ b/internal/kept/vm/losses_test.go
@@ -12,10 +12,10 @@
 
 // wantCrashes checks that a submission has crashed at least one worker and at most a given number, and that no
 // task was started more often after crashes than users were promised.
-func (w *world) wantCrashes(id submission.ID, most int) {
+func (w *world) wantCrashes(id submission.ID, maxCrashes int) {
 	w.t.Helper()
-	if n := w.fleet.Crashes(id); n == 0 || n > most {
-		w.t.Errorf("%s has crashed %d workers, want 1 to %d", id, n, most)
+	if n := w.fleet.Crashes(id); n == 0 || n > maxCrashes {
+		w.t.Errorf("%d workers were crashed by %s, want 1 to %d", n, id, maxCrashes)
 	}
 	if n := w.fleet.MaxStartsAfterCrashLimit(); n > runhost.MaxStartsAfterCrashLimit {
 		w.t.Errorf("a task was started %d times after it had crashed %d workers", n, runhost.CrashLimit)
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -51,8 +51,8 @@
 			rejected.TasksElsewhere = []submission.Task{{Index: 1}}
 			returned.TasksElsewhere = []submission.Task{{Index: 0}, {Index: 1}}
 			p := &part{record: &rejected, shard: "b/0", state: submission.Rejected}
-			unassigned := unassignedTasks{record: &returned, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
-			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{unassigned}}
+			toAssign := unassignedTasks{record: &returned, tasks: []shard.ReturnedTask{{Task: submission.Task{Index: 1}}}}
+			sub := &transientSubmission{record: whole, parts: []*part{p}, unassigned: []unassignedTasks{toAssign}}
 			e.transients["job"] = sub
 			e.evacuations.Apply(evacuation.Notice{Domain: "a", Revision: 1 << 40, Evacuated: true})
 			e.placeUnassigned(sub)
--- a/internal/kept/vm/size_test.go
+++ b/internal/kept/vm/size_test.go
@@ -64,12 +64,12 @@
 		sum := 0
 		for name, n := range w.linkCounts() {
 			sum += n
-			if most := 12; w.cores[name] < 0.5 && n > most {
-				t.Errorf("%s has %d links, want %d at most", name, n, most)
+			if maxLinks := 12; w.cores[name] < 0.5 && n > maxLinks {
+				t.Errorf("%s has %d links, want %d at most", name, n, maxLinks)
 			}
 		}
-		if all := 40 * 39; sum > all/4 {
-			t.Errorf("%d links of %d", sum, all)
+		if fullMesh := 40 * 39; sum > fullMesh/4 {
+			t.Errorf("%d links, want at most a quarter of the %d of a full mesh", sum, fullMesh)
 		}
 		for _, at := range []string{"a0", "a7", "b3", "d8"} {
 			w.wantEnd(w.submit(at, submission.ID("s-"+at), 8, runhost.Work{Time: 60 * ms}, true), submission.Done)
@@ -122,7 +122,7 @@
 		}
 		for _, at := range []string{"a7", "b5", "c6", "d7"} {
 			if n := w.waitingAt(at, "q"); n != all {
-				t.Errorf("%s counts %d waiting submissions, a0 counts %d", at, n, all)
+				t.Errorf("%d waiting submissions are counted at %s, %d at a0", n, at, all)
 			}
 		}
 		for _, out := range fill {
--- a/internal/kept/vm/waiting_test.go
+++ b/internal/kept/vm/waiting_test.go
@@ -31,14 +31,14 @@
 		time.Sleep(5 * time.Second)
 		for _, at := range []string{"a1", "a2"} {
 			if n := w.waitingAt(at, "q"); n != 1 {
-				t.Errorf("%s counts %d waiting submissions, want 1", at, n)
+				t.Errorf("%d waiting submissions are counted at %s, want 1", n, at)
 			}
 		}
 		w.cut("b", false)
 		time.Sleep(4 * time.Second)
 		for _, at := range []string{"a1", "a2", "b1", "b2"} {
 			if n := w.waitingAt(at, "q"); n != 0 {
-				t.Errorf("%s counts %d waiting submissions after the partition, want 0", at, n)
+				t.Errorf("%d waiting submissions are counted at %s after the partition, want 0", n, at)
 			}
 		}
 		<-filler
