--- a/internal/connection/platform/platform.go
+++ b/internal/connection/platform/platform.go
@@ -1,6 +1,6 @@
 // Package platform calls the platform's key-value service and VM list. It is a
 // thin layer over the generated client: one method per operation, each with a
-// deadline, and no retry, which is storeclient's decision.
+// deadline. It does not retry; package storeclient decides on retries.
 package platform
 
 import (
@@ -17,36 +17,36 @@
 
 // Deadlines of the operations.
 const (
-	// CallTimeout bounds each operation but a watch. The service answers in
-	// milliseconds when it is well.
+	// CallTimeout limits every operation except Watch. A healthy service answers
+	// within milliseconds.
 	CallTimeout = 2 * time.Second
-	// WatchGrace is how long past its wait a watch may stay without an answer.
-	// A watch whose connection went silent would otherwise wait for ever, and
-	// changes of the configuration would go unseen.
-	WatchGrace = time.Second
+	// WatchReplyTimeout is how long the answer to a watch may take after the wait that
+	// the watch asked for has passed. Without it, a watch on a dead connection would
+	// wait forever and miss changes of the configuration.
+	WatchReplyTimeout = time.Second
 )
 
-// NewHTTPClient returns the HTTP client to dial with. Nil dial uses TCP.
+// NewHTTPClient returns an HTTP client to pass to Dial. A nil dialer means TCP.
 //
-// It speaks HTTP/1.1 only. A connection can go silent for good while new ones
-// work; HTTP/2 would go on putting calls on it, and each would time out. On
-// HTTP/1.1 a call that times out takes its connection with it, and the next
-// call opens another.
+// The client uses HTTP/1.1 only. A connection can die without an error while new
+// connections work. With HTTP/2, further calls would use the dead connection and
+// all time out. With HTTP/1.1, a call that times out closes its connection, and
+// the next call opens a new one.
 func NewHTTPClient(dial wire.Dialer) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
 		Protocols:           protocols,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 	}}
 }
 
-// idleConnections is how many connections to the service are kept for reuse: a
-// watch, and a few calls beside it.
-const idleConnections = 4
+// maxIdleConnections is the number of idle connections to the service that are kept
+// for reuse: enough for one watch and a few concurrent calls.
+const maxIdleConnections = 4
 
-// Client calls the platform's service.
+// Client makes calls to the platform's service.
 type Client struct {
 	service pumiceyardv1connect.PlatformServiceClient
 }
@@ -62,7 +62,8 @@
 	return &Client{service: service}
 }
 
-// Handler serves a platform service at the path that Dial's clients use.
+// Handler returns an HTTP handler for a platform service, at the path that clients
+// made by Dial use.
 func Handler(service pumiceyardv1connect.PlatformServiceHandler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(pumiceyardv1connect.NewPlatformServiceHandler(service))
@@ -79,10 +80,10 @@
 	return call(ctx, CallTimeout, c.service.CompareAndSet, msg)
 }
 
-// Watch waits for a key to change, for at most the wait in the message.
+// Watch waits until a key changes, at most for the message's WaitMillis.
 func (c *Client) Watch(ctx context.Context, msg *pumiceyardv1.WatchRequest) (*pumiceyardv1.WatchResponse, error) {
 	wait := time.Duration(msg.WaitMillis) * time.Millisecond
-	return call(ctx, wait+WatchGrace, c.service.Watch, msg)
+	return call(ctx, wait+WatchReplyTimeout, c.service.Watch, msg)
 }
 
 // GrantLease asks for a lease.
@@ -95,7 +96,7 @@
 	return call(ctx, CallTimeout, c.service.KeepAlive, msg)
 }
 
-// ListVMs reads the list of VMs, which lags behind their true state.
+// ListVMs reads the platform's list of VMs, which may be out of date.
 func (c *Client) ListVMs(ctx context.Context) (*pumiceyardv1.ListVMsResponse, error) {
 	return call(ctx, CallTimeout, c.service.ListVMs, &pumiceyardv1.ListVMsRequest{})
 }
@@ -103,6 +104,7 @@
 // operation is one method of the generated client.
 type operation[Request, Response any] func(context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
 
+// call runs one operation with a timeout.
 func call[Request, Response any](ctx context.Context, timeout time.Duration, op operation[Request, Response], msg *Request) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/connection/platform/platform_test.go
+++ b/internal/connection/platform/platform_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Symptom: an entry VM misses changes of the configuration. Sequence: it
-// watches; the connection goes silent; the wait ends without an answer. Cause:
-// something between the two ends has lost track of the connection.
+// Guards against an entry VM that misses changes of the configuration: a device
+// between the two ends drops the connection's state while the VM waits in a watch,
+// and no answer arrives. The watch must end with an error.
 func TestSilentWatchEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.New(standin.Options{})
@@ -41,8 +41,8 @@
 		if connect.CodeOf(err) != connect.CodeDeadlineExceeded {
 			t.Errorf("error %v, want a deadline exceeded", err)
 		}
-		if waited := time.Since(started); waited != 3*time.Second+platform.WatchGrace {
-			t.Errorf("waited %v", waited)
+		if waited := time.Since(started); waited != 3*time.Second+platform.WatchReplyTimeout {
+			t.Errorf("the watch ended after %v, want the wait of 3 s plus the reply timeout", waited)
 		}
 	})
 }
--- a/internal/connection/submissions/submissions.go
+++ b/internal/connection/submissions/submissions.go
@@ -1,5 +1,6 @@
-// Package submissions is the callers' own interface to submissions under their own
-// key: kept ones, and transient ones that are answered by their end.
+// Package submissions serves the Connect interface to submissions that callers
+// identify by a key of their own. A stored submission is answered as soon as it is
+// accepted, a transient one when it has ended.
 package submissions
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/vm"
 )
 
-// Entry is the entry VM behind the interface.
+// Entry is the entry VM that the requests are passed to.
 type Entry interface {
 	Catalog() *catalog.Catalog
 	Submit(ctx context.Context, r *submission.Record) vm.Outcome
@@ -29,10 +30,10 @@
 }
 
 const (
-	answerWithin = 30 * time.Second // unless the caller's own deadline comes first
+	submitTimeout = 30 * time.Second // maximum wait for a submission's answer, if the caller's deadline is not earlier
 )
 
-// Handler serves the interface.
+// Handler returns the path and the HTTP handler of the interface.
 func Handler(e Entry) (path string, h http.Handler) {
 	return pumiceyardv1connect.NewSubmissionServiceHandler(&service{entry: e}, wire.HandlerOptions()...)
 }
@@ -40,47 +41,49 @@
 type service struct{ entry Entry }
 
 var (
-	errQueue = errors.New("queue: there is none of that name")
-	errStart = errors.New("no configuration has come yet; nothing has run")
+	errUnknownQueue  = errors.New("queue: there is no queue of this name")
+	errNotConfigured = errors.New("the entry VM has not received a configuration yet; nothing has run")
 )
 
-// SubmitWork implements the service.
+// SubmitWork implements SubmissionServiceHandler.
 func (s *service) SubmitWork(ctx context.Context, req *connect.Request[pb.SubmitWorkRequest]) (*connect.Response[pb.SubmitWorkResponse], error) {
 	c := s.entry.Catalog()
 	if c == nil {
-		return nil, refusal(errStart, time.Second)
+		return nil, unavailable(errNotConfigured, time.Second)
 	}
 	q := c.Queue(req.Msg.Queue)
 	if q == nil {
-		return nil, connect.NewError(connect.CodeNotFound, errQueue)
+		return nil, connect.NewError(connect.CodeNotFound, errUnknownQueue)
 	}
-	rec, err := record(q, req.Msg)
+	rec, err := newRecord(q, req.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	o := s.entry.Submit(ctx, rec)
 	switch o.Kind {
 	case vm.Accepted:
 		return connect.NewResponse(&pb.SubmitWorkResponse{State: pb.WorkState_WORK_STATE_QUEUED}), nil
 	case vm.Ended:
-		return connect.NewResponse(&pb.SubmitWorkResponse{State: stateOf(o.State)}), nil
+		return connect.NewResponse(&pb.SubmitWorkResponse{State: workStateOf(o.State)}), nil
 	case vm.Refused:
-		return nil, refusal(errors.New("not run: "+o.Reason), o.RetryAfter)
+		return nil, unavailable(errors.New("not run: "+o.Reason), o.RetryAfter)
 	default:
 		return nil, connect.NewError(connect.CodeUnknown, errors.New("it may have run: "+o.Reason))
 	}
 }
 
-// refusal says that nothing has run, and when to come back.
-func refusal(err error, after time.Duration) error {
+// unavailable returns the error for a request that had no effect or got no answer,
+// with the header that says when to retry.
+func unavailable(err error, after time.Duration) error {
 	out := connect.NewError(connect.CodeUnavailable, err)
 	out.Meta().Set("Retry-After", vm.RetryAfterSeconds(after))
 	return out
 }
 
-func record(q *catalog.Queue, m *pb.SubmitWorkRequest) (*submission.Record, error) {
+// newRecord builds the record of a submission and validates it.
+func newRecord(q *catalog.Queue, m *pb.SubmitWorkRequest) (*submission.Record, error) {
 	rec := &submission.Record{ID: submission.ID(m.Key), Queue: q.Name, Spec: m.Spec, Terms: q.Terms, Transient: m.Transient}
 	for i, w := range m.Steps {
 		step := submission.Step{
@@ -96,14 +99,14 @@
 			step.DependsOn = append(step.DependsOn, int(a))
 		}
 		if w.Count == 0 {
-			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Reason: "a step has tasks"}
+			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Reason: "a step must have at least one task"}
 		}
 		rec.Steps = append(rec.Steps, step)
 	}
 	return rec, rec.Validate()
 }
 
-var states = map[submission.State]pb.WorkState{
+var workStates = map[submission.State]pb.WorkState{
 	submission.Queued:    pb.WorkState_WORK_STATE_QUEUED,
 	submission.Running:   pb.WorkState_WORK_STATE_RUNNING,
 	submission.Done:      pb.WorkState_WORK_STATE_DONE,
@@ -111,31 +114,31 @@
 	submission.Cancelled: pb.WorkState_WORK_STATE_CANCELLED,
 }
 
-func stateOf(s submission.State) pb.WorkState { return states[s] }
+func workStateOf(s submission.State) pb.WorkState { return workStates[s] }
 
-// GetState implements the service.
+// GetState implements SubmissionServiceHandler.
 func (s *service) GetState(ctx context.Context, req *connect.Request[pb.GetStateRequest]) (*connect.Response[pb.GetStateResponse], error) {
 	state, err := s.entry.State(ctx, submission.ID(req.Msg.Key))
 	if err != nil {
-		return nil, refusal(err, time.Second)
+		return nil, unavailable(err, time.Second)
 	}
-	return connect.NewResponse(&pb.GetStateResponse{State: stateOf(state)}), nil
+	return connect.NewResponse(&pb.GetStateResponse{State: workStateOf(state)}), nil
 }
 
-// CancelWork implements the service.
+// CancelWork implements SubmissionServiceHandler.
 func (s *service) CancelWork(ctx context.Context, req *connect.Request[pb.CancelWorkRequest]) (*connect.Response[pb.CancelWorkResponse], error) {
 	state, err := s.entry.Cancel(ctx, submission.ID(req.Msg.Key))
 	if err != nil {
-		return nil, refusal(err, time.Second)
+		return nil, unavailable(err, time.Second)
 	}
-	return connect.NewResponse(&pb.CancelWorkResponse{State: stateOf(state)}), nil
+	return connect.NewResponse(&pb.CancelWorkResponse{State: workStateOf(state)}), nil
 }
 
-// CountWaiting implements the service.
+// CountWaiting implements SubmissionServiceHandler.
 func (s *service) CountWaiting(ctx context.Context, req *connect.Request[pb.CountWaitingRequest]) (*connect.Response[pb.CountWaitingResponse], error) {
 	n, err := s.entry.Waiting(ctx, req.Msg.Queue)
 	if err != nil {
-		return nil, refusal(err, time.Second)
+		return nil, unavailable(err, time.Second)
 	}
 	return connect.NewResponse(&pb.CountWaitingResponse{Waiting: uint32(n)}), nil
 }
--- a/internal/connection/submissions/submissions_test.go
+++ b/internal/connection/submissions/submissions_test.go
@@ -15,34 +15,34 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/vm"
 )
 
-// entry answers as it is told.
-type entry struct {
-	catalog *catalog.Catalog
-	outcome vm.Outcome
-	state   submission.State
-	err     error
-	got     *submission.Record
+// fakeEntry returns fixed answers and records the last submission.
+type fakeEntry struct {
+	catalog  *catalog.Catalog
+	outcome  vm.Outcome
+	state    submission.State
+	err      error
+	received *submission.Record
 }
 
-func (e *entry) Catalog() *catalog.Catalog { return e.catalog }
+func (e *fakeEntry) Catalog() *catalog.Catalog { return e.catalog }
 
-func (e *entry) Submit(_ context.Context, r *submission.Record) vm.Outcome {
-	e.got = r
+func (e *fakeEntry) Submit(_ context.Context, r *submission.Record) vm.Outcome {
+	e.received = r
 	return e.outcome
 }
 
-func (e *entry) State(context.Context, submission.ID) (submission.State, error) {
+func (e *fakeEntry) State(context.Context, submission.ID) (submission.State, error) {
 	return e.state, e.err
 }
 
-func (e *entry) Cancel(context.Context, submission.ID) (submission.State, error) {
+func (e *fakeEntry) Cancel(context.Context, submission.ID) (submission.State, error) {
 	return e.state, e.err
 }
 
-func (e *entry) Waiting(context.Context, string) (int, error) { return 7, e.err }
+func (e *fakeEntry) Waiting(context.Context, string) (int, error) { return 7, e.err }
 
-func newEntry() *entry {
-	return &entry{catalog: &catalog.Catalog{Queues: []catalog.Queue{{Name: "q", Terms: submission.Terms{Service: "desk", Attempts: 2}}}}}
+func newEntry() *fakeEntry {
+	return &fakeEntry{catalog: &catalog.Catalog{Queues: []catalog.Queue{{Name: "q", Terms: submission.Terms{Service: "desk", Attempts: 2}}}}}
 }
 
 func serve(t *testing.T, e submissions.Entry) string {
@@ -62,7 +62,7 @@
 	}}
 }
 
-func TestSubmissionReadsBack(t *testing.T) {
+func TestSubmissionReachesEntryVMUnchanged(t *testing.T) {
 	e := newEntry()
 	k, err := client.NewKeptClient(serve(t, e))
 	if err != nil {
@@ -72,38 +72,38 @@
 	if err != nil || state != client.StateQueued {
 		t.Fatalf("%s, %v", state, err)
 	}
-	r := e.got
+	r := e.received
 	if r.ID != "a-1" || r.Queue != "q" || r.TaskCount() != 3 || r.Terms.Service != "desk" || r.Steps[0].Estimate != 40*time.Millisecond || len(r.Steps[1].DependsOn) != 1 {
-		t.Errorf("the entry VM got %+v", r)
+		t.Errorf("the entry VM received %+v", r)
 	}
 	if n, err := k.Waiting(t.Context(), "q"); n != 7 || err != nil {
-		t.Errorf("%d wait, %v", n, err)
+		t.Errorf("%d submissions wait (%v), want 7", n, err)
 	}
 }
 
-func TestWhatCannotBeTakenIsSaidAtOnce(t *testing.T) {
+func TestInvalidSubmissionIsRejected(t *testing.T) {
 	e := newEntry()
 	k, err := client.NewKeptClient(serve(t, e))
 	if err != nil {
 		t.Fatal(err)
 	}
-	circle := work("b")
-	circle.Steps[0].DependsOn = []uint32{1}
-	other := work("b")
-	other.Queue = "none"
-	for name, w := range map[string]client.Work{"key": work("a b"), "empty": {Queue: "q", Key: "b"}, "circle": circle, "queue": other} {
+	cyclic := work("b")
+	cyclic.Steps[0].DependsOn = []uint32{1}
+	unknownQueue := work("b")
+	unknownQueue.Queue = "none"
+	for name, w := range map[string]client.Work{"key": work("a b"), "empty": {Queue: "q", Key: "b"}, "circle": cyclic, "queue": unknownQueue} {
 		if _, err := k.Submit(t.Context(), w); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("a submission with an invalid %s was accepted", name)
 		}
 	}
-	if e.got != nil {
-		t.Error("the entry VM got a submission that cannot be read")
+	if e.received != nil {
+		t.Error("an invalid submission reached the entry VM")
 	}
 }
 
-// Symptom: a caller takes a refusal for an unknown outcome. A refusal says that nothing
-// has run, and when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// Guards against a client that takes a refusal for an unknown outcome. A refusal
+// means that nothing has run, and says when to retry.
+func TestRefusalHasRetryAfter(t *testing.T) {
 	e := newEntry()
 	e.outcome = vm.Outcome{Kind: vm.Refused, RetryAfter: 1500 * time.Millisecond, Reason: "no room"}
 	k, err := client.NewKeptClient(serve(t, e))
@@ -115,12 +115,12 @@
 	_, err = k.Submit(ctx, work("a"))
 	var refused *client.NotRunError
 	if !errors.As(err, &refused) || refused.RetryAfter != 2*time.Second {
-		t.Errorf("the error is %v", err)
+		t.Errorf("got error %v, want a NotRunError with a retry after 2 s", err)
 	}
 }
 
-// A VM that does not answer does not keep a caller from another one that does.
-func TestCallerGoesToTheNextVM(t *testing.T) {
+// If one VM does not answer, the client asks the next one.
+func TestClientFallsBackToNextVM(t *testing.T) {
 	dead := httptest.NewServer(http.NotFoundHandler())
 	dead.Close()
 	e := newEntry()
@@ -130,6 +130,6 @@
 		t.Fatal(err)
 	}
 	if s, err := k.Wait(t.Context(), "a"); s != client.StateDone || err != nil {
-		t.Errorf("%s, %v", s, err)
+		t.Errorf("state %s, error %v", s, err)
 	}
 }
