--- a/internal/kept/vm/incarnation_test.go
+++ b/internal/kept/vm/incarnation_test.go
@@ -54,7 +54,7 @@
 }
 
 // Guards against an answer of another incarnation that is taken for one of the session's incarnation.
-func TestAnswersAreOfOneIncarnation(t *testing.T) {
+func TestAnswersOfOtherIncarnationsAreNotUsed(t *testing.T) {
 	next := worker.Incarnation{ID: "w", Born: 9}
 	for name, c := range map[string]struct {
 		known, answers int64
--- a/internal/kept/vm/parts_test.go
+++ b/internal/kept/vm/parts_test.go
@@ -12,7 +12,7 @@
 // Guards against a submission that ends before all its tasks have completed: a shard has completed a part of it and
 // is assigned another part, from an evacuated domain; the message is lost, the holder is asked for the state and
 // reports that of the first part, which must not be taken for the second one's.
-func TestEndOfAnEarlierPartIsNotThatOfALaterOne(t *testing.T) {
+func TestReportAboutAnEarlierPartIsIgnored(t *testing.T) {
 	testWorld(t, func(w *world) {
 		v := w.vms["a1"]
 		reply := make(chan submission.State, 1)
--- a/internal/kept/vm/worker_entry_test.go
+++ b/internal/kept/vm/worker_entry_test.go
@@ -13,7 +13,7 @@
 // Guards against new tasks for a worker whose entry in the store can no longer be decoded: another
 // writer overwrote the entry while tasks ran on the worker, and the last valid entry was still used.
 // The runs on the worker go on and keep their leases.
-func TestAnEntryThatTurnsUnreadableTakesNothingNew(t *testing.T) {
+func TestWorkerWithUnreadableEntryGetsNoNewTasks(t *testing.T) {
 	testWorld(t, func(w *world) {
 		out := w.submit("a1", "long", 6, runhost.Work{Time: 2 * time.Second}, true)
 		time.Sleep(200 * ms)
@@ -34,7 +34,7 @@
 
 // Guards against reported capacity that no submission can use, and against calls to an address where
 // no worker is: an entry names a service that the configuration does not have.
-func TestEntriesOfUnknownServicesAreNotHeld(t *testing.T) {
+func TestWorkersOfUnknownServicesGetNoSession(t *testing.T) {
 	testWorld(t, func(w *world) {
 		value, err := json.Marshal(worker.Info{ID: "w-a9", Service: "elsewhere", Address: "nowhere", Domain: "a", CPUMilli: 16000, MemMB: 65536})
 		if err != nil {
