--- a/internal/kept/vm/cancel_property_test.go
+++ b/internal/kept/vm/cancel_property_test.go
@@ -41,93 +41,93 @@
 // randomCancelEvent is one random event: Op selects what happens, N with which VM, submission, worker or fault.
 type randomCancelEvent struct{ Op, N int }
 
-func (p *cancellationRun) do(ev randomCancelEvent) error {
-	vms := slices.Sorted(maps.Keys(p.vms))
+func (r *cancellationRun) do(ev randomCancelEvent) error {
+	vms := slices.Sorted(maps.Keys(r.vms))
 	name := vms[ev.N%len(vms)]
 	switch ev.Op {
 	case 0, 1, 2:
-		p.submitHanging(name, ev.N)
+		r.submitHanging(name, ev.N)
 	case 3, 4, 5:
-		p.cancel(name, ev.N)
+		r.cancel(name, ev.N)
 	case 6:
-		p.recordFault()
-		p.kill(name)
-		p.bootCount++
-		p.boot(fmt.Sprintf("%s-next%d", name[:1], p.bootCount))
+		r.recordFault()
+		r.kill(name)
+		r.bootCount++
+		r.boot(fmt.Sprintf("%s-next%d", name[:1], r.bootCount))
 	case 7:
-		p.recordFault()
-		info := p.fleet.RestartWorker(fmt.Sprintf("worker-a%d", ev.N%3), fmt.Sprintf("w-a%d", ev.N%3))
+		r.recordFault()
+		info := r.fleet.RestartWorker(fmt.Sprintf("worker-a%d", ev.N%3), fmt.Sprintf("w-a%d", ev.N%3))
 		if ev.N%2 == 0 {
-			p.putWorkerEntry(info)
+			r.putWorkerEntry(info)
 		}
 	case 8:
-		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%4) * 1300 * ms })
+		r.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%4) * 1300 * ms })
 	case 9:
-		p.fleet.DelayStarts(nil)
+		r.fleet.DelayStarts(nil)
 	case 10:
-		p.recordFault()
-		p.withoutStore[name] = true
-		p.storeDoors[name].SetFault([]kvstore.Fault{kvstore.Unavailable, kvstore.NoReply, kvstore.ReplyLost}[ev.N%3])
+		r.recordFault()
+		r.withoutStore[name] = true
+		r.storeTransports[name].SetFault([]kvstore.Fault{kvstore.Unavailable, kvstore.NoReply, kvstore.ReplyLost}[ev.N%3])
 	case 11:
-		p.restoreStore()
+		r.restoreStore()
 	}
 	for range 1 + ev.N%6 {
 		time.Sleep(200 * ms)
-		if err := p.checkCancelled(); err != nil {
+		if err := r.checkCancelled(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *cancellationRun) recordFault() { p.lastFault = time.Now() }
+func (r *cancellationRun) recordFault() { r.lastFault = time.Now() }
 
-func (p *cancellationRun) restoreStore() {
-	p.recordFault()
-	clear(p.withoutStore)
-	for _, d := range p.storeDoors {
+func (r *cancellationRun) restoreStore() {
+	r.recordFault()
+	clear(r.withoutStore)
+	for _, d := range r.storeTransports {
 		d.SetFault(kvstore.NoFault)
 	}
 }
 
 // submitHanging sends a submission whose tasks hang.
-func (p *cancellationRun) submitHanging(at string, n int) {
-	id := submission.ID(fmt.Sprintf("s%d", len(p.stored)))
-	p.stored = append(p.stored, id)
-	out := p.submit(at, id, 1+n%4, runhost.Work{Time: 50 * ms, Hangs: true}, false)
+func (r *cancellationRun) submitHanging(at string, n int) {
+	id := submission.ID(fmt.Sprintf("s%d", len(r.stored)))
+	r.stored = append(r.stored, id)
+	out := r.submit(at, id, 1+n%4, runhost.Work{Time: 50 * ms, Hangs: true}, false)
 	go func() { <-out }()
 }
 
-func (p *cancellationRun) cancel(at string, n int) {
-	if len(p.stored) == 0 {
+func (r *cancellationRun) cancel(at string, n int) {
+	if len(r.stored) == 0 {
 		return
 	}
-	id := p.stored[n%len(p.stored)]
+	id := r.stored[n%len(r.stored)]
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	if s, err := p.vms[at].Cancel(ctx, id); err == nil && s == submission.Cancelled && p.cancelledAt[id].IsZero() {
-		p.cancelledAt[id] = time.Now()
+	if s, err := r.vms[at].Cancel(ctx, id); err == nil && s == submission.Cancelled && r.cancelledAt[id].IsZero() {
+		r.cancelledAt[id] = time.Now()
 	}
 }
 
 // checkCancelled returns an error if a task of a cancelled submission runs for too long. It checks nothing within
 // faultSettleTime after a fault.
-func (p *cancellationRun) checkCancelled() error {
-	if len(p.withoutStore) > 0 || time.Since(p.lastFault) < faultSettleTime {
+func (r *cancellationRun) checkCancelled() error {
+	if len(r.withoutStore) > 0 || time.Since(r.lastFault) < faultSettleTime {
 		return nil
 	}
-	for _, id := range p.stored {
-		at := p.cancelledAt[id]
-		if at.IsZero() || p.fleet.Running(id) == 0 {
+	for _, id := range r.stored {
+		at := r.cancelledAt[id]
+		if at.IsZero() || r.fleet.Running(id) == 0 {
 			continue
 		}
 		counts := at
-		for _, s := range p.log.ofSubmission(id) {
+		for _, s := range r.log.ofSubmission(id) {
 			if late := s.at.Add(faultSettleTime); late.After(counts) {
 				counts = late
 			}
 		}
-		if over := time.Since(counts) - maxCancelDelay - maxStopDelay; over > 0 && time.Since(p.lastFault) > faultSettleTime+maxCancelDelay {
+		if over := time.Since(counts) - maxCancelDelay - maxStopDelay; over > 0 && time.Since(r.lastFault) > faultSettleTime+maxCancelDelay {
 			return fmt.Errorf("%s still runs %v after its cancellation had to take effect", id, over)
 		}
 	}
@@ -135,16 +135,16 @@
 }
 
 // finish ends all faults and returns an error if a guarantee was broken.
-func (p *cancellationRun) finish() error {
-	p.restoreStore()
-	p.fleet.DelayStarts(nil)
+func (r *cancellationRun) finish() error {
+	r.restoreStore()
+	r.fleet.DelayStarts(nil)
 	for range 100 {
 		time.Sleep(200 * ms)
-		if err := p.checkCancelled(); err != nil {
+		if err := r.checkCancelled(); err != nil {
 			return err
 		}
 	}
-	if f := p.fleet.Violations(); len(f) > 0 {
+	if f := r.fleet.Violations(); len(f) > 0 {
 		return fmt.Errorf("%v", f)
 	}
 	return nil
@@ -164,18 +164,18 @@
 	}))
 	properties.Property("no cancelled submission runs on", prop.ForAll(func(events []randomCancelEvent) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
-			p := &cancellationRun{world: newWorldWithIncarnations(t, 3), cancelledAt: make(map[submission.ID]time.Time), withoutStore: make(map[string]bool)}
-			p.log = watchStarts(p.world)
+			r := &cancellationRun{world: newWorldWithIncarnations(t, 3), cancelledAt: make(map[submission.ID]time.Time), withoutStore: make(map[string]bool)}
+			r.log = watchStarts(r.world)
 			for _, ev := range events {
-				if err = p.do(ev); err != nil {
+				if err = r.do(ev); err != nil {
 					break
 				}
 			}
 			if err == nil {
-				err = p.finish()
+				err = r.finish()
 			}
-			for name := range p.vms {
-				p.kill(name)
+			for name := range r.vms {
+				r.kill(name)
 			}
 		})
 		return err == nil, err
--- a/internal/kept/vm/catalog_test.go
+++ b/internal/kept/vm/catalog_test.go
@@ -30,8 +30,8 @@
 		w.putCatalog(5)
 		time.Sleep(100 * ms)
 		w.wantVersion(5, "after a change")
-		w.storeDoors["a2"].SetFault(kvstore.Unavailable)
-		w.storeDoors["b1"].SetFault(kvstore.NoReply)
+		w.storeTransports["a2"].SetFault(kvstore.Unavailable)
+		w.storeTransports["b1"].SetFault(kvstore.NoReply)
 		for version := 10; version <= 40; version += 3 {
 			w.putCatalog(version)
 			time.Sleep(100 * ms)
@@ -64,14 +64,14 @@
 // from its old revision.
 func TestConfigurationArrivesThoughItsHistoryWasDropped(t *testing.T) {
 	testWorld(t, func(w *world) {
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(2 * time.Second)
 		w.putCatalog(7)
 		w.store.Compact()
 		time.Sleep(2 * time.Second)
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoFault)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/kept/vm/deferred_test.go
+++ b/internal/kept/vm/deferred_test.go
@@ -33,7 +33,7 @@
 
 // Guards against a VM that keeps its callers waiting when it is cut off from everything: it has run
 // for some time, so it must refuse at once a submission that it cannot serve.
-func TestSubmissionsAreQueuedOnlyAtStartup(t *testing.T) {
+func TestSubmissionsAreDeferredOnlyAtStartup(t *testing.T) {
 	testWorld(t, func(w *world) {
 		for _, name := range []string{"a2", "b1", "b2"} {
 			w.kill(name)
--- a/internal/kept/vm/evacuate_property_test.go
+++ b/internal/kept/vm/evacuate_property_test.go
@@ -52,77 +52,77 @@
 
 var vmNames = []string{"a1", "a2", "b1", "b2"}
 
-func (p *evacuationRun) do(ev randomEvacuationEvent) {
+func (r *evacuationRun) do(ev randomEvacuationEvent) {
 	domain := []string{"a", "b"}[ev.N%2]
 	name := vmNames[ev.N%len(vmNames)]
 	switch ev.Op {
 	case 0, 1:
-		p.startEvacuation(domain)
+		r.startEvacuation(domain)
 	case 2:
-		p.stopEvacuation(domain)
+		r.stopEvacuation(domain)
 	case 3:
-		p.killVM(name)
-		p.boot(name)
+		r.killVM(name)
+		r.boot(name)
 	case 4:
-		p.toggleCut(domain)
+		r.toggleCut(domain)
 	case 5:
-		p.recordFault()
-		p.beginStoreOutage()
-		p.storeDoors[name].SetFault([]kvstore.Fault{kvstore.Unavailable, kvstore.NoReply, kvstore.ReplyLost}[ev.N%3])
+		r.recordFault()
+		r.beginStoreOutage()
+		r.storeTransports[name].SetFault([]kvstore.Fault{kvstore.Unavailable, kvstore.NoReply, kvstore.ReplyLost}[ev.N%3])
 	case 6:
-		p.recordFault()
-		p.endStoreOutage()
-		for _, d := range p.storeDoors {
+		r.recordFault()
+		r.endStoreOutage()
+		for _, d := range r.storeTransports {
 			d.SetFault(kvstore.NoFault)
 		}
 	case 7:
-		p.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%3) * 250 * ms })
+		r.fleet.DelayStarts(func(s worker.Start) time.Duration { return time.Duration((s.Task.Index+ev.N)%3) * 250 * ms })
 	case 8:
-		p.fleet.DelayStarts(nil)
+		r.fleet.DelayStarts(nil)
 	case 9:
-		p.store.Compact()
+		r.store.Compact()
 	case 10:
 		if ev.N%3 == 0 {
-			p.restartAll()
+			r.restartAll()
 		}
 	case 11:
-		p.letLeave("w-" + domain + "0")
+		r.letLeave("w-" + domain + "0")
 	default:
-		p.submitSome(ev.N)
+		r.submitSome(ev.N)
 	}
 	time.Sleep(time.Duration(ev.N%5) * 150 * ms)
-	p.pollCallers()
+	r.pollCallers()
 }
 
-func (p *evacuationRun) recordFault() { p.faults = append(p.faults, time.Now()) }
+func (r *evacuationRun) recordFault() { r.faults = append(r.faults, time.Now()) }
 
 // beginStoreOutage records that the store does not serve some VM.
-func (p *evacuationRun) beginStoreOutage() {
-	if p.storeOutage.from.IsZero() || !p.storeOutage.to.IsZero() {
-		p.storeOutage = span{from: time.Now()}
+func (r *evacuationRun) beginStoreOutage() {
+	if r.storeOutage.from.IsZero() || !r.storeOutage.to.IsZero() {
+		r.storeOutage = span{from: time.Now()}
 	}
 }
 
 // endStoreOutage records that the store serves all VMs again. Starts during the outage and soon after it are not
 // checked against worker announcements.
-func (p *evacuationRun) endStoreOutage() {
-	if !p.storeOutage.from.IsZero() && p.storeOutage.to.IsZero() {
-		p.storeOutage.to = time.Now()
+func (r *evacuationRun) endStoreOutage() {
+	if !r.storeOutage.from.IsZero() && r.storeOutage.to.IsZero() {
+		r.storeOutage.to = time.Now()
 	}
 }
 
 // letLeave makes a worker announce that it leaves. It keeps serving.
-func (p *evacuationRun) letLeave(id string) {
-	if p.leavingSince[id].IsZero() {
-		p.announceLeaving(id)
-		p.leavingSince[id] = time.Now()
+func (r *evacuationRun) letLeave(id string) {
+	if r.leavingSince[id].IsZero() {
+		r.announceLeaving(id)
+		r.leavingSince[id] = time.Now()
 	}
 }
 
 // checkLeaveNotice returns an error if a start came too long after its worker had announced that it leaves.
-func (p *evacuationRun) checkLeaveNotice(s observedStart) error {
-	since, leaving := p.leavingSince[s.worker]
-	if !leaving || s.at.Sub(since) <= maxLeaveNoticeDelay || p.isUnsettled(s) {
+func (r *evacuationRun) checkLeaveNotice(s observedStart) error {
+	since, leaving := r.leavingSince[s.worker]
+	if !leaving || s.at.Sub(since) <= maxLeaveNoticeDelay || r.isUnsettled(s) {
 		return nil
 	}
 	return fmt.Errorf("%v starts on %s %v after the worker announced that it leaves", s.task, s.worker, s.at.Sub(since))
@@ -130,54 +130,54 @@
 
 // isUnsettled reports whether, at the time of a start or within faultSettleTime before it, the store did not
 // serve some VM or the start's domain was cut off.
-func (p *evacuationRun) isUnsettled(s observedStart) bool {
-	spans := append(slices.Clone(p.cuts[s.domain]), p.storeOutage)
+func (r *evacuationRun) isUnsettled(s observedStart) bool {
+	spans := append(slices.Clone(r.cuts[s.domain]), r.storeOutage)
 	return slices.ContainsFunc(spans, func(c span) bool {
 		return !c.from.IsZero() && s.at.After(c.from) && (c.to.IsZero() || s.at.Sub(c.to) < faultSettleTime)
 	})
 }
 
-func (p *evacuationRun) startEvacuation(domain string) {
-	p.evacuate(domain)
-	if s := p.evacuated[domain]; len(s) == 0 || !s[len(s)-1].to.IsZero() {
-		p.evacuated[domain] = append(s, span{from: time.Now()})
+func (r *evacuationRun) startEvacuation(domain string) {
+	r.evacuate(domain)
+	if s := r.evacuated[domain]; len(s) == 0 || !s[len(s)-1].to.IsZero() {
+		r.evacuated[domain] = append(s, span{from: time.Now()})
 	}
 }
 
-func (p *evacuationRun) stopEvacuation(domain string) {
-	p.endEvacuation(domain)
-	if s := p.evacuated[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
+func (r *evacuationRun) stopEvacuation(domain string) {
+	r.endEvacuation(domain)
+	if s := r.evacuated[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
 		s[len(s)-1].to = time.Now()
 	}
 }
 
-func (p *evacuationRun) toggleCut(domain string) {
-	p.recordFault()
-	if s := p.cuts[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
-		p.cut(domain, false)
+func (r *evacuationRun) toggleCut(domain string) {
+	r.recordFault()
+	if s := r.cuts[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
+		r.cut(domain, false)
 		s[len(s)-1].to = time.Now()
 		return
 	}
-	p.cut(domain, true)
-	p.cuts[domain] = append(p.cuts[domain], span{from: time.Now()})
+	r.cut(domain, true)
+	r.cuts[domain] = append(r.cuts[domain], span{from: time.Now()})
 }
 
 // submitSome sends a few submissions, every third of them a stored one.
-func (p *evacuationRun) submitSome(n int) {
+func (r *evacuationRun) submitSome(n int) {
 	for range 1 + n%4 {
-		p.lastID++
-		id := submission.ID(fmt.Sprintf("s%d", p.lastID))
-		transient := p.lastID%3 > 0
+		r.lastID++
+		id := submission.ID(fmt.Sprintf("s%d", r.lastID))
+		transient := r.lastID%3 > 0
 		work := runhost.Work{Time: time.Duration(30+n%6*40) * ms}
-		at := (n + p.lastID) % len(vmNames)
-		p.tasks[id] = 1 + n%5
+		at := (n + r.lastID) % len(vmNames)
+		r.tasks[id] = 1 + n%5
 		if transient {
-			p.submitWithRetries(at, id, work)
+			r.submitWithRetries(at, id, work)
 			continue
 		}
-		out := p.submit(vmNames[at], id, p.tasks[id], work, false)
+		out := r.submit(vmNames[at], id, r.tasks[id], work, false)
 		if o := <-out; o.Kind == Accepted {
-			p.stored = append(p.stored, id)
+			r.stored = append(r.stored, id)
 		}
 	}
 }
@@ -185,11 +185,11 @@
 // callerRetryDelay is the time after which a caller that got no answer sends its submission again.
 const callerRetryDelay = 1300 * time.Millisecond
 
-// attempt is a caller that waits for the answer to a transient submission.
+// caller is a client that waits for the answer to a transient submission.
 type caller struct {
 	id       submission.ID
 	work     runhost.Work
-	at       int // index of its VM in names
+	at       int // index in vmNames of the VM that it sends to
 	out      chan Outcome
 	attempts int
 	retryAt  time.Time // when it sends the submission again; zero: it waits for an answer
@@ -198,94 +198,94 @@
 
 // submitWithRetries sends a transient submission. Its caller sends it again, to the next VM, each time that it
 // gets no answer.
-func (p *evacuationRun) submitWithRetries(at int, id submission.ID, work runhost.Work) {
-	p.callers = append(p.callers, &caller{id: id, work: work, at: at, attempts: 1, out: p.submit(vmNames[at], id, p.tasks[id], work, true)})
+func (r *evacuationRun) submitWithRetries(at int, id submission.ID, work runhost.Work) {
+	r.callers = append(r.callers, &caller{id: id, work: work, at: at, attempts: 1, out: r.submit(vmNames[at], id, r.tasks[id], work, true)})
 }
 
 // pollCallers lets the callers receive their answers and make the retries that are due.
-func (p *evacuationRun) pollCallers() {
-	for _, a := range p.callers {
-		if a.outcome != nil {
+func (r *evacuationRun) pollCallers() {
+	for _, c := range r.callers {
+		if c.outcome != nil {
 			continue
 		}
-		if !a.retryAt.IsZero() {
-			if !time.Now().Before(a.retryAt) {
-				a.at = (a.at + 1) % len(vmNames)
-				a.attempts++
-				a.retryAt = time.Time{}
-				a.out = p.submit(vmNames[a.at], a.id, p.tasks[a.id], a.work, true)
+		if !c.retryAt.IsZero() {
+			if !time.Now().Before(c.retryAt) {
+				c.at = (c.at + 1) % len(vmNames)
+				c.attempts++
+				c.retryAt = time.Time{}
+				c.out = r.submit(vmNames[c.at], c.id, r.tasks[c.id], c.work, true)
 			}
 			continue
 		}
 		select {
-		case o := <-a.out:
-			if o.Kind == Indeterminate && a.attempts < 5 {
-				a.retryAt = time.Now().Add(callerRetryDelay)
+		case o := <-c.out:
+			if o.Kind == Indeterminate && c.attempts < 5 {
+				c.retryAt = time.Now().Add(callerRetryDelay)
 				continue
 			}
-			a.outcome = &o
+			c.outcome = &o
 		default:
 		}
 	}
 }
 
 // killVM kills a VM. The callers that wait for its answers retry later at other VMs.
-func (p *evacuationRun) killVM(name string) {
-	p.recordFault()
-	p.kill(name)
-	for _, a := range p.callers {
-		if a.outcome == nil && a.retryAt.IsZero() && vmNames[a.at] == name {
-			a.retryAt = time.Now().Add(callerRetryDelay)
+func (r *evacuationRun) killVM(name string) {
+	r.recordFault()
+	r.kill(name)
+	for _, c := range r.callers {
+		if c.outcome == nil && c.retryAt.IsZero() && vmNames[c.at] == name {
+			c.retryAt = time.Now().Add(callerRetryDelay)
 		}
 	}
 }
 
 // restartAll kills all VMs at once and starts them again.
-func (p *evacuationRun) restartAll() {
+func (r *evacuationRun) restartAll() {
 	for _, name := range vmNames {
-		p.killVM(name)
+		r.killVM(name)
 	}
 	time.Sleep(300 * ms)
 	for _, name := range vmNames {
-		p.boot(name)
+		r.boot(name)
 	}
 }
 
 // finish ends all faults, lets the submissions end, and returns an error if a guarantee was broken.
-func (p *evacuationRun) finish() error {
-	for _, domain := range p.domains {
-		p.stopEvacuation(domain)
-		if s := p.cuts[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
-			p.toggleCut(domain)
+func (r *evacuationRun) finish() error {
+	for _, domain := range r.domains {
+		r.stopEvacuation(domain)
+		if s := r.cuts[domain]; len(s) > 0 && s[len(s)-1].to.IsZero() {
+			r.toggleCut(domain)
 		}
 	}
-	p.do(randomEvacuationEvent{Op: 6})
-	p.do(randomEvacuationEvent{Op: 8})
+	r.do(randomEvacuationEvent{Op: 6})
+	r.do(randomEvacuationEvent{Op: 8})
 	for range 60 {
 		time.Sleep(500 * ms)
-		p.pollCallers()
+		r.pollCallers()
 	}
-	for _, a := range p.callers {
+	for _, c := range r.callers {
 		switch {
-		case a.outcome == nil:
-			return fmt.Errorf("%s has no answer after %d attempts", a.id, a.attempts)
-		case a.outcome.Kind == Refused && a.attempts == 1 && p.fleet.Starts(a.id) > 0:
-			return fmt.Errorf("%s was refused (%s), but has run", a.id, a.outcome.Reason)
-		case a.outcome.Kind == Ended && !p.allCompleted(a.id):
-			return fmt.Errorf("%s ended as %s, but not all of its tasks have completed", a.id, a.outcome.State)
+		case c.outcome == nil:
+			return fmt.Errorf("%s has no answer after %d attempts", c.id, c.attempts)
+		case c.outcome.Kind == Refused && c.attempts == 1 && r.fleet.Starts(c.id) > 0:
+			return fmt.Errorf("%s was refused (%s), but has run", c.id, c.outcome.Reason)
+		case c.outcome.Kind == Ended && !r.allCompleted(c.id):
+			return fmt.Errorf("%s ended as %s, but not all of its tasks have completed", c.id, c.outcome.State)
 		}
 	}
-	for _, id := range p.stored {
-		if s := p.state("a1", id); s != submission.Done || !p.allCompleted(id) {
+	for _, id := range r.stored {
+		if s := r.state("a1", id); s != submission.Done || !r.allCompleted(id) {
 			return fmt.Errorf("%s was accepted, but its state is %s or not all of its tasks have completed", id, s)
 		}
 	}
-	if f := p.fleet.Violations(); len(f) > 0 {
+	if f := r.fleet.Violations(); len(f) > 0 {
 		return fmt.Errorf("%v", f)
 	}
-	for _, domain := range p.domains {
-		for _, s := range p.log.inDomain(domain, time.Time{}, time.Now()) {
-			if err := errors.Join(p.checkStart(s), p.checkLeaveNotice(s)); err != nil {
+	for _, domain := range r.domains {
+		for _, s := range r.log.inDomain(domain, time.Time{}, time.Now()) {
+			if err := errors.Join(r.checkStart(s), r.checkLeaveNotice(s)); err != nil {
 				return err
 			}
 		}
@@ -294,9 +294,9 @@
 }
 
 // allCompleted reports whether each task of a submission has completed.
-func (p *evacuationRun) allCompleted(id submission.ID) bool {
-	for i := range p.tasks[id] {
-		if p.fleet.Completions(submission.TaskRef{ID: id, Task: submission.Task{Index: i}}) == 0 {
+func (r *evacuationRun) allCompleted(id submission.ID) bool {
+	for i := range r.tasks[id] {
+		if r.fleet.Completions(submission.TaskRef{ID: id, Task: submission.Task{Index: i}}) == 0 {
 			return false
 		}
 	}
@@ -304,15 +304,15 @@
 }
 
 // checkStart returns an error if a start broke an evacuation of its domain.
-func (p *evacuationRun) checkStart(s observedStart) error {
-	for _, c := range p.cuts[s.domain] {
+func (r *evacuationRun) checkStart(s observedStart) error {
+	for _, c := range r.cuts[s.domain] {
 		if c.contains(s.at) || !c.to.IsZero() && s.at.After(c.to) && s.at.Sub(c.to) < faultSettleTime {
 			return nil // the domain's VMs could not know of the evacuation
 		}
 	}
-	for _, evacuation := range p.evacuated[s.domain] {
+	for _, evacuation := range r.evacuated[s.domain] {
 		maxDelay := maxEvacuationDelay
-		for _, f := range p.faults {
+		for _, f := range r.faults {
 			if f.After(evacuation.from.Add(-faultSettleTime)) && f.Before(s.at) {
 				maxDelay = maxEvacuationDelayAfterFault
 			}
@@ -339,7 +339,7 @@
 	}))
 	properties.Property("evacuations and announcements hold, nothing is lost", prop.ForAll(func(events []randomEvacuationEvent) (ok bool, err error) {
 		synctest.Test(t, func(t *testing.T) {
-			p := &evacuationRun{
+			r := &evacuationRun{
 				world:     newTwoDomainWorld(t),
 				evacuated: make(map[string][]span),
 				cuts:      make(map[string][]span),
@@ -347,14 +347,14 @@
 
 				leavingSince: make(map[string]time.Time),
 			}
-			p.log = watchStarts(p.world)
-			p.delayWorkerList(100 * ms)
+			r.log = watchStarts(r.world)
+			r.delayWorkerList(100 * ms)
 			for _, ev := range events {
-				p.do(ev)
+				r.do(ev)
 			}
-			err = p.finish()
-			for name := range p.vms {
-				p.kill(name)
+			err = r.finish()
+			for name := range r.vms {
+				r.kill(name)
 			}
 		})
 		return err == nil, err
--- a/internal/kept/vm/evacuate_test.go
+++ b/internal/kept/vm/evacuate_test.go
@@ -174,7 +174,7 @@
 	testWorld(t, func(w *world) {
 		asked := make(chan struct{}, 64)
 		for _, name := range []string{"a1", "a2"} {
-			w.storeDoors[name].SilenceCalls(func(c relay.Call) bool {
+			w.storeTransports[name].SilenceCalls(func(c relay.Call) bool {
 				if !isConfigWatch(c) {
 					return false
 				}
@@ -202,7 +202,7 @@
 			w.kill(name)
 		}
 		l := watchStarts(w)
-		w.storeDoors["a1"].SilenceCalls(isConfigWatch)
+		w.storeTransports["a1"].SilenceCalls(isConfigWatch)
 		from := time.Now()
 		w.boot("a1")
 		w.submitRepeatedly("a1", "job", 20*ms, 4*time.Second)
--- a/internal/kept/vm/large_site_test.go
+++ b/internal/kept/vm/large_site_test.go
@@ -150,7 +150,7 @@
 			t.Fatalf("%s reads the list and holds both shards", reader)
 		}
 		w.wantWorkersAt(other, 24, "after the start")
-		w.storeDoors[reader].SetFault(kvstore.NoReply)
+		w.storeTransports[reader].SetFault(kvstore.NoReply)
 		w.mesh.Kill(addressOf(reader)) // its links and its calls, not its process
 		for i := 24; i < 48; i++ {
 			w.addDeskWorker(fmt.Sprint(i), "a")
--- a/internal/kept/vm/leaving_worker_test.go
+++ b/internal/kept/vm/leaving_worker_test.go
@@ -122,7 +122,7 @@
 
 // silenceWorkerList makes the store answer no call for the list of workers, or all of them again.
 func (w *world) silenceWorkerList(silent bool) {
-	for _, d := range w.storeDoors {
+	for _, d := range w.storeTransports {
 		if silent {
 			d.SilenceCalls(isWorkerListCall)
 		} else {
@@ -133,7 +133,7 @@
 
 // delayWorkerList makes each call for the list of workers take longer.
 func (w *world) delayWorkerList(by time.Duration) {
-	for _, d := range w.storeDoors {
+	for _, d := range w.storeTransports {
 		d.DelayCalls(func(c relay.Call) time.Duration {
 			if isWorkerListCall(c) {
 				return by
@@ -187,7 +187,7 @@
 		for !w.vms[next].HoldsShard("a/0") {
 			time.Sleep(10 * ms)
 		}
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/kept/vm/site_watch_test.go
+++ b/internal/kept/vm/site_watch_test.go
@@ -30,7 +30,7 @@
 func (w *world) countWatches(names []string) *atomic.Int64 {
 	var n atomic.Int64
 	for _, name := range names {
-		w.storeDoors[name].SilenceCalls(func(c relay.Call) bool {
+		w.storeTransports[name].SilenceCalls(func(c relay.Call) bool {
 			if c.Target == "/store/watch" && bytes.Contains(c.Body, []byte(site.Prefix)) {
 				n.Add(1)
 			}
--- a/internal/kept/vm/unresponsive_worker_test.go
+++ b/internal/kept/vm/unreachable_worker_test.go
@@ -13,7 +13,7 @@
 // Guards against a submission that does not end while a dead worker is still in the list: a worker
 // that runs some of its tasks stops answering, and in its holder's reckoning each call without an
 // answer extended the worker's lease, so that it never expired.
-func TestTasksOfADarkWorkerStartElsewhere(t *testing.T) {
+func TestTasksOfAnUnreachableWorkerStartElsewhere(t *testing.T) {
 	testWorld(t, func(w *world) {
 		out := w.submit("a1", "job", 6, runhost.Work{Time: 800 * ms}, true)
 		time.Sleep(300 * ms)
--- a/internal/kept/vm/vm_test.go
+++ b/internal/kept/vm/vm_test.go
@@ -113,7 +113,7 @@
 func TestVMThatTheStoreTurnsAwayWorksOnThroughAPeer(t *testing.T) {
 	for _, fault := range []kvstore.Fault{kvstore.Unavailable, kvstore.NoReply} {
 		testWorld(t, func(w *world) {
-			w.storeDoors["a1"].SetFault(fault)
+			w.storeTransports["a1"].SetFault(fault)
 			time.Sleep(6 * time.Second)
 			began := time.Now()
 			w.wantAccepted(w.submit("a1", "kept", 2, runhost.Work{Time: 100 * ms}, false))
@@ -124,7 +124,7 @@
 			if s := w.state("a1", "kept"); s != submission.Done {
 				t.Errorf("its state is %s, want done", s)
 			}
-			w.storeDoors["a1"].SetFault(kvstore.NoFault)
+			w.storeTransports["a1"].SetFault(kvstore.NoFault)
 			time.Sleep(2 * time.Second)
 			if !w.vms["a1"].router.ReachesStore() {
 				t.Error("it does not call the store directly again")
@@ -137,7 +137,7 @@
 // The store does not answer for five seconds. Stored submissions are refused meanwhile.
 func TestTransientSubmissionsGoOnWithoutTheStore(t *testing.T) {
 	testWorld(t, func(w *world) {
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(5 * time.Second)
@@ -146,7 +146,7 @@
 		if o.Kind != Refused || o.RetryAfter == 0 {
 			t.Errorf("the outcome of a submission that cannot be stored is %+v, want Refused with a time to retry", o)
 		}
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoFault)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/kept/vm/worker_restart_test.go
+++ b/internal/kept/vm/worker_restart_test.go
@@ -77,7 +77,7 @@
 func TestRestartUnderTheSameIDWithoutTheStore(t *testing.T) {
 	testWorldWithIncarnations(t, 2, func(w *world) {
 		w.wantEnd(w.submit("a1", "before", 4, runhost.Work{Time: 50 * ms}, true), submission.Done)
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoReply)
 		}
 		time.Sleep(time.Second)
@@ -88,7 +88,7 @@
 		if n := w.fleet.Starts("during"); n > 6 {
 			t.Errorf("%d starts of four tasks of which the restart ended two, want at most 6", n)
 		}
-		for _, d := range w.storeDoors {
+		for _, d := range w.storeTransports {
 			d.SetFault(kvstore.NoFault)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -32,7 +32,7 @@
 	fleet           *fleet.Fleet
 	mesh            *mesh.Mesh
 	vms             map[string]*VM
-	storeDoors      map[string]*kvstore.Transport // by VM: its access to the store
+	storeTransports map[string]*kvstore.Transport // by VM: its access to the store
 	lastIncarnation uint64
 	domains         []string
 	cores           map[string]float64 // CPU cores by VM; absent: not known
@@ -80,14 +80,14 @@
 // newWorld returns a site without VMs and workers.
 func newWorld(t testing.TB, domains ...string) *world {
 	w := &world{
-		t:          t,
-		startedAt:  time.Now(),
-		store:      kvstore.New(),
-		fleet:      fleet.New(),
-		mesh:       mesh.New(),
-		vms:        make(map[string]*VM),
-		storeDoors: make(map[string]*kvstore.Transport),
-		domains:    domains,
+		t:               t,
+		startedAt:       time.Now(),
+		store:           kvstore.New(),
+		fleet:           fleet.New(),
+		mesh:            mesh.New(),
+		vms:             make(map[string]*VM),
+		storeTransports: make(map[string]*kvstore.Transport),
+		domains:         domains,
 	}
 	w.store.Put("config/catalog", []byte("1"))
 	return w
@@ -118,8 +118,8 @@
 func (w *world) boot(name string) {
 	domain := name[:1]
 	w.lastIncarnation++
-	if w.storeDoors[name] == nil {
-		w.storeDoors[name] = w.store.NewTransport(4 * ms)
+	if w.storeTransports[name] == nil {
+		w.storeTransports[name] = w.store.NewTransport(4 * ms)
 	}
 	w.vms[name] = Start(Config{
 		Name:           name,
@@ -130,7 +130,7 @@
 		PeerAddress:    addressOf(name),
 		PeerListen:     w.mesh.Listen(addressOf(name), domain),
 		PeerDial:       w.mesh.Dialer(addressOf(name), domain),
-		StoreTransport: w.storeDoors[name],
+		StoreTransport: w.storeTransports[name],
 		NewStore:       func(t relay.Transport) store.Store { return &kvcall.Client{Calls: t} },
 		Workers:        w.fleet.ClientFrom(domain),
 		StoreLayout: StoreLayout{
@@ -171,7 +171,7 @@
 func (w *world) cut(domain string, cut bool) {
 	w.mesh.Cut(domain, cut)
 	w.fleet.CutDomain(domain, cut)
-	for name, d := range w.storeDoors {
+	for name, d := range w.storeTransports {
 		switch {
 		case name[:1] != domain:
 		case cut:
