--- a/client/client.go
+++ b/client/client.go
@@ -1,10 +1,10 @@
 // Package client is the Go SDK for callers of pumiceyard.
 //
-// Submit gives each job a ticket that was fetched ahead, so a ticket costs no
-// round trip. A broken connection is followed by the same ticket on another one,
-// which attaches to the running job or fetches its answer: no job is submitted
-// anew after it may have been taken. The end is always one Answer with a typed
-// Outcome, or an error that says the outcome is not known.
+// Submit sends each job under a ticket that was prefetched, so that the ticket
+// costs no round trip. When the connection breaks, Submit sends the same ticket on
+// another one, which attaches to the running job or fetches its answer. A job that
+// may have been accepted is never submitted under a new ticket. Submit returns one
+// Answer with a typed Outcome, or an error that says that the outcome is not known.
 package client
 
 import (
@@ -26,15 +26,15 @@
 // Outcome is how a job ended.
 type Outcome string
 
-// The outcomes.
 const (
-	// Complete: every task ran, all outputs are there.
+	// Complete: every task ran, and the answer has all outputs.
 	Complete Outcome = "complete"
-	// Failed: the job ended and something of it may have run.
+	// Failed: the job ended, and some of its tasks may have run.
 	Failed Outcome = "failed"
-	// NotRun: nothing of the job has run or will run. It may be submitted anew.
+	// NotRun: no task of the job has run or will run. The job may be submitted again
+	// under a new ticket.
 	NotRun Outcome = "not_run"
-	// Unknown: it could not be proven whether some task ran.
+	// Unknown: some task may have run; the site could not find out.
 	Unknown Outcome = "unknown"
 )
 
@@ -42,75 +42,75 @@
 type Job struct {
 	Template string
 	Tasks    []json.RawMessage
-	Deadline time.Duration // 0: the template's
-	// OnTicket is called by Submit with the ticket that the job is about to be
-	// sent under, and the endpoint it is sent to. With the ticket another
-	// goroutine may Cancel or Resume the job while Submit waits. It is called
-	// once more for each time that a job which was not run is submitted anew.
+	Deadline time.Duration // time limit of the job; 0: the template's
+	// OnTicket, if set, is called by Submit before it sends the job, with the job's
+	// ticket and the endpoint that the job is sent to first. Another goroutine may use
+	// the ticket to Cancel or Resume the job while Submit waits. When a job that was
+	// not run is submitted again, OnTicket is called with the new ticket.
 	OnTicket func(ticket, endpoint string)
 }
 
-// Answer is the end of a job.
+// Answer is the final answer to a job.
 type Answer struct {
 	Outcome    Outcome
-	Outputs    []json.RawMessage // one per task when Complete, else nil
-	Reason     string            // stable code when not Complete
-	Detail     string
-	RetryAfter time.Duration // when it makes sense to ask again, 0: never
+	Outputs    []json.RawMessage // one per task if Complete, else nil
+	Reason     string            // stable reason code, unless Complete
+	Detail     string            // explanation for humans
+	RetryAfter time.Duration     // how long to wait before a retry; 0: do not retry
 	Ticket     string
-	Revision   uint64 // configuration revision the job ran under
-	Sent       int    // requests this answer took, 1 when nothing went wrong
+	Revision   uint64 // configuration revision that the job ran under
+	Sent       int    // requests sent to get this answer; 1 if nothing went wrong
 }
 
-// UnresolvedError says that no answer could be had before the context ended.
-// The job may run or have run; Resume with the ticket asks again.
+// UnresolvedError says that no final answer came before the context ended. The job
+// may be running or may have run. Resume with the ticket asks again.
 type UnresolvedError struct {
 	Ticket string
 	Cause  error
 }
 
 func (e *UnresolvedError) Error() string {
-	return "no answer yet, the outcome is not known: " + e.Cause.Error()
+	return "no final answer before the context ended, the outcome is not known: " + e.Cause.Error()
 }
 
 func (e *UnresolvedError) Unwrap() error { return e.Cause }
 
-// Options set up a Client.
+// Options configure a Client.
 type Options struct {
-	// Endpoints are base URLs of entry VMs, or of a balancer before them.
+	// Endpoints are the base URLs of entry VMs, or of a load balancer in front of them.
 	Endpoints []string
 	// Key is the client account's key.
 	Key string
-	// Prefetch is how many tickets are kept ready per endpoint; 0: 32.
+	// Prefetch is the number of tickets fetched at a time, per endpoint; 0: 32.
 	Prefetch int
-	// NotRunRetries is how often a job that was not run is submitted anew, after
-	// the time the site asks for; 0: never.
+	// NotRunRetries is how many times a job that was not run is submitted again, each
+	// time after the delay that the site asks for; 0: never.
 	NotRunRetries int
-	// Silence is how long an entry VM may send nothing while a job runs, not even
-	// a heartbeat; the job is then asked for on another connection. 0: 5 s.
+	// Silence is how long an entry VM may send nothing, not even a heartbeat, while a
+	// job runs. After that the client asks for the job on another connection. 0: 5 s.
 	Silence time.Duration
-	// HTTP is the client to use; nil: one with bounds suited to short jobs.
+	// HTTP is the HTTP client to use; nil: one with connection limits for short jobs.
 	HTTP *http.Client
 }
 
 const (
 	defaultPrefetch = 32
 	defaultSilence  = 5 * time.Second
-	firstBackoff    = 20 * time.Millisecond
-	lastBackoff     = time.Second
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = time.Second
 	maxConnsPerHost = 512
-	attachTimeout   = 60 * time.Second
+	attachTimeout   = 60 * time.Second // of one request for a job; the job may run longer
 )
 
 // Client submits jobs for one client account. It is safe for concurrent use.
 type Client struct {
-	opt   Options
-	http  *http.Client
-	pools atomic.Pointer[[]*pool]
-	turn  atomic.Uint64
+	opt      Options
+	http     *http.Client
+	pools    atomic.Pointer[[]*pool]
+	nextTurn atomic.Uint64 // selects endpoints round-robin
 }
 
-// New returns a Client. It opens no connection until the first call.
+// New returns a Client. No connection is opened before the first call.
 func New(opt Options) (*Client, error) {
 	if len(opt.Endpoints) == 0 {
 		return nil, errNoEndpoints
@@ -132,12 +132,13 @@
 	return c, c.SetEndpoints(opt.Endpoints)
 }
 
-var errSilent = errors.New("client: the connection is silent")
+var errSilent = errors.New("client: nothing was received on the connection for too long")
 
 var errNoEndpoints = errors.New("client: no endpoints")
 
-// SetEndpoints replaces the base URLs, for callers that learn of entry VMs that
-// come and go. Jobs under way go on: their next request uses the new ones.
+// SetEndpoints replaces the base URLs, for callers that are told when entry VMs
+// start and stop. Jobs in flight continue: their next request uses the new URLs.
+// Endpoints that stay keep their prefetched tickets.
 func (c *Client) SetEndpoints(endpoints []string) error {
 	if len(endpoints) == 0 {
 		return errNoEndpoints
@@ -160,31 +161,32 @@
 	return nil
 }
 
-// Submit runs a job and waits for its end.
+// Submit runs a job and waits for its final answer.
 func (c *Client) Submit(ctx context.Context, j Job) (*Answer, error) {
-	sent, moves := 0, 0
+	sent, redirects := 0, 0
 	var last *Answer
 	for retry := 0; ; retry++ {
-		ticket, home, err := c.ticket(ctx)
+		ticket, p, err := c.ticket(ctx)
 		if err != nil && last != nil {
-			return last, nil // it was not run, and can not be submitted anew
+			return last, nil // the job was not run, and there is no ticket to submit it again
 		}
 		if err != nil {
 			// Without a ticket nothing was submitted.
 			return nil, &NoTicketError{Cause: err}
 		}
 		if j.OnTicket != nil {
-			j.OnTicket(ticket, home.endpoint)
+			j.OnTicket(ticket, p.endpoint)
 		}
-		a, err := c.drive(ctx, ticket, home, j, true)
+		a, err := c.askUntilFinal(ctx, ticket, p, j, true)
 		if err != nil {
 			return nil, err
 		}
 		sent += a.Sent
 		a.Sent, last = sent, a
-		if a.Outcome == NotRun && a.Reason == draining && moves < len(*c.pools.Load()) {
-			// A planned stop is no reason to fail: another entry VM takes it.
-			moves++
+		if a.Outcome == NotRun && a.Reason == reasonDraining && redirects < len(*c.pools.Load()) {
+			// The entry VM is shutting down; another one can accept the job. This
+			// does not count as one of the NotRunRetries.
+			redirects++
 			retry--
 			continue
 		}
@@ -197,43 +199,47 @@
 	}
 }
 
-// NoTicketError says that no entry VM gave a ticket. Nothing was run.
+// NoTicketError says that no entry VM issued a ticket. Nothing was submitted.
 type NoTicketError struct{ Cause error }
 
-func (e *NoTicketError) Error() string { return "no ticket, nothing was run: " + e.Cause.Error() }
+func (e *NoTicketError) Error() string {
+	return "no entry VM issued a ticket, nothing was run: " + e.Cause.Error()
+}
 
 func (e *NoTicketError) Unwrap() error { return e.Cause }
 
-// Resume asks again for the job of a ticket, with the same tasks.
+// Resume asks again for the answer to the job that was submitted under ticket. j must
+// be that job.
 func (c *Client) Resume(ctx context.Context, ticket string, j Job) (*Answer, error) {
-	return c.drive(ctx, ticket, c.next(nil), j, false)
+	return c.askUntilFinal(ctx, ticket, c.nextPool(nil), j, false)
 }
 
-// drive puts the job under its ticket until there is a final answer. Every
-// attempt after the first goes to another endpoint.
-func (c *Client) drive(ctx context.Context, ticket string, at *pool, j Job, first bool) (*Answer, error) {
+// askUntilFinal sends the job under its ticket, again and again, until there is a final
+// answer or ctx ends. The first request goes to the endpoint of p, each later one to
+// another endpoint than the one before. first says that the ticket was never sent.
+func (c *Client) askUntilFinal(ctx context.Context, ticket string, p *pool, j Job, first bool) (*Answer, error) {
 	body, err := json.Marshal(submitBody{j.Template, j.Tasks, uint32(j.Deadline.Milliseconds()), first})
 	if err != nil {
 		return nil, err
 	}
-	backoff := firstBackoff
+	backoff := minBackoff
 	for sent := 1; ; sent++ {
-		a, err := c.put(ctx, at.endpoint, ticket, body)
+		a, err := c.putJob(ctx, p.endpoint, ticket, body)
 		if err == nil && a.Outcome == Complete && len(a.Outputs) != len(j.Tasks) {
-			err = &partialError{outputs: len(a.Outputs), tasks: len(j.Tasks)}
+			err = &incompleteError{outputs: len(a.Outputs), tasks: len(j.Tasks)}
 		}
-		if err == nil && a.Reason == draining {
-			// The other tickets of this endpoint would be refused as well.
-			at.discard()
+		if err == nil && a.Reason == reasonDraining {
+			// Jobs under the other tickets of this endpoint would be refused as well.
+			p.discard()
 		}
-		if err == nil && !a.passing() {
+		if err == nil && !a.isTemporary() {
 			a.Sent = sent
 			return a, nil
 		}
 		if err == nil {
 			err = fmt.Errorf("%s: %s", a.Reason, a.Detail)
 		} else {
-			at.discard()
+			p.discard()
 		}
 		if first {
 			first = false
@@ -242,25 +248,25 @@
 		if !pause.For(ctx, jitter(backoff)) {
 			return nil, &UnresolvedError{Ticket: ticket, Cause: err}
 		}
-		backoff = min(2*backoff, lastBackoff)
-		at = c.next(at)
+		backoff = min(2*backoff, maxBackoff)
+		p = c.nextPool(p)
 	}
 }
 
-// partialError says that an answer claims to be complete and is not.
-type partialError struct{ outputs, tasks int }
+// incompleteError says that an answer with the outcome complete lacks outputs.
+type incompleteError struct{ outputs, tasks int }
 
-func (e *partialError) Error() string {
-	return fmt.Sprintf("client: a complete answer with %d outputs for %d tasks", e.outputs, e.tasks)
+func (e *incompleteError) Error() string {
+	return fmt.Sprintf("client: answer with outcome complete has %d outputs for %d tasks", e.outputs, e.tasks)
 }
 
-// draining is the reason of an entry VM that stops.
-const draining = "draining"
+// reasonDraining is the reason code of an entry VM that is shutting down.
+const reasonDraining = "draining"
 
-// passing reports whether asking again under the same ticket may tell more.
-func (a *Answer) passing() bool {
+// isTemporary reports whether asking again under the same ticket may give another answer.
+func (a *Answer) isTemporary() bool {
 	switch a.Reason {
-	case "recovered_elsewhere", "home_unreachable", "no_configuration", "queue_full", draining:
+	case "recovered_elsewhere", "home_unreachable", "no_configuration", "queue_full", reasonDraining:
 		return a.Outcome == Unknown
 	}
 	return false
@@ -274,19 +280,19 @@
 }
 
 type resultBody struct {
-	Outcome  Outcome           `json:"outcome"`
-	Outputs  []json.RawMessage `json:"outputs"`
-	Revision uint64            `json:"revision"`
-	Reason   string            `json:"reason"`
-	Detail   string            `json:"detail"`
-	Retry    int64             `json:"retry_after_millis"`
+	Outcome          Outcome           `json:"outcome"`
+	Outputs          []json.RawMessage `json:"outputs"`
+	Revision         uint64            `json:"revision"`
+	Reason           string            `json:"reason"`
+	Detail           string            `json:"detail"`
+	RetryAfterMillis int64             `json:"retry_after_millis"`
 }
 
-func (c *Client) put(ctx context.Context, endpoint, ticket string, body []byte) (*Answer, error) {
+func (c *Client) putJob(ctx context.Context, endpoint, ticket string, body []byte) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attachTimeout)
 	defer cancel()
-	ctx, heard := watchSilence(ctx, c.opt.Silence)
-	defer heard.Stop()
+	ctx, watch := watchSilence(ctx, c.opt.Silence)
+	defer watch.Stop()
 	text, err := c.call(ctx, http.MethodPut, endpoint+"/v1/submissions/"+ticket, body)
 	if err != nil {
 		return nil, err
@@ -300,20 +306,20 @@
 		return nil, err
 	}
 	if r.Outcome == "" {
-		return nil, fmt.Errorf("client: an answer without an outcome")
+		return nil, fmt.Errorf("client: answer without an outcome")
 	}
 	return &Answer{
 		Outcome:    r.Outcome,
 		Outputs:    r.Outputs,
 		Reason:     r.Reason,
 		Detail:     r.Detail,
-		RetryAfter: time.Duration(r.Retry) * time.Millisecond,
+		RetryAfter: time.Duration(r.RetryAfterMillis) * time.Millisecond,
 		Ticket:     ticket,
 		Revision:   r.Revision,
 	}, nil
 }
 
-// call makes one request and returns the whole body.
+// call makes one request and returns the body of the response, whatever its status.
 func (c *Client) call(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -332,7 +338,7 @@
 	return io.ReadAll(resp.Body)
 }
 
-// Step is one thing that happened to a job, as an entry VM noted it.
+// Step is an event in the life of a job, as recorded by an entry VM.
 type Step struct {
 	UnixMicros int64  `json:"unix_micros"`
 	EntryVM    string `json:"entry_vm"`
@@ -341,10 +347,10 @@
 	Detail     string `json:"detail"`
 }
 
-// Timeline returns what happened to the job of a ticket, over all entry VMs that
-// can be reached, in the order of time.
+// Timeline returns the events that all reachable entry VMs have recorded for the job of
+// a ticket, in the order of time.
 func (c *Client) Timeline(ctx context.Context, ticket string) ([]Step, error) {
-	text, err := c.call(ctx, http.MethodGet, c.next(nil).endpoint+"/v1/submissions/"+ticket+"/timeline", nil)
+	text, err := c.call(ctx, http.MethodGet, c.nextPool(nil).endpoint+"/v1/submissions/"+ticket+"/timeline", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -362,18 +368,18 @@
 	return body.Steps, nil
 }
 
-// RefusedError says that a request other than a submission had no effect.
+// RefusedError says that a request other than a submission was refused and had no effect.
 type RefusedError struct {
-	Reason string // stable code
+	Reason string // stable reason code
 	Detail string
 }
 
 func (e *RefusedError) Error() string { return e.Reason + ": " + e.Detail }
 
-// Cancel gives a job up. Its submitter gets the final answer. The error is a
-// *RefusedError when no entry VM that can be reached drives the job.
+// Cancel cancels a job. Its submitter gets the final answer. The error is a
+// *RefusedError if none of the reachable entry VMs is in charge of the job.
 func (c *Client) Cancel(ctx context.Context, ticket string) error {
-	text, err := c.call(ctx, http.MethodDelete, c.next(nil).endpoint+"/v1/submissions/"+ticket, nil)
+	text, err := c.call(ctx, http.MethodDelete, c.nextPool(nil).endpoint+"/v1/submissions/"+ticket, nil)
 	if err != nil || len(text) == 0 {
 		return err
 	}
@@ -384,16 +390,16 @@
 	return &RefusedError{Reason: r.Reason, Detail: r.Detail}
 }
 
-// Ticket is the identity of one job. A job put under it twice runs once.
+// Ticket identifies one job. A job that is submitted twice under a ticket runs once.
 type Ticket struct {
 	Token  string
 	Expiry time.Time
 }
 
-// Tickets fetches new tickets from the first endpoint that gives any.
+// Tickets fetches new tickets, from the first endpoint that issues any.
 func (c *Client) Tickets(ctx context.Context, count int) ([]Ticket, error) {
 	var last error
-	for _, p := range c.inTurn() {
+	for _, p := range c.poolsInTurn() {
 		tickets, err := p.fetch(ctx, count)
 		if err == nil {
 			return tickets, nil
@@ -403,27 +409,27 @@
 	return nil, &NoTicketError{Cause: last}
 }
 
-// inTurn returns all endpoints once, beginning with the next in turn. Taking
-// turns one by one instead could give a caller the same broken endpoint each
-// time, when others take turns in between.
-func (c *Client) inTurn() []*pool {
+// poolsInTurn returns the pools of all endpoints once, beginning with the next in turn.
+// Calling nextPool for each attempt instead could give a caller the same broken endpoint
+// every time, as concurrent callers advance the turn in between.
+func (c *Client) poolsInTurn() []*pool {
 	pools := *c.pools.Load()
-	start := int(c.turn.Add(1) % uint64(len(pools)))
+	start := int(c.nextTurn.Add(1) % uint64(len(pools)))
 	return append(slices.Clone(pools[start:]), pools[:start]...)
 }
 
-// next takes turns over the endpoints, passing over the one that is given.
-func (c *Client) next(but *pool) *pool {
+// nextPool returns the pools round-robin, skipping except if there is another one.
+func (c *Client) nextPool(except *pool) *pool {
 	pools := *c.pools.Load()
-	p := pools[c.turn.Add(1)%uint64(len(pools))]
-	if p == but {
-		p = pools[c.turn.Add(1)%uint64(len(pools))]
+	p := pools[c.nextTurn.Add(1)%uint64(len(pools))]
+	if p == except {
+		p = pools[c.nextTurn.Add(1)%uint64(len(pools))]
 	}
 	return p
 }
 
-// jitter spreads waits over half to one and a half times d, so that callers
-// that failed together do not come back together.
+// jitter returns a random duration from half to one and a half times d, so that callers
+// that failed at the same time do not all retry at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)+1))
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -23,8 +23,8 @@
 	first            bool
 }
 
-// fakeSite stands for the entry VMs. Answer gives the response to the n-th
-// submission, 0 the first.
+// fakeSite simulates the entry VMs. answer returns the response to the n-th submission,
+// counted from 0.
 type fakeSite struct {
 	answer func(n int, p put) (string, error)
 
@@ -36,7 +36,7 @@
 
 var errBroken = errors.New("connection reset")
 
-// RoundTrip makes the site a transport without sockets, for synctest bubbles.
+// RoundTrip makes fakeSite a transport without sockets, which synctest bubbles need.
 func (s *fakeSite) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text)), Request: r}, nil
 }
 
-// ServeHTTP makes the site a server. A broken answer closes the connection.
+// ServeHTTP makes fakeSite a server. If answer returns an error, the connection is closed.
 func (s *fakeSite) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	text, err := s.serve(r, body)
@@ -103,7 +103,7 @@
 	return func(int, put) (string, error) { return text, nil }
 }
 
-// script gives one answer after the other; an empty one breaks the connection.
+// script returns one answer after the other; an empty text breaks the connection.
 func script(texts ...string) func(int, put) (string, error) {
 	return func(n int, _ put) (string, error) {
 		if texts[n] == "" {
@@ -128,7 +128,7 @@
 
 var oneTask = client.Job{Template: "quote", Tasks: []json.RawMessage{json.RawMessage("1")}}
 
-// Tickets come in batches ahead of their jobs, and each job has its own.
+// Tickets are fetched in batches before their jobs, and each job gets its own ticket.
 func TestPrefetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSite{answer: always(done)}
@@ -141,19 +141,19 @@
 				t.Fatalf("%+v, %v", a, err)
 			}
 			used[a.Ticket] = true
-			synctest.Wait() // a refill ends
+			synctest.Wait() // until a refill has ended
 		}
 		if len(used) != jobs {
 			t.Errorf("%d tickets for %d jobs", len(used), jobs)
 		}
 		if most := jobs/8 + 2; s.batches > most {
-			t.Errorf("%d requests for tickets, want %d at most", s.batches, most)
+			t.Errorf("%d requests for tickets, want at most %d", s.batches, most)
 		}
 	})
 }
 
-// Symptom: a crew is booked twice. Sequence: the connection breaks after the job
-// was taken; the caller submits anew. Cause: a new ticket for the same job.
+// The connection breaks after the job was accepted, and the SDK asks again. Under a new
+// ticket the job would run twice; it has to use the same ticket at another endpoint.
 func TestBrokenConnectionAttachesAgain(t *testing.T) {
 	s := &fakeSite{answer: script("", done)}
 	a, b := httptest.NewServer(s), httptest.NewServer(s)
@@ -169,13 +169,12 @@
 		t.Errorf("first %+v, again %+v: want the same ticket elsewhere", first, again)
 	}
 	if !first.first || again.first {
-		t.Errorf("first %+v, again %+v: only the first may say so", first, again)
+		t.Errorf("first %+v, again %+v: only the first request may have first set", first, again)
 	}
 }
 
-// Each end is typed. What may change under the same ticket, and what is not a
-// whole answer, is asked for again under it; a job that may have run never gets
-// a new ticket.
+// Every answer has a typed outcome. The SDK asks again under the same ticket after a
+// temporary or truncated answer. A job that may have run never gets a new ticket.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -210,7 +209,7 @@
 				tickets := make(map[string]bool)
 				for _, p := range s.puts {
 					if p.first == tickets[p.ticket] {
-						t.Errorf("%+v: first has to be said once for a ticket", p)
+						t.Errorf("%+v: first has to be set on the first request of a ticket only", p)
 					}
 					tickets[p.ticket] = true
 				}
@@ -218,7 +217,7 @@
 					t.Errorf("%d tickets, want %d: %+v", len(tickets), c.tickets, s.puts)
 				}
 				if asked := strings.Count(strings.Join(c.answers[:len(c.answers)-1], ""), busy); time.Since(start) < time.Duration(asked)*time.Second/2 {
-					t.Errorf("came back after %s, the site asked %d times for half a second at least", time.Since(start), asked)
+					t.Errorf("the retries ended after %s, the site asked %d times for a delay of at least half a second", time.Since(start), asked)
 				}
 				if (a.Outcome == client.Complete) != (len(a.Outputs) == 1) {
 					t.Errorf("outputs %s with %s", a.Outputs, a.Outcome)
@@ -228,8 +227,8 @@
 	}
 }
 
-// No answer until the context ends: the caller is told that the outcome is not
-// known, with the one ticket that was used, and can resume with it.
+// Without an answer before the context ends, the caller gets an error that says that the
+// outcome is not known and names the one ticket that was used. Resume works with it.
 func TestUnresolvedThenResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSite{answer: func(int, put) (string, error) { return "", errBroken }}
@@ -257,7 +256,7 @@
 	})
 }
 
-// Without a ticket nothing is submitted, and the error says so.
+// Without a ticket nothing is submitted, and the error says why there was none.
 func TestNoTicket(t *testing.T) {
 	s := &fakeSite{}
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
--- a/client/kept.go
+++ b/client/kept.go
@@ -14,12 +14,12 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// State is how far a submission under the caller's own key is.
+// State is the state of a submission under a key that the caller chose.
 type State string
 
 // The states of a submission. The last three are final.
 const (
-	StateNone      State = "none" // there is no such submission
+	StateNone      State = "none" // no such submission
 	StateQueued    State = "queued"
 	StateRunning   State = "running"
 	StateDone      State = "done"
@@ -36,15 +36,16 @@
 	pb.WorkState_WORK_STATE_CANCELLED:   StateCancelled,
 }
 
-// Final reports whether nothing of the submission runs or will run.
+// Final reports whether the submission has ended: none of it runs or will run.
 func (s State) Final() bool {
 	return s == StateDone || s == StateFailed || s == StateCancelled
 }
 
-// NotRunError says that a submission has not run and will not under this attempt.
+// NotRunError says that a submission was not accepted: none of it has run, and none will
+// run because of this attempt.
 type NotRunError struct {
 	Reason     string
-	RetryAfter time.Duration // when to come back
+	RetryAfter time.Duration // how long to wait before the next attempt
 }
 
 func (e *NotRunError) Error() string { return e.Reason }
@@ -52,33 +53,33 @@
 // WorkStep is a group of equal tasks.
 type WorkStep struct {
 	Count     uint32
-	CPUMilli  uint32 // of each task, thousandths of a core
+	CPUMilli  uint32 // per task, in thousandths of a core
 	MemoryMB  uint32
-	Estimate  time.Duration // of one task
-	DependsOn []uint32      // steps that must be done first
+	Estimate  time.Duration // expected run time of one task
+	DependsOn []uint32      // indexes of the steps that must complete first
 }
 
-// Work is a submission under the caller's own key.
+// Work is a submission under a key that the caller chooses.
 type Work struct {
 	Queue     string
 	Key       string // 1 to 64 letters, digits, - or _
-	Spec      string // handed to each task's worker
+	Spec      string // passed to the workers that run its tasks
 	Steps     []WorkStep
-	Transient bool // it need not be kept: the answer is its end
+	Transient bool // not stored: Submit returns its final state
 }
 
-// Kept submits work under keys of the caller's own, at any of a site's entry VMs. The
-// same key is the same submission, whichever VM takes it and however often.
+// KeptClient submits work under keys that the caller chooses, to any of a site's entry VMs.
+// Work that is sent several times under one key, to the same or to other VMs, is one
+// submission.
 type KeptClient struct {
 	services []pumiceyardv1connect.SubmissionServiceClient
-	pause    time.Duration
+	pause    time.Duration // between two attempts
 }
 
-// Times of a Kept.
 const (
-	keptAttempt = 2 * time.Second // for one VM's answer to a call that need not wait
-	keptPause   = 150 * time.Millisecond
-	keptPoll    = 50 * time.Millisecond
+	keptAttemptTimeout = 2 * time.Second // for one VM to answer a call that does not wait for the end of work
+	keptRetryPause     = 150 * time.Millisecond
+	keptPollInterval   = 50 * time.Millisecond
 )
 
 // NewKeptClient returns a client of the entry VMs at the given base URLs.
@@ -86,37 +87,37 @@
 	if len(endpoints) == 0 {
 		return nil, errNoEndpoints
 	}
-	k := &KeptClient{pause: keptPause}
+	k := &KeptClient{pause: keptRetryPause}
 	for _, e := range endpoints {
 		k.services = append(k.services, pumiceyardv1connect.NewSubmissionServiceClient(http.DefaultClient, e))
 	}
 	return k, nil
 }
 
-// try calls one VM after the other until one answers, as long as ctx lasts. within
-// bounds one attempt; 0: ctx does.
-func try[R any](ctx context.Context, k *KeptClient, within time.Duration, call func(context.Context, pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[R], error)) (*R, error) {
+// tryVMs calls the VMs one after the other, over and over, until one gives a definite answer
+// or ctx ends. timeout limits each attempt; 0: only ctx does.
+func tryVMs[R any](ctx context.Context, k *KeptClient, timeout time.Duration, call func(context.Context, pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[R], error)) (*R, error) {
 	for i := 0; ; i++ {
 		attempt, cancel := ctx, context.CancelFunc(func() {})
-		if within > 0 {
-			attempt, cancel = context.WithTimeout(ctx, within)
+		if timeout > 0 {
+			attempt, cancel = context.WithTimeout(ctx, timeout)
 		}
 		resp, err := call(attempt, k.services[i%len(k.services)])
 		cancel()
 		if err == nil {
 			return resp.Msg, nil
 		}
-		if definite(err) {
+		if isDefinite(err) {
 			return nil, err
 		}
 		if !pause.For(ctx, k.pause) {
-			return nil, errors.Join(ctx.Err(), notRun(err))
+			return nil, errors.Join(ctx.Err(), asNotRunError(err))
 		}
 	}
 }
 
-// definite reports whether another VM would answer the same.
-func definite(err error) bool {
+// isDefinite reports whether every other VM would answer with the same error.
+func isDefinite(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeNotFound, connect.CodeInvalidArgument:
 		return true
@@ -125,7 +126,9 @@
 	}
 }
 
-func notRun(err error) error {
+// asNotRunError turns the error of a call into a NotRunError if it says so by its code and
+// its Retry-After metadata. Other errors are returned as they are.
+func asNotRunError(err error) error {
 	var c *connect.Error
 	if connect.CodeOf(err) != connect.CodeUnavailable || !errors.As(err, &c) || c.Meta().Get("Retry-After") == "" {
 		return err
@@ -151,15 +154,15 @@
 	return req
 }
 
-// Submit hands work in, at one VM after the other until one takes it or ctx ends. It
-// returns the state: of kept work queued, of transient work its end.
+// Submit submits work to one VM after the other until one accepts it or ctx ends. It returns
+// StateQueued once the work is stored, and for transient work the final state.
 func (k *KeptClient) Submit(ctx context.Context, w Work) (State, error) {
 	req := w.request()
-	within := keptAttempt
+	timeout := keptAttemptTimeout
 	if w.Transient {
-		within = 0
+		timeout = 0
 	}
-	r, err := try(ctx, k, within, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.SubmitWorkResponse], error) {
+	r, err := tryVMs(ctx, k, timeout, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.SubmitWorkResponse], error) {
 		return s.SubmitWork(ctx, connect.NewRequest(req))
 	})
 	if err != nil {
@@ -168,20 +171,20 @@
 	return workStates[r.State], nil
 }
 
-// SubmitOnce makes one attempt at one VM. A NotRunError says that the work has not run
-// and will not; any other error that it may have.
+// SubmitOnce makes a single attempt at one VM. A NotRunError says that the work has not run
+// and will not; after any other error it may have run.
 func SubmitOnce(ctx context.Context, endpoint string, w Work) (State, error) {
 	s := pumiceyardv1connect.NewSubmissionServiceClient(http.DefaultClient, endpoint)
 	r, err := s.SubmitWork(ctx, connect.NewRequest(w.request()))
 	if err != nil {
-		return StateNone, notRun(err)
+		return StateNone, asNotRunError(err)
 	}
 	return workStates[r.Msg.State], nil
 }
 
-// State returns how far a submission is.
+// State returns the state of a submission.
 func (k *KeptClient) State(ctx context.Context, key string) (State, error) {
-	r, err := try(ctx, k, keptAttempt, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.GetStateResponse], error) {
+	r, err := tryVMs(ctx, k, keptAttemptTimeout, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.GetStateResponse], error) {
 		return s.GetState(ctx, connect.NewRequest(&pb.GetStateRequest{Key: key}))
 	})
 	if err != nil {
@@ -190,22 +193,23 @@
 	return workStates[r.State], nil
 }
 
-// Wait returns the final state of a submission once it has one.
+// Wait waits until a submission has ended and returns its final state, or StateNone if
+// there is no such submission.
 func (k *KeptClient) Wait(ctx context.Context, key string) (State, error) {
 	for {
 		s, err := k.State(ctx, key)
 		if err != nil || s.Final() || s == StateNone {
 			return s, err
 		}
-		if !pause.For(ctx, keptPoll) {
+		if !pause.For(ctx, keptPollInterval) {
 			return s, ctx.Err()
 		}
 	}
 }
 
-// Cancel ends a submission and returns its final state.
+// Cancel cancels a submission and returns its final state.
 func (k *KeptClient) Cancel(ctx context.Context, key string) (State, error) {
-	r, err := try(ctx, k, keptAttempt, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.CancelWorkResponse], error) {
+	r, err := tryVMs(ctx, k, keptAttemptTimeout, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.CancelWorkResponse], error) {
 		return s.CancelWork(ctx, connect.NewRequest(&pb.CancelWorkRequest{Key: key}))
 	})
 	if err != nil {
@@ -214,10 +218,10 @@
 	return workStates[r.State], nil
 }
 
-// Waiting returns how many submissions of a queue have not begun. It may be some
-// hundred milliseconds old.
+// Waiting returns the number of submissions of a queue that have not started. The count may
+// be some hundred milliseconds old.
 func (k *KeptClient) Waiting(ctx context.Context, queue string) (int, error) {
-	r, err := try(ctx, k, keptAttempt, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.CountWaitingResponse], error) {
+	r, err := tryVMs(ctx, k, keptAttemptTimeout, func(ctx context.Context, s pumiceyardv1connect.SubmissionServiceClient) (*connect.Response[pb.CountWaitingResponse], error) {
 		return s.CountWaiting(ctx, connect.NewRequest(&pb.CountWaitingRequest{Queue: queue}))
 	})
 	if err != nil {
--- a/client/pool.go
+++ b/client/pool.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// pool keeps tickets of one endpoint ready.
+// pool holds the prefetched tickets of one endpoint.
 type pool struct {
 	client   *Client
 	endpoint string
 
-	mu        sync.Mutex
-	tickets   []Ticket
-	filling   bool
-	brokenTil time.Time
+	mu          sync.Mutex
+	tickets     []Ticket
+	refilling   bool
+	brokenUntil time.Time
 }
 
 const (
-	// answerValidity is the rest of its life that a ticket must have to be used: a job
-	// has to be asked for again for that long.
-	freshFor = 30 * time.Second
-	// brokenFor is how long an endpoint that gave no tickets is passed over.
-	brokenFor   = time.Second
-	fillTimeout = 2 * time.Second
+	// askAgainFor is how long it should be possible to ask again for a job under its
+	// ticket. A ticket that expires within half of it is not used any more.
+	askAgainFor = 30 * time.Second
+	// brokenPeriod is how long an endpoint that issued no tickets is skipped.
+	brokenPeriod = time.Second
+	fetchTimeout = 2 * time.Second
 )
 
 func newPool(c *Client, endpoint string) *pool {
 	return &pool{client: c, endpoint: endpoint}
 }
 
-// ticket takes one from the next endpoint that has any, and returns which.
+// ticket returns a ticket and the pool that it comes from: the next in turn that has any.
 func (c *Client) ticket(ctx context.Context) (string, *pool, error) {
 	var last error
-	for _, p := range c.inTurn() {
+	for _, p := range c.poolsInTurn() {
 		token, err := p.take(ctx)
 		if err == nil {
 			return token, p, nil
@@ -46,18 +46,18 @@
 	return "", nil, last
 }
 
-var errBroken = errors.New("the endpoint gave no tickets just now")
+var errNoTickets = errors.New("the endpoint issued no usable ticket at the last attempt")
 
-// take returns a ticket, fetching a batch when none is left.
+// take returns a ticket, and fetches a batch first if none is left.
 func (p *pool) take(ctx context.Context) (string, error) {
 	if token, ok := p.pop(); ok {
 		return token, nil
 	}
 	p.mu.Lock()
-	broken := time.Now().Before(p.brokenTil)
+	broken := time.Now().Before(p.brokenUntil)
 	p.mu.Unlock()
 	if broken {
-		return "", errBroken
+		return "", errNoTickets
 	}
 	if err := p.fill(ctx); err != nil {
 		return "", err
@@ -65,10 +65,11 @@
 	if token, ok := p.pop(); ok {
 		return token, nil
 	}
-	return "", errBroken
+	return "", errNoTickets
 }
 
-// pop takes a ready ticket and starts a refill when few are left.
+// pop removes and returns a prefetched ticket, and starts a refill when fewer than a
+// quarter of a batch are left.
 func (p *pool) pop() (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,11 +77,11 @@
 	for len(p.tickets) > 0 {
 		t := p.tickets[len(p.tickets)-1]
 		p.tickets = p.tickets[:len(p.tickets)-1]
-		if t.Expiry.Sub(now) < freshFor/2 {
+		if t.Expiry.Sub(now) < askAgainFor/2 {
 			continue
 		}
-		if len(p.tickets) < p.client.opt.Prefetch/4 && !p.filling {
-			p.filling = true
+		if len(p.tickets) < p.client.opt.Prefetch/4 && !p.refilling {
+			p.refilling = true
 			go p.refill()
 		}
 		return t.Token, true
@@ -89,11 +90,11 @@
 }
 
 func (p *pool) refill() {
-	ctx, cancel := context.WithTimeout(context.Background(), fillTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	_ = p.fill(ctx)
 	p.mu.Lock()
-	p.filling = false
+	p.refilling = false
 	p.mu.Unlock()
 }
 
@@ -110,22 +111,22 @@
 	Detail string `json:"detail"`
 }
 
-// fill fetches a batch. An endpoint that gives none is passed over for a while.
+// fill fetches a batch. An endpoint that issues none is skipped for brokenPeriod.
 func (p *pool) fill(ctx context.Context) error {
 	tickets, err := p.fetch(ctx, p.client.opt.Prefetch)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.brokenTil = time.Now().Add(brokenFor)
+		p.brokenUntil = time.Now().Add(brokenPeriod)
 		return err
 	}
 	p.tickets = append(p.tickets, tickets...)
 	return nil
 }
 
-// fetch asks the endpoint for tickets.
+// fetch requests new tickets from the endpoint.
 func (p *pool) fetch(ctx context.Context, count int) ([]Ticket, error) {
-	ctx, cancel := context.WithTimeout(ctx, fillTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	body, err := json.Marshal(ticketsBody{count})
 	if err != nil {
@@ -149,11 +150,12 @@
 	return tickets, nil
 }
 
-// discard drops the tickets that are kept ready for an endpoint, after it was
-// found to be gone: their jobs would have to be recovered at once.
+// discard drops the prefetched tickets of an endpoint that does not serve any more: jobs
+// under them would have to be recovered by another entry VM right away. New ones are
+// fetched after brokenPeriod at the earliest.
 func (p *pool) discard() {
 	p.mu.Lock()
 	p.tickets = nil
-	p.brokenTil = time.Now().Add(brokenFor)
+	p.brokenUntil = time.Now().Add(brokenPeriod)
 	p.mu.Unlock()
 }
--- a/client/silence.go
+++ b/client/silence.go
@@ -8,42 +8,44 @@
 	"time"
 )
 
-// heartbeatHeader asks the entry VM for heartbeats: 102 responses.
+// heartbeatHeader asks the entry VM to send 102 (Processing) responses as heartbeats
+// while the job runs.
 const heartbeatHeader = "Pumiceyard-Heartbeat"
 
-// silence ends a request on whose connection nothing is heard for too long. A
-// connection may go silent for good, because something between the two ends has
-// lost track of it, while new ones work; without this the caller would wait on it
-// to the bound of the whole request.
-type silence struct {
+// silenceWatch cancels a request when nothing is received on its connection for too long.
+// A connection may go silent for good, because a device between the two ends has lost its
+// state, while new connections work. Without the watch the caller would wait for the
+// timeout of the whole request.
+type silenceWatch struct {
 	mu      sync.Mutex
 	timer   *time.Timer
-	bound   time.Duration
+	timeout time.Duration
 	stopped bool
 }
 
-// watchSilence returns a context that ends when nothing is heard for the bound.
-func watchSilence(ctx context.Context, bound time.Duration) (context.Context, *silence) {
+// watchSilence returns a context that is cancelled when nothing is received for the
+// timeout.
+func watchSilence(ctx context.Context, timeout time.Duration) (context.Context, *silenceWatch) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	s := &silence{bound: bound, timer: time.AfterFunc(bound, func() { cancel(errSilent) })}
+	s := &silenceWatch{timeout: timeout, timer: time.AfterFunc(timeout, func() { cancel(errSilent) })}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		Got1xxResponse:       func(int, textproto.MIMEHeader) error { s.heard(); return nil },
-		GotFirstResponseByte: s.heard,
-		WroteHeaders:         s.heard,
+		Got1xxResponse:       func(int, textproto.MIMEHeader) error { s.onActivity(); return nil },
+		GotFirstResponseByte: s.onActivity,
+		WroteHeaders:         s.onActivity,
 	}), s
 }
 
-// heard starts the bound anew.
-func (s *silence) heard() {
+// onActivity restarts the timeout.
+func (s *silenceWatch) onActivity() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.stopped {
-		s.timer.Reset(s.bound)
+		s.timer.Reset(s.timeout)
 	}
 }
 
 // Stop ends the watch.
-func (s *silence) Stop() {
+func (s *silenceWatch) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
