--- a/internal/connection/operator/doc.go
+++ b/internal/connection/operator/doc.go
@@ -1,15 +1,15 @@
-// Package operator is the HTTP/JSON interface to operators, on a listener of its
-// own that callers do not reach.
+// Package operator serves the HTTP/JSON interface for operators, on a listener
+// that is separate from the one for callers.
 //
 //	GET  /healthz, /readyz, /metrics
-//	GET  /v1/status               this entry VM
-//	GET  /v1/fleet                the platform's list, and which peers answer
-//	GET  /v1/explain/{ticket}     one submission's timeline over all entry VMs
-//	GET  /v1/configuration        the document in force, or ?revision=N
-//	POST /v1/configuration        publish a document
-//	POST /v1/rollback             publish a kept revision again
-//	GET  /v1/history              the publications that are kept
-//	GET  /v1/diff?from=N&to=M     what changed between two kept revisions
+//	GET  /v1/status               status of this entry VM
+//	GET  /v1/fleet                the platform's list of VMs, and which peers answer
+//	GET  /v1/explain/{ticket}     timeline of one submission from all entry VMs
+//	GET  /v1/configuration        the configuration in force, or ?revision=N
+//	POST /v1/configuration        publish a configuration document
+//	POST /v1/rollback             publish a stored revision again
+//	GET  /v1/history              the stored publications
+//	GET  /v1/diff?from=N&to=M     the differences between two stored revisions
 //
 // Refusals are RFC 9457 problem details with a stable reason.
 package operator
@@ -27,18 +27,18 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/publication"
 )
 
-// VM is the entry VM as operators see it.
+// VM is the entry VM that serves the interface.
 type VM interface {
 	Ready() bool
 	Status() Status
 	Fleet() Fleet
-	// ParseTicket reads a ticket of any client account.
+	// ParseTicket parses a ticket of any client account.
 	ParseTicket(token string) (ticket.Ticket, *ticket.Error)
-	// Collect joins the steps of a submission over all entry VMs.
+	// Collect returns the steps of a submission from all entry VMs.
 	Collect(ctx context.Context, id ticket.ID) []caller.NamedStep
 }
 
-// Publisher publishes documents and reads what was published.
+// Publisher publishes configuration documents and reads the published ones.
 type Publisher interface {
 	Publish(ctx context.Context, change publication.Change) (publication.Receipt, error)
 	Rollback(ctx context.Context, revision uint64, change publication.Change) (publication.Receipt, error)
@@ -48,7 +48,7 @@
 	Diff(ctx context.Context, from, to uint64) ([]document.Difference, error)
 }
 
-// Status is what an operator sees of one entry VM.
+// Status is the status of one entry VM.
 type Status struct {
 	Name        string   `json:"name"`
 	Domain      string   `json:"domain"`
@@ -56,115 +56,117 @@
 	Ready       bool     `json:"ready"`
 	Draining    bool     `json:"draining"`
 	StoreUp     bool     `json:"store_up"`     // the last calls to the platform were answered
-	Revision    uint64   `json:"revision"`     // in force; 0: none yet
+	Revision    uint64   `json:"revision"`     // of the configuration in force; 0: none yet
 	ListVersion uint64   `json:"list_version"` // of the platform's list of VMs
-	Workers     []string `json:"workers"`      // whose lease it holds
+	Workers     []string `json:"workers"`      // whose leases this VM holds
 	FreeSlots   uint32   `json:"free_slots"`
 	Slots       uint32   `json:"slots"`
 	QueuedTasks uint32   `json:"queued_tasks"`
-	Peers       []string `json:"peers"` // entry VMs that answer
+	Peers       []string `json:"peers"` // entry VMs that answer this one
 	Power       Power    `json:"power"`
 
-	// Unreachable are the listed entry VMs that do not answer this one.
+	// Unreachable are the entry VMs on the platform's list that do not answer this
+	// one.
 	Unreachable     []Unreachable     `json:"unreachable,omitempty"`
 	WorkerStanding  []WorkerStanding  `json:"worker_standing"` // of the workers above
 	AccountStanding []AccountStanding `json:"account_standing"`
 
-	// Isolated: no other entry VM is heard, though some are known.
+	// Isolated reports that other entry VMs are known but none of them is heard.
 	Isolated bool `json:"isolated"`
-	// MayAct: it places work and takes leases. False for about a second after a
-	// pause, and for good once another start has taken its name.
+	// MayAct reports whether this VM may place work and acquire leases. It is false
+	// for about a second after the process was paused, and permanently once another
+	// process has started under this VM's name.
 	MayAct bool `json:"may_act"`
-	// Suspected are the entry VMs of which it is in doubt whether they live.
+	// Suspected are the entry VMs that may be down.
 	Suspected []SuspectedVM `json:"in_doubt,omitempty"`
 }
 
-// Power is one entry VM's part of the cap. Watts are in thousandths and include
-// the workers' idle draw.
+// Power is one entry VM's part of the failure domain's power cap. All figures are
+// in milliwatts and include the workers' idle draw.
 type Power struct {
-	Revision  uint64 `json:"revision"` // of the failure domain's plan; 0: none yet
-	Complete  bool   `json:"complete"` // every worker of the domain is under it
+	Revision  uint64 `json:"revision"` // of the failure domain's power plan; 0: none yet
+	Complete  bool   `json:"complete"` // the plan covers every worker of the domain
 	Part      int64  `json:"part_milliwatts"`
-	Allotted  int64  `json:"allotted_milliwatts"`  // of the workers held here
-	Committed int64  `json:"committed_milliwatts"` // idle draw and running tasks
-	Free      int64  `json:"free_milliwatts"`      // tasks can be charged now
-	Stranded  int64  `json:"stranded_milliwatts"`  // a new plan would bring back
-	// Last is the last decision about watts.
+	Allotted  int64  `json:"allotted_milliwatts"`  // to the workers whose leases this VM holds
+	Committed int64  `json:"committed_milliwatts"` // to idle draw and running tasks
+	Free      int64  `json:"free_milliwatts"`      // available to new tasks now
+	Stranded  int64  `json:"stranded_milliwatts"`  // unusable until a new plan is made
+	// LastDecision is the most recent decision about power.
 	LastDecision PowerDecision `json:"last"`
 }
 
-// PowerDecision is one decision about watts and why it was made.
+// PowerDecision is a decision about power and its reason.
 type PowerDecision struct {
 	At         time.Time `json:"at"`
 	Reason     string    `json:"reason"`
-	Concerns   string    `json:"concerns,omitempty"` // worker or entry VM
+	Concerns   string    `json:"concerns,omitempty"` // the worker or entry VM affected
 	Milliwatts int64     `json:"milliwatts"`
 }
 
-// Unreachable is an entry VM that does not answer another.
+// Unreachable is an entry VM that does not answer the reporting one.
 type Unreachable struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 }
 
-// WorkerStanding is how far a worker is trusted, and why.
+// WorkerStanding is the health tier of a worker, with its reason.
 type WorkerStanding struct {
 	Worker       string      `json:"worker"`
 	Tier         string      `json:"tier"`
 	Reason       reason.Code `json:"reason"`
 	Running      int         `json:"running"`         // tasks
-	Ejections    int         `json:"ejections"`       // in a row
+	Ejections    int         `json:"ejections"`       // consecutive
 	EjectedUntil time.Time   `json:"until,omitzero"`  // end of the ejection
-	Pace         float64     `json:"pace,omitempty"`  // run time against other workers, 1 is equal
-	Score        float64     `json:"score,omitempty"` // confirmed failures, less what successes took off
+	Pace         float64     `json:"pace,omitempty"`  // run time relative to other workers; 1: the same
+	Score        float64     `json:"score,omitempty"` // confirmed failures, reduced by successes
 }
 
-// AccountStanding is what a client account has and waits for at one entry VM.
+// AccountStanding is what a client account uses and waits for at one entry VM.
 type AccountStanding struct {
 	Account         string      `json:"account"`
 	Slots           int         `json:"slots"`       // in use
-	QuotaSlots      uint32      `json:"quota_slots"` // 0: no bound
+	QuotaSlots      uint32      `json:"quota_slots"` // 0: no limit
 	QueuedTasks     int         `json:"queued_tasks"`
 	QueuedJobs      int         `json:"queued_jobs"`
-	ServiceReceived float64     `json:"service"` // given, in share-seconds
-	ServiceDue      float64     `json:"due"`     // that its weight entitled it to while it was active
-	WaitReason      reason.Code `json:"why"`     // it waits
+	ServiceReceived float64     `json:"service"` // in share-seconds
+	ServiceDue      float64     `json:"due"`     // service that its weight entitled it to while it was active
+	WaitReason      reason.Code `json:"why"`     // why its tasks wait
 }
 
-// Doubt is an entry VM in doubt, as another one sees it.
+// SuspectedVM is an entry VM that the reporting one suspects to be down.
 type SuspectedVM struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	Reason string `json:"reason"` // such as silent_to_several, domain_unreachable
-	// Live: it still counts as live, since others hear it.
+	// Live reports that the VM still counts as live because others hear it.
 	Live bool `json:"live"`
 }
 
-// Fleet is the platform's list as one entry VM knows it.
+// Fleet is the platform's list of VMs as one entry VM knows it.
 type Fleet struct {
 	Version uint64    `json:"version"`
 	Entries []EntryVM `json:"entry_vms"`
 	Workers int       `json:"workers"`
 }
 
-// EntryVM is one listed entry VM.
+// EntryVM is an entry VM on the platform's list.
 type EntryVM struct {
 	Name        string `json:"name"`
 	Domain      string `json:"domain"`
-	Address     string `json:"address"` // for its peers
+	Address     string `json:"address"` // for connections from peers
 	Leaving     bool   `json:"leaving,omitempty"`
-	IsReachable bool   `json:"answers"` // to the entry VM that was asked
+	IsReachable bool   `json:"answers"` // it answers the reporting entry VM
 }
 
-// PublishBody is a document to be put in force.
+// PublishBody is the request body for publishing a document.
 type PublishBody struct {
 	ChangeID string          `json:"change_id"`
 	Author   string          `json:"author"`
-	Base     uint64          `json:"base"` // revision that the author started from
+	Base     uint64          `json:"base"` // the revision that the document was edited from
 	Document json.RawMessage `json:"document"`
 }
 
-// RollbackBody names a kept revision to be put in force again.
+// RollbackBody is the request body for publishing a stored revision again.
 type RollbackBody struct {
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author"`
@@ -172,56 +174,59 @@
 	Revision uint64 `json:"revision"`
 }
 
-// History lists publications, newest first.
+// History is the list of stored publications, newest first.
 type History struct {
 	Publications []publication.Summary `json:"publications"`
 }
 
-// Differences lists what changed.
+// Differences is the list of differences between two revisions.
 type Differences struct {
 	Differences []document.Difference `json:"differences"`
 }
 
-// Reasons for a request of an operator that was refused.
+// Reasons for refusing an operator's request.
 const (
-	// Conflict: another change came first.
+	// Conflict means that another change was published since the base revision.
 	Conflict reason.Code = "conflict"
-	// ChangeReused: the change id belongs to another document.
+	// ChangeReused means that the change id was used for another document.
 	ChangeReused reason.Code = "change_reused"
-	// InvalidDocument: the document was refused whole; fields says why.
+	// InvalidDocument means that the document is invalid and no part of it was
+	// applied. Problem.Fields lists the invalid fields.
 	InvalidDocument reason.Code = "invalid_document"
-	// NoRevision: the revision is not kept.
+	// NoRevision means that the revision is not stored.
 	NoRevision reason.Code = "no_revision"
-	// StoreDown: the platform's store could not be asked; nothing changed.
+	// StoreDown means that the platform's store did not answer. Nothing changed.
 	StoreDown reason.Code = "store_down"
-	// StoreUnresolved: a write was sent and its answer lost; it may be in force.
+	// StoreUnresolved means that a write was sent but its answer was lost. The
+	// change may be in force.
 	StoreUnresolved reason.Code = "store_unresolved"
-	// DamagedValue: a stored value cannot be read.
+	// DamagedValue means that a stored value cannot be decoded.
 	DamagedValue reason.Code = "damaged_value"
 )
 
-// Problem tells why a request had no effect, or that its effect is not known
-// (RFC 9457).
+// Problem is the RFC 9457 response body for a request that had no effect or whose
+// effect is unknown.
 type Problem struct {
 	Type   string      `json:"type"`
 	Title  string      `json:"title"`
 	Status int         `json:"status"`
 	Detail string      `json:"detail"`
 	Reason reason.Code `json:"reason"`
-	// Fields name what is not allowed in a document.
+	// Fields lists the invalid fields of a document.
 	Fields []Field `json:"fields,omitempty"`
 }
 
-// Field is one field of a document that is not allowed.
+// Field is an invalid field of a document.
 type Field struct {
 	Path    string `json:"path"`
 	Value   string `json:"value"`
 	Allowed string `json:"allowed"`
 }
 
-// Problem makes Problem an error of the command-line tool.
+// Error implements error, so that the command-line tool can return a Problem.
 func (p *Problem) Error() string { return string(p.Reason) + ": " + p.Detail }
 
+// statusOfReason maps a reason to the HTTP status of its Problem.
 var statusOfReason = map[reason.Code]int{
 	reason.MalformedRequest: http.StatusBadRequest,
 	reason.BadTicket:        http.StatusBadRequest,
--- a/internal/connection/operator/server.go
+++ b/internal/connection/operator/server.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// maxBodyBytes leaves room for a document and what goes with it.
+	// maxBodyBytes allows for the largest document and the fields around it.
 	maxBodyBytes = document.MaxEncodedBytes + 4096
-	// bodyTimeout bounds the time for which a body may take to come.
+	// bodyTimeout limits how long a request's body may take to arrive.
 	bodyTimeout = 10 * time.Second
 )
 
-// Server answers operators.
+// Server handles operators' requests.
 type Server struct {
 	vm        VM
 	publisher Publisher
@@ -39,7 +39,7 @@
 	return &Server{vm: vm, publisher: p, metrics: metrics}
 }
 
-// Handler serves the interface.
+// Handler returns the HTTP handler of the interface.
 func (s *Server) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
@@ -65,21 +65,22 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// reply writes what a function returns, or the problem of its error.
+// jsonHandler returns a handler that reads the request's body, calls answer and
+// writes the result as JSON, or the error as a Problem.
 func jsonHandler(answer func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			writeProblem(w, malformedRequest("the body is over %d bytes, came too slowly or ended early", maxBodyBytes))
+			writeProblem(w, malformedRequest("the body is larger than %d bytes, arrived too slowly or is incomplete", maxBodyBytes))
 			return
 		}
 		_ = control.SetReadDeadline(time.Time{})
 		r.Body = io.NopCloser(bytes.NewReader(text))
 		out, err := answer(r)
 		if err != nil {
-			writeProblem(w, problemOf(err))
+			writeProblem(w, problemFromError(err))
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -108,8 +109,8 @@
 	return p
 }
 
-// problemOf gives an error of a publication its reason.
-func problemOf(err error) *Problem {
+// problemFromError returns the Problem that describes an error of the Publisher.
+func problemFromError(err error) *Problem {
 	var (
 		problem    *Problem
 		conflict   *publication.ConflictError
@@ -162,7 +163,7 @@
 	if !r.URL.Query().Has("revision") {
 		doc, err := s.publisher.Current(r.Context())
 		if err == nil && doc == nil {
-			return nil, &Problem{Reason: NoRevision, Detail: "nothing was published yet"}
+			return nil, &Problem{Reason: NoRevision, Detail: "no configuration has been published yet"}
 		}
 		return doc, err
 	}
@@ -191,11 +192,12 @@
 	return Differences{differences}, err
 }
 
+// revisionParam parses a query parameter that is a revision number.
 func revisionParam(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, malformedRequest("%s is %q, allowed is a revision number", name, text)
+		return 0, malformedRequest("%s is %q, want a revision number", name, text)
 	}
 	return n, nil
 }
@@ -224,15 +226,15 @@
 	})
 }
 
-// decode reads a body strictly.
+// decode reads a JSON body and refuses unknown fields and data after the value.
 func decode(r *http.Request, into any) error {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return malformedRequest("not the JSON that is expected here: %v", err)
+		return malformedRequest("the body is not valid JSON for this request: %v", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return malformedRequest("something follows the JSON value")
+		return malformedRequest("unexpected data after the JSON value")
 	}
 	return nil
 }
--- a/internal/kept/site/site.go
+++ b/internal/kept/site/site.go
@@ -353,7 +353,7 @@
 	return out
 }
 
-// workStateOf returns the state of a shard, creating it if it is new.
+// stateOf returns the state of a shard, creating it if it is new.
 func (s *Site) stateOf(shard string) *shardState {
 	v := s.shards[shard]
 	if v == nil {
