--- a/internal/connection/upstream/doc.go
+++ b/internal/connection/upstream/doc.go
@@ -1,13 +1,14 @@
-// Package upstream keeps the connections to workers: one link per worker whose
-// lease this entry VM should hold, and short control calls to any worker.
+// Package upstream manages the connections to workers: one Link per worker whose
+// lease this entry VM should hold, and Control for short calls to any worker.
 //
-// A link has two duties, each a goroutine: one reads what the worker says, one
-// writes what waits in the link's ring as a single message. The link acquires
-// the lease, renews it with heartbeats, and reports Granted and Lost to its
-// Events. After Lost nothing that was sent counts as answered.
+// A link acquires the worker's lease, renews it with heartbeats, and reports
+// Granted and Lost to its Events. One of its goroutines reads the worker's
+// messages; the other merges the queued messages into one and writes it. After
+// Lost, the results of starts that were sent under the lease are unknown.
 //
-// A connection that goes silent is left, never used for a repeat: the link
-// closes it, reports Lost, and asks for the lease again on a new one.
+// If no message arrives within the silence time-out, the link closes the
+// connection, reports Lost and asks for the lease on a new connection. It never
+// retries on the old one.
 package upstream
 
 import (
@@ -16,24 +17,26 @@
 	pb "github.com/pumiceyard/pumiceyard/api/pumiceyard/v1"
 )
 
-// Settings are the bounds of links and control calls.
+// Settings are the intervals, time-outs and limits of links and control calls.
 type Settings struct {
-	LeaseTTL          time.Duration // asked of the worker
+	LeaseTTL          time.Duration // requested from the worker
 	HeartbeatInterval time.Duration // between heartbeats
-	SilenceTimeout    time.Duration // without any message: the connection is left
-	RedialDelay       time.Duration // between attempts to get the lease
-	CallTimeout       time.Duration // one control call
-	CallAttempts      int           // control calls to a silent worker
-	QueueSize         int           // messages waiting to be written to one worker
-	// MaxDeniedRetryDelay bounds the wait after another holder was found on a worker. The
-	// worker tells when that lease lapses, but in a planned hand-over the lease is
-	// given back long before, and the worker would stand idle until then.
+	SilenceTimeout    time.Duration // the connection is closed after this time without a message
+	RedialDelay       time.Duration // minimum time between attempts to acquire the lease
+	CallTimeout       time.Duration // of one control call, without the wait it asks for
+	CallAttempts      int           // attempts per control call
+	QueueSize         int           // messages that wait to be written to one worker
+	// MaxDeniedRetryDelay limits the wait before the next attempt if another entry VM
+	// holds the lease. The worker tells when that lease expires, but in a planned
+	// handover the lease is released long before, and the worker would be idle until
+	// the expiry.
 	MaxDeniedRetryDelay time.Duration
-	// MayAcquire is asked before each attempt to get a lease; nil: always.
+	// MayAcquire is called before each attempt to acquire a lease. The attempt is
+	// skipped if it returns false. Nil means always true.
 	MayAcquire func() bool
 }
 
-// Defaults returns bounds that suit a site whose round trip is below 5 ms.
+// Defaults returns settings for a site with round trips below 5 ms.
 func Defaults() Settings {
 	return Settings{
 		LeaseTTL:            2 * time.Second,
@@ -47,19 +50,20 @@
 	}
 }
 
-// Events is told what happens on links. Calls come from the links' goroutines
-// and must not block for long.
+// Events receives the events of links. Its methods are called from the links'
+// goroutines and must not block for long.
 type Events interface {
-	// Granted: the lease is held under m.Epoch.
+	// Granted reports that the lease was acquired with the epoch m.Epoch.
 	Granted(worker string, m *pb.Granted)
-	// Lost: the lease is not held any more, or the connection is silent. Starts
-	// without a result have an unknown fate.
-	Lost(worker, why string)
-	// Results of tasks, in the worker's order.
+	// Lost reports that the lease is no longer held or that the worker is silent.
+	// The outcome of starts without a result is unknown.
+	Lost(worker, reason string)
+	// Results reports the results of tasks, in the order in which the worker sent
+	// them.
 	Results(worker string, groups []*pb.ResultGroup)
-	// Usage measured on the worker.
+	// Usage reports the usage that the worker measured.
 	Usage(worker string, m *pb.Usage)
-	// Confirmed: the worker answered the allotment or the throttle that was sent
-	// under this epoch. Either may be nil.
+	// Confirmed reports the worker's answer to an allotment or a throttle that was
+	// sent under this epoch. One of the two may be nil.
 	Confirmed(worker string, epoch uint64, allotment *pb.AllotmentAnswer, throttled *pb.Throttle)
 }
--- a/internal/connection/upstream/link.go
+++ b/internal/connection/upstream/link.go
@@ -19,20 +19,20 @@
 
 const logPrefix = "upstream: "
 
-// Target is the worker a link leads to.
+// Target is the worker that a link connects to.
 type Target struct {
 	ID          string
 	Address     string // host:port
 	Incarnation uint64
 }
 
-// Identity is who asks for the lease.
+// Identity is the entry VM that requests the lease.
 type Identity struct {
 	EntryVM     string
 	Incarnation uint64
 }
 
-// Link holds the lease on one worker for as long as it runs.
+// Link acquires and renews the lease on one worker until it is stopped.
 type Link struct {
 	settings Settings
 	target   Target
@@ -46,7 +46,7 @@
 	done    chan struct{}
 }
 
-// Start opens a link. It tries to get the lease until Stop.
+// Start starts a link. It tries to acquire the lease until Stop or Release.
 func Start(s Settings, target Target, self Identity, dial wire.Dialer, events Events) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Link{
@@ -63,12 +63,12 @@
 	return l
 }
 
-// Send queues a message to the worker. It reports false when the ring is full;
-// nothing was sent then.
+// Send queues a message for the worker. It returns false if the queue is full; the
+// message is not sent then.
 func (l *Link) Send(m *pb.HoldRequest) bool { return l.out.TryPush(m) }
 
-// Release gives the lease back and ends the link. Messages queued before are
-// sent first.
+// Release sends the messages that are queued, releases the lease and stops the
+// link.
 func (l *Link) Release() {
 	l.release.Store(true)
 	l.out.Close()
@@ -79,7 +79,7 @@
 	l.Stop()
 }
 
-// Stop ends the link without giving the lease back, as a crash would.
+// Stop stops the link without releasing the lease, as a crash would.
 func (l *Link) Stop() {
 	l.cancel()
 	<-l.done
@@ -88,7 +88,7 @@
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
 	for ctx.Err() == nil && !l.release.Load() {
-		wait := l.hold(ctx)
+		wait := l.holdLease(ctx)
 		if wait <= 0 {
 			continue
 		}
@@ -96,7 +96,8 @@
 		select {
 		case <-ctx.Done():
 		case <-l.out.Ready():
-			// Only Close can wake an idle link: without the lease nothing is sent.
+			// Without the lease nothing is sent, so either the queue was closed by
+			// Release or the queued messages are dropped.
 			if l.out.Closed() {
 				return
 			}
@@ -106,12 +107,12 @@
 	}
 }
 
-// hold is one connection from acquiring the lease to losing it. It returns how
-// long to wait before the next one.
+// holdLease opens a connection, acquires the lease and uses it until it is lost.
+// It returns how long to wait before the next attempt.
 //
-// Every connection has a transport of its own: a shared one would put the next
-// attempt on the connection that just went silent.
-func (l *Link) hold(ctx context.Context) time.Duration {
+// Every attempt has a transport of its own. A shared transport would reuse the
+// connection that has just gone silent.
+func (l *Link) holdLease(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := wire.NewClient(l.dial, nil)
@@ -122,21 +123,22 @@
 	}
 	l.out.Drain()
 	l.events.Granted(l.target.ID, granted)
-	why := l.serve(ctx, client, conn, granted)
-	klog.V(1).InfoS(logPrefix+"lease ended", "worker", l.target.ID, "epoch", granted.Epoch, "why", why)
-	l.events.Lost(l.target.ID, why)
+	reason := l.useLease(ctx, client, conn, granted)
+	klog.V(1).InfoS(logPrefix+"lease ended", "worker", l.target.ID, "epoch", granted.Epoch, "why", reason)
+	l.events.Lost(l.target.ID, reason)
 	return l.settings.RedialDelay
 }
 
-// released is why a link ended that gave its lease back.
-const released = "released"
+// reasonReleased is the reason that Events.Lost gets after Release.
+const reasonReleased = "released"
 
 type holdStream = connect.BidiStreamForClient[pb.HoldRequest, pb.HoldResponse]
 
-// acquire opens a stream and asks for the lease.
+// acquire opens a stream and requests the lease. If it is not granted, it returns a
+// nil pb.Granted and the time to wait before the next attempt.
 func (l *Link) acquire(ctx context.Context, client *wire.Client) (*pb.Granted, *holdStream, time.Duration) {
 	retry := l.settings.RedialDelay
-	if may := l.settings.MayAcquire; may != nil && !may() {
+	if mayAcquire := l.settings.MayAcquire; mayAcquire != nil && !mayAcquire() {
 		return nil, nil, retry
 	}
 	conn := pumiceyardv1connect.NewWorkerServiceClient(client, "http://"+l.target.Address, wire.ClientOptions()...).Hold(ctx)
@@ -149,25 +151,25 @@
 		m   *pb.HoldResponse
 		err error
 	}
-	got := make(chan reply, 1)
+	replies := make(chan reply, 1)
 	go func() {
 		if err := conn.Send(first); err != nil {
-			got <- reply{err: err}
+			replies <- reply{err: err}
 			return
 		}
 		m, err := conn.Receive()
-		got <- reply{m, err}
+		replies <- reply{m, err}
 	}()
 	timeout := time.NewTimer(l.settings.SilenceTimeout)
 	defer timeout.Stop()
 	select {
-	case r := <-got:
+	case r := <-replies:
 		if r.err != nil {
 			return nil, nil, retry
 		}
 		if r.m.Granted == nil {
-			lapses := time.Duration(r.m.GetDenied().GetRetryAfterMillis()) * time.Millisecond
-			return nil, nil, max(retry, min(lapses, l.settings.MaxDeniedRetryDelay))
+			leaseExpiresIn := time.Duration(r.m.GetDenied().GetRetryAfterMillis()) * time.Millisecond
+			return nil, nil, max(retry, min(leaseExpiresIn, l.settings.MaxDeniedRetryDelay))
 		}
 		return r.m.Granted, conn, 0
 	case <-timeout.C:
@@ -177,53 +179,55 @@
 	}
 }
 
-// serve runs both duties of a granted connection until it ends, and says why.
-func (l *Link) serve(ctx context.Context, client *wire.Client, conn *holdStream, granted *pb.Granted) string {
+// useLease reads from and writes to a connection that has the lease until it ends,
+// and returns the reason.
+func (l *Link) useLease(ctx context.Context, client *wire.Client, conn *holdStream, granted *pb.Granted) string {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := &watchdog{}
-	w.heard()
-	var duties sync.WaitGroup
-	duties.Go(func() {
+	w.markHeard()
+	var reader sync.WaitGroup
+	reader.Go(func() {
 		defer cancel()
-		l.read(conn, granted.Epoch, w)
+		l.readLoop(conn, granted.Epoch, w)
 	})
-	why := l.write(ctx, conn, granted.Epoch, w)
-	if why == released {
-		l.awaitEnd(ctx)
+	reason := l.writeLoop(ctx, conn, granted.Epoch, w)
+	if reason == reasonReleased {
+		l.awaitStreamEnd(ctx)
 	}
 	client.CloseAll()
-	duties.Wait()
-	return why
+	reader.Wait()
+	return reason
 }
 
-// awaitEnd waits until the worker has ended the stream, which it does once it has
-// read the release. What goes wrong otherwise: the connection is left while the
-// release still waits in the transport; the worker sees a holder that died, and
-// nobody gets its lease until it lapses, three seconds later.
-func (l *Link) awaitEnd(ctx context.Context) {
+// awaitStreamEnd waits until the worker ends the stream, which it does after it has
+// read the release. Otherwise the connection could be closed while the release is
+// still in the transport's buffer. The worker would take the holder for dead, and
+// nobody could acquire its lease until it expires three seconds later.
+func (l *Link) awaitStreamEnd(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(l.settings.CallTimeout):
 	}
 }
 
-// watchdog remembers when the worker was last heard.
-type watchdog struct{ last atomic.Int64 }
+// watchdog records when the last message of the worker arrived.
+type watchdog struct{ lastHeardNanos atomic.Int64 }
 
-func (w *watchdog) heard() { w.last.Store(time.Now().UnixNano()) }
+func (w *watchdog) markHeard() { w.lastHeardNanos.Store(time.Now().UnixNano()) }
 
 func (w *watchdog) silentFor() time.Duration {
-	return time.Duration(time.Now().UnixNano() - w.last.Load())
+	return time.Duration(time.Now().UnixNano() - w.lastHeardNanos.Load())
 }
 
-func (l *Link) read(conn *holdStream, epoch uint64, w *watchdog) {
+// readLoop passes the worker's messages to the link's events until the stream ends.
+func (l *Link) readLoop(conn *holdStream, epoch uint64, w *watchdog) {
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		w.heard()
+		w.markHeard()
 		if len(m.Results) > 0 {
 			l.events.Results(l.target.ID, m.Results)
 		}
@@ -236,42 +240,43 @@
 	}
 }
 
-// write sends what waits, and heartbeats. It ends the connection when the
-// worker was silent too long, or when this process was: a paused process must
-// not believe in a lease that lapsed meanwhile.
-func (l *Link) write(ctx context.Context, conn *holdStream, epoch uint64, w *watchdog) string {
-	beats := time.NewTicker(l.settings.HeartbeatInterval)
-	defer beats.Stop()
-	beat := uint64(0)
+// writeLoop sends queued messages and heartbeats, and returns the reason why the
+// connection must end. It ends if no message has arrived within the silence
+// time-out. This also covers a pause of this process: after it, the process must
+// not use a lease that has expired in the meantime.
+func (l *Link) writeLoop(ctx context.Context, conn *holdStream, epoch uint64, w *watchdog) string {
+	heartbeats := time.NewTicker(l.settings.HeartbeatInterval)
+	defer heartbeats.Stop()
+	number := uint64(0)
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return "stream ended"
-		case <-beats.C:
+		case <-heartbeats.C:
 			if w.silentFor() > l.settings.SilenceTimeout {
 				return "silent"
 			}
-			beat++
-			err = conn.Send(&pb.HoldRequest{Beat: beat, Epoch: epoch})
+			number++
+			err = conn.Send(&pb.HoldRequest{Beat: number, Epoch: epoch})
 		case <-l.out.Ready():
-			err = l.flush(conn, epoch)
+			err = l.sendQueued(conn, epoch)
 			if err == nil && l.out.Closed() {
 				_ = conn.Send(&pb.HoldRequest{Epoch: epoch, Release: true})
 				_ = conn.CloseRequest()
-				return released
+				return reasonReleased
 			}
 		}
 		if err != nil {
-			return errText(err)
+			return errorReason(err)
 		}
 	}
 }
 
-// flush joins all waiting messages into one. A message that was made under an
-// earlier lease is dropped: its starts were reported as lost with that lease,
-// and sent under this one they would run without the holder's knowledge.
-func (l *Link) flush(conn *holdStream, epoch uint64) error {
+// sendQueued merges all queued messages into one and sends it. Messages made under
+// an earlier lease are dropped: their starts were reported as lost with that lease,
+// and would run without the holder's knowledge if they were sent under this one.
+func (l *Link) sendQueued(conn *holdStream, epoch uint64) error {
 	var joined *pb.HoldRequest
 	for _, m := range l.out.Drain() {
 		switch {
@@ -279,7 +284,7 @@
 		case joined == nil:
 			joined = m
 		default:
-			join(joined, m)
+			mergeInto(joined, m)
 		}
 	}
 	if joined == nil {
@@ -288,9 +293,10 @@
 	return conn.Send(joined)
 }
 
-// join adds a later message to an earlier one. The later allotment and throttle
-// replace the earlier: the worker confirms those that are in force.
-func join(into, m *pb.HoldRequest) {
+// mergeInto appends a later message to an earlier one. An allotment or throttle of
+// the later message replaces that of the earlier one, because the worker confirms
+// only those in force.
+func mergeInto(into, m *pb.HoldRequest) {
 	into.Starts = append(into.Starts, m.Starts...)
 	into.Stops = append(into.Stops, m.Stops...)
 	into.Checkpoints = append(into.Checkpoints, m.Checkpoints...)
@@ -302,7 +308,9 @@
 	}
 }
 
-func errText(err error) string {
+// errorReason returns the reason for a connection that ended with an error: the
+// Connect code, if there is one.
+func errorReason(err error) string {
 	var ce *connect.Error
 	if errors.As(err, &ce) {
 		return ce.Code().String()
--- a/internal/connection/upstream/silence_test.go
+++ b/internal/connection/upstream/link_test.go
@@ -15,7 +15,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/worker"
 )
 
-// events keeps what a link reported, in order.
+// events records the reports of a link in order.
 type events struct {
 	granted []uint64 // epochs
 	lost    []string
@@ -23,7 +23,7 @@
 }
 
 func (e *events) Granted(_ string, m *pb.Granted) { e.granted = append(e.granted, m.Epoch) }
-func (e *events) Lost(_, why string)              { e.lost = append(e.lost, why) }
+func (e *events) Lost(_, reason string)           { e.lost = append(e.lost, reason) }
 func (e *events) Usage(string, *pb.Usage)         {}
 
 func (e *events) Confirmed(string, uint64, *pb.AllotmentAnswer, *pb.Throttle) {}
@@ -33,7 +33,7 @@
 	}
 }
 
-// serve runs a worker on a network of pipes.
+// serve runs a simulated worker on an in-memory network.
 func serve(t *testing.T) (*worker.Worker, *pipe.Network) {
 	w := worker.New(worker.Config{ID: "w1", Incarnation: 7, Capacity: &pb.Resources{Slots: 4},
 		Behaviour: func(string, []byte) worker.Outcome { return worker.Outcome{Run: time.Second} }})
@@ -54,12 +54,12 @@
 	}}}
 }
 
-// Symptom: a worker gets no more work, or a start is sent twice. Sequence: the
-// connection that holds the lease goes silent for good while new ones work; the
-// holder sends a start under the old epoch after it has the lease again. Cause
-// would be a link that waits on the old connection, or repeats on the new one
-// what it sent on the old.
-func TestSilentConnectionIsLeft(t *testing.T) {
+// Guards against a worker that gets no more work and against a start that is sent
+// twice. The connection with the lease goes silent for good while new connections
+// work, and after the lease is acquired again the holder sends a start under the old
+// epoch. The link must neither wait on the old connection nor resend on the new one
+// what it sent on the old one.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, n := serve(t)
 		e, s := &events{}, Defaults()
@@ -67,14 +67,14 @@
 		defer l.Stop()
 		synctest.Wait()
 		if len(e.granted) != 1 {
-			t.Fatalf("leases %v, want one", e.granted)
+			t.Fatalf("leases granted: %v, want one", e.granted)
 		}
 		n.Silence()
 		l.Send(start(e.granted[0], 1))
 		time.Sleep(s.SilenceTimeout + 2*s.HeartbeatInterval + 2*s.RedialDelay)
 		synctest.Wait()
 		if len(e.lost) != 1 || e.lost[0] != "silent" || len(e.granted) != 2 || n.Dials() != 2 {
-			t.Fatalf("lost %v, leases %v, %d connections: want the silent one left for a new one", e.lost, e.granted, n.Dials())
+			t.Fatalf("lost %v, leases %v, %d connections: want the silent connection replaced by one new connection", e.lost, e.granted, n.Dials())
 		}
 		l.Send(start(e.granted[0], 2))
 		l.Send(start(e.granted[1], 3))
@@ -85,10 +85,10 @@
 	})
 }
 
-// Symptom: a submission ends as unknown although its worker works. Sequence: the
-// connection for control calls went silent; a seal is asked. Cause would be
-// repeating the call on the silent connection.
-func TestSealIsAskedOnANewConnection(t *testing.T) {
+// Guards against a submission that ends as unknown although its worker is up: the
+// connection for control calls has gone silent, and a seal is retried on it instead
+// of on a new connection.
+func TestSealIsRetriedOnNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, n := serve(t)
 		c := NewControl(Defaults(), n.Dial)
@@ -106,11 +106,11 @@
 	})
 }
 
-// Symptom: submissions end as unknown although their worker works. Sequence: one
-// call asks a worker for a task that it does not know, others wait on the same
-// connection. Cause: each error counted as a broken connection, which was closed
-// under the others.
-func TestUnknownTaskKeepsTheConnection(t *testing.T) {
+// Guards against submissions that end as unknown although their worker is up: one
+// call asks the worker for a task that it does not know while other calls wait on
+// the same connection. The error must not count as a failed connection, because
+// closing it would break the other calls.
+func TestNotFoundKeepsConnectionOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, n := serve(t)
 		c := NewControl(Defaults(), n.Dial)
@@ -127,12 +127,12 @@
 	})
 }
 
-// Symptom: a worker stands idle for the rest of a lease after each planned
-// hand-over. Sequence: the holder gives the lease back and leaves the connection;
-// the next holder asks. Cause would be a connection that is left before the
-// release was read, or a next holder that waits until the denied lease would have
-// lapsed.
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+// Guards against a worker that is idle for the rest of a lease after each planned
+// handover. The holder releases the lease and closes the connection, then the next
+// holder requests the lease. The connection must not be closed before the worker has
+// read the release, and the next holder must not wait until the lease that it was
+// denied would have expired.
+func TestReleasedLeaseIsReacquiredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, n := serve(t)
 		first, next := &events{}, &events{}
@@ -147,14 +147,14 @@
 		time.Sleep(s.MaxDeniedRetryDelay + s.RedialDelay)
 		synctest.Wait()
 		if len(first.granted) != 1 || len(next.granted) != 1 || len(next.lost) != 0 {
-			t.Errorf("granted %v, then %v, lost %v", first.granted, next.granted, next.lost)
+			t.Errorf("first holder granted %v, next holder granted %v and lost %v; want one grant each and no loss", first.granted, next.granted, next.lost)
 		}
 	})
 }
 
-// Symptom: a VM that was paused takes workers from their new holders. Cause would
-// be a link that asks for the lease before its VM knows how it stands.
-func TestLinkAsksForNoLeaseWhileItsVMMayNotAct(t *testing.T) {
+// Guards against a VM that takes workers from their new holders after it was paused:
+// its links must not request leases before MayAcquire allows it.
+func TestLinkDoesNotAcquireWhileVMMayNotAct(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, n := serve(t)
 		e, may := &events{}, &atomic.Bool{}
@@ -165,13 +165,13 @@
 		time.Sleep(s.LeaseTTL)
 		synctest.Wait()
 		if len(e.granted) != 0 {
-			t.Fatalf("granted %v", e.granted)
+			t.Fatalf("leases granted: %v, want none", e.granted)
 		}
 		may.Store(true)
 		time.Sleep(3 * s.RedialDelay)
 		synctest.Wait()
 		if len(e.granted) != 1 {
-			t.Errorf("granted %v", e.granted)
+			t.Errorf("leases granted: %v, want one", e.granted)
 		}
 	})
 }
