--- a/api/pumiceyard/v1/pumiceyardv1connect/kept.connect.go
+++ b/api/pumiceyard/v1/pumiceyardv1connect/kept.connect.go
@@ -2,7 +2,8 @@
 //
 // Source: pumiceyard/v1/kept.proto
 
-// What entry VMs say to each other about kept submissions.
+// Protocol between the entry VMs for kept submissions, which are stored under keys that
+// their callers choose.
 package pumiceyardv1connect
 
 import (
@@ -40,8 +41,8 @@
 
 // KeptServiceClient is a client for the pumiceyard.v1.KeptService service.
 type KeptServiceClient interface {
-	// Link is opened by each entry VM towards each other one and carries all that
-	// the opener has to say. The other side answers with heartbeats only.
+	// Link is opened by each entry VM to each of its peers. It carries all messages of the
+	// VM that opened it; the peer sends only heartbeats back.
 	Link(context.Context) *connect.BidiStreamForClient[v1.KeptFrame, v1.KeptHeartbeat]
 }
 
@@ -77,8 +78,8 @@
 
 // KeptServiceHandler is an implementation of the pumiceyard.v1.KeptService service.
 type KeptServiceHandler interface {
-	// Link is opened by each entry VM towards each other one and carries all that
-	// the opener has to say. The other side answers with heartbeats only.
+	// Link is opened by each entry VM to each of its peers. It carries all messages of the
+	// VM that opened it; the peer sends only heartbeats back.
 	Link(context.Context, *connect.BidiStream[v1.KeptFrame, v1.KeptHeartbeat]) error
 }
 
--- a/api/pumiceyard/v1/pumiceyardv1connect/peer.connect.go
+++ b/api/pumiceyard/v1/pumiceyardv1connect/peer.connect.go
@@ -2,7 +2,8 @@
 //
 // Source: pumiceyard/v1/peer.proto
 
-// What entry VMs say to each other.
+// Protocol between entry VMs. The home of a submission is the entry VM in charge of it; an
+// owner is an entry VM that holds worker leases.
 package pumiceyardv1connect
 
 import (
@@ -52,24 +53,24 @@
 
 // PeerServiceClient is a client for the pumiceyard.v1.PeerService service.
 type PeerServiceClient interface {
-	// Run is opened by a home towards an owner of worker leases. It carries
-	// batches of tasks that have not started, and their results back.
+	// Run is opened by a home to an owner of worker leases. It carries batches of tasks
+	// to be started, and their results back.
 	Run(context.Context) *connect.BidiStreamForClient[v1.RunRequest, v1.RunResponse]
-	// Submit forwards a submission to its home. Heartbeats come until the final
+	// Submit forwards a submission to its home. The home sends heartbeats until the final
 	// answer, which is the last message.
 	Submit(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.ServerStreamForClient[v1.SubmitResponse], error)
 	// Cancel forwards a cancellation to the home.
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// Timeline collects the steps that one entry VM knows of a submission.
+	// Timeline returns the events that this entry VM has recorded for a submission.
 	Timeline(context.Context, *connect.Request[v1.TimelineRequest]) (*connect.Response[v1.TimelineResponse], error)
-	// Exchange carries messages of the membership and of the configuration's
-	// distribution. Any of them may get lost.
+	// Exchange carries messages about membership and about the distribution of the
+	// configuration. Any of them may get lost.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
-	// LastList returns the newest list of VMs that this one has, for a VM that
-	// starts while the platform is out.
+	// LastList returns the newest list of VMs that this entry VM has, for one that
+	// starts while the platform is unavailable.
 	LastList(context.Context, *connect.Request[v1.LastListRequest]) (*connect.Response[v1.ListVMsResponse], error)
-	// LastPlan returns the power plan of this one's failure domain, for a VM that
-	// starts while the platform is out.
+	// LastPlan returns the power plan of this entry VM's failure domain, for a VM that
+	// starts while the platform is unavailable.
 	LastPlan(context.Context, *connect.Request[v1.LastPlanRequest]) (*connect.Response[v1.LastPlanResponse], error)
 }
 
@@ -177,24 +178,24 @@
 
 // PeerServiceHandler is an implementation of the pumiceyard.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Run is opened by a home towards an owner of worker leases. It carries
-	// batches of tasks that have not started, and their results back.
+	// Run is opened by a home to an owner of worker leases. It carries batches of tasks
+	// to be started, and their results back.
 	Run(context.Context, *connect.BidiStream[v1.RunRequest, v1.RunResponse]) error
-	// Submit forwards a submission to its home. Heartbeats come until the final
+	// Submit forwards a submission to its home. The home sends heartbeats until the final
 	// answer, which is the last message.
 	Submit(context.Context, *connect.Request[v1.SubmitRequest], *connect.ServerStream[v1.SubmitResponse]) error
 	// Cancel forwards a cancellation to the home.
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// Timeline collects the steps that one entry VM knows of a submission.
+	// Timeline returns the events that this entry VM has recorded for a submission.
 	Timeline(context.Context, *connect.Request[v1.TimelineRequest]) (*connect.Response[v1.TimelineResponse], error)
-	// Exchange carries messages of the membership and of the configuration's
-	// distribution. Any of them may get lost.
+	// Exchange carries messages about membership and about the distribution of the
+	// configuration. Any of them may get lost.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
-	// LastList returns the newest list of VMs that this one has, for a VM that
-	// starts while the platform is out.
+	// LastList returns the newest list of VMs that this entry VM has, for one that
+	// starts while the platform is unavailable.
 	LastList(context.Context, *connect.Request[v1.LastListRequest]) (*connect.Response[v1.ListVMsResponse], error)
-	// LastPlan returns the power plan of this one's failure domain, for a VM that
-	// starts while the platform is out.
+	// LastPlan returns the power plan of this entry VM's failure domain, for a VM that
+	// starts while the platform is unavailable.
 	LastPlan(context.Context, *connect.Request[v1.LastPlanRequest]) (*connect.Response[v1.LastPlanResponse], error)
 }
 
--- a/api/pumiceyard/v1/pumiceyardv1connect/platform.connect.go
+++ b/api/pumiceyard/v1/pumiceyardv1connect/platform.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: pumiceyard/v1/platform.proto
 
-// The platform's interface: a small key-value service and a list of VMs.
+// Interface of the platform: a small key-value store with leases, and a list of the VMs.
 package pumiceyardv1connect
 
 import (
@@ -55,8 +55,8 @@
 type PlatformServiceClient interface {
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	CompareAndSet(context.Context, *connect.Request[v1.CompareAndSetRequest]) (*connect.Response[v1.CompareAndSetResponse], error)
-	// Watch answers when the key's version passes after_version, or when the
-	// wait is over. A waiting watch counts as one call.
+	// Watch responds when the key's version is higher than after_version, or when the
+	// wait time has passed. A waiting watch counts as one call.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.Response[v1.WatchResponse], error)
 	GrantLease(context.Context, *connect.Request[v1.GrantLeaseRequest]) (*connect.Response[v1.GrantLeaseResponse], error)
 	KeepAlive(context.Context, *connect.Request[v1.KeepAliveRequest]) (*connect.Response[v1.KeepAliveResponse], error)
@@ -157,8 +157,8 @@
 type PlatformServiceHandler interface {
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	CompareAndSet(context.Context, *connect.Request[v1.CompareAndSetRequest]) (*connect.Response[v1.CompareAndSetResponse], error)
-	// Watch answers when the key's version passes after_version, or when the
-	// wait is over. A waiting watch counts as one call.
+	// Watch responds when the key's version is higher than after_version, or when the
+	// wait time has passed. A waiting watch counts as one call.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.Response[v1.WatchResponse], error)
 	GrantLease(context.Context, *connect.Request[v1.GrantLeaseRequest]) (*connect.Response[v1.GrantLeaseResponse], error)
 	KeepAlive(context.Context, *connect.Request[v1.KeepAliveRequest]) (*connect.Response[v1.KeepAliveResponse], error)
--- a/api/pumiceyard/v1/pumiceyardv1connect/runhost.connect.go
+++ b/api/pumiceyard/v1/pumiceyardv1connect/runhost.connect.go
@@ -2,7 +2,8 @@
 //
 // Source: pumiceyard/v1/runhost.proto
 
-// What the holder of a shard and its workers say to each other about numbered runs.
+// Protocol between the holder of a shard and its workers. Each attempt to run a task is a
+// run with a number.
 package pumiceyardv1connect
 
 import (
@@ -46,7 +47,8 @@
 type RunHostServiceClient interface {
 	StartRun(context.Context, *connect.Request[v1.StartRunRequest]) (*connect.Response[v1.RunReply], error)
 	StopRun(context.Context, *connect.Request[v1.StopRunRequest]) (*connect.Response[v1.RunReply], error)
-	// HoldRuns extends the lease of all runs and lists them and the ends not acknowledged.
+	// HoldRuns extends the lease under which all runs of the worker run. It lists the runs,
+	// and those that have ended and were not acknowledged.
 	HoldRuns(context.Context, *connect.Request[v1.HoldRunsRequest]) (*connect.Response[v1.HoldRunsResponse], error)
 }
 
@@ -108,7 +110,8 @@
 type RunHostServiceHandler interface {
 	StartRun(context.Context, *connect.Request[v1.StartRunRequest]) (*connect.Response[v1.RunReply], error)
 	StopRun(context.Context, *connect.Request[v1.StopRunRequest]) (*connect.Response[v1.RunReply], error)
-	// HoldRuns extends the lease of all runs and lists them and the ends not acknowledged.
+	// HoldRuns extends the lease under which all runs of the worker run. It lists the runs,
+	// and those that have ended and were not acknowledged.
 	HoldRuns(context.Context, *connect.Request[v1.HoldRunsRequest]) (*connect.Response[v1.HoldRunsResponse], error)
 }
 
--- a/api/pumiceyard/v1/pumiceyardv1connect/submission.connect.go
+++ b/api/pumiceyard/v1/pumiceyardv1connect/submission.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: pumiceyard/v1/submission.proto
 
-// What callers and entry VMs say about submissions under the caller's own key.
+// Interface for callers that submit work under keys which they choose.
 package pumiceyardv1connect
 
 import (
@@ -50,14 +50,14 @@
 
 // SubmissionServiceClient is a client for the pumiceyard.v1.SubmissionService service.
 type SubmissionServiceClient interface {
-	// Submit takes a submission. A kept one is answered when it is stored; a
-	// transient one when it has ended. Error codes: unavailable says that it has not
-	// run and will not, with retry-after in the metadata; unknown says that it may
-	// have; not_found that there is no such queue.
+	// SubmitWork accepts a submission. It responds once the submission is stored, or, if
+	// it is transient, once it has ended. Error codes: unavailable, with retry-after in the
+	// metadata, says that the submission has not run and will not; unknown says that it may
+	// have run; not_found says that there is no such queue.
 	SubmitWork(context.Context, *connect.Request[v1.SubmitWorkRequest]) (*connect.Response[v1.SubmitWorkResponse], error)
 	GetState(context.Context, *connect.Request[v1.GetStateRequest]) (*connect.Response[v1.GetStateResponse], error)
 	CancelWork(context.Context, *connect.Request[v1.CancelWorkRequest]) (*connect.Response[v1.CancelWorkResponse], error)
-	// CountWaiting returns how many submissions of a queue have not begun.
+	// CountWaiting returns the number of submissions of a queue that have not started.
 	CountWaiting(context.Context, *connect.Request[v1.CountWaitingRequest]) (*connect.Response[v1.CountWaitingResponse], error)
 }
 
@@ -129,14 +129,14 @@
 
 // SubmissionServiceHandler is an implementation of the pumiceyard.v1.SubmissionService service.
 type SubmissionServiceHandler interface {
-	// Submit takes a submission. A kept one is answered when it is stored; a
-	// transient one when it has ended. Error codes: unavailable says that it has not
-	// run and will not, with retry-after in the metadata; unknown says that it may
-	// have; not_found that there is no such queue.
+	// SubmitWork accepts a submission. It responds once the submission is stored, or, if
+	// it is transient, once it has ended. Error codes: unavailable, with retry-after in the
+	// metadata, says that the submission has not run and will not; unknown says that it may
+	// have run; not_found says that there is no such queue.
 	SubmitWork(context.Context, *connect.Request[v1.SubmitWorkRequest]) (*connect.Response[v1.SubmitWorkResponse], error)
 	GetState(context.Context, *connect.Request[v1.GetStateRequest]) (*connect.Response[v1.GetStateResponse], error)
 	CancelWork(context.Context, *connect.Request[v1.CancelWorkRequest]) (*connect.Response[v1.CancelWorkResponse], error)
-	// CountWaiting returns how many submissions of a queue have not begun.
+	// CountWaiting returns the number of submissions of a queue that have not started.
 	CountWaiting(context.Context, *connect.Request[v1.CountWaitingRequest]) (*connect.Response[v1.CountWaitingResponse], error)
 }
 
--- a/api/pumiceyard/v1/pumiceyardv1connect/worker.connect.go
+++ b/api/pumiceyard/v1/pumiceyardv1connect/worker.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: pumiceyard/v1/worker.proto
 
-// The upstream's interface: what an entry VM asks of a worker.
+// Interface of the upstreams, the workers, for entry VMs.
 package pumiceyardv1connect
 
 import (
@@ -47,13 +47,13 @@
 
 // WorkerServiceClient is a client for the pumiceyard.v1.WorkerService service.
 type WorkerServiceClient interface {
-	// Hold acquires and renews the lease and carries starts and results. One
-	// holder at a time; the stream ends when the lease is lost.
+	// Hold acquires and renews the lease, and carries starts and results. A worker has
+	// one holder at a time. The stream ends when the lease is lost.
 	Hold(context.Context) *connect.BidiStreamForClient[v1.HoldRequest, v1.HoldResponse]
-	// Seal refuses, from now on, every start of the submission under a lower
-	// generation, and reports every task of it that did start here.
+	// Seal fences a submission: from then on the worker refuses its starts under a lower
+	// generation. The response reports every task of it that has started here.
 	Seal(context.Context, *connect.Request[v1.SealRequest]) (*connect.Response[v1.SealResponse], error)
-	// Follow waits until one of the named tasks ends, or until the wait is over.
+	// Follow waits until one of the given tasks ends, or until the wait time has passed.
 	Follow(context.Context, *connect.Request[v1.FollowRequest]) (*connect.Response[v1.FollowResponse], error)
 	// StopSubmission stops the running tasks of one submission.
 	StopSubmission(context.Context, *connect.Request[v1.StopSubmissionRequest]) (*connect.Response[v1.StopSubmissionResponse], error)
@@ -127,13 +127,13 @@
 
 // WorkerServiceHandler is an implementation of the pumiceyard.v1.WorkerService service.
 type WorkerServiceHandler interface {
-	// Hold acquires and renews the lease and carries starts and results. One
-	// holder at a time; the stream ends when the lease is lost.
+	// Hold acquires and renews the lease, and carries starts and results. A worker has
+	// one holder at a time. The stream ends when the lease is lost.
 	Hold(context.Context, *connect.BidiStream[v1.HoldRequest, v1.HoldResponse]) error
-	// Seal refuses, from now on, every start of the submission under a lower
-	// generation, and reports every task of it that did start here.
+	// Seal fences a submission: from then on the worker refuses its starts under a lower
+	// generation. The response reports every task of it that has started here.
 	Seal(context.Context, *connect.Request[v1.SealRequest]) (*connect.Response[v1.SealResponse], error)
-	// Follow waits until one of the named tasks ends, or until the wait is over.
+	// Follow waits until one of the given tasks ends, or until the wait time has passed.
 	Follow(context.Context, *connect.Request[v1.FollowRequest]) (*connect.Response[v1.FollowResponse], error)
 	// StopSubmission stops the running tasks of one submission.
 	StopSubmission(context.Context, *connect.Request[v1.StopSubmissionRequest]) (*connect.Response[v1.StopSubmissionResponse], error)
