--- a/cmd/pumiceyard/evacuate.go
+++ b/cmd/pumiceyard/evacuate.go
@@ -26,7 +26,7 @@
 func keptReturn() *cobra.Command {
 	return domainCommand("return DOMAIN", "Put an evacuated failure domain back into use", cobra.ExactArgs(1),
 		func(ctx context.Context, _ *cobra.Command, r evacuations.Requests, args []string) error {
-			return r.Return(ctx, args[0])
+			return r.CancelEvacuation(ctx, args[0])
 		})
 }
 
@@ -57,7 +57,7 @@
 		}
 		ctx, cancel := context.WithTimeout(c.Context(), *timeout)
 		defer cancel()
-		return do(ctx, c, evacuations.At(*address), args)
+		return do(ctx, c, evacuations.NewRequests(*address), args)
 	}
 	return c
 }
--- a/cmd/pumiceyard/kept.go
+++ b/cmd/pumiceyard/kept.go
@@ -156,9 +156,9 @@
 			}
 			logs := make([]logstory.Log, len(files))
 			for i, f := range files {
-				logs[i] = logstory.Log{Name: f.Name(), In: f}
+				logs[i] = logstory.Log{Name: f.Name(), Reader: f}
 			}
-			_, err = logstory.Tell(args[0], logs, c.OutOrStdout())
+			_, err = logstory.WriteTimeline(args[0], logs, c.OutOrStdout())
 			return err
 		},
 	}
--- a/cmd/pumiceyard/soak.go
+++ b/cmd/pumiceyard/soak.go
@@ -26,12 +26,12 @@
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			opt.Out = c.OutOrStdout()
-			if opt.Logs == "" {
+			if opt.LogDir == "" {
 				dir, err := os.MkdirTemp("", "pumiceyard-soak")
 				if err != nil {
 					return err
 				}
-				opt.Logs = dir
+				opt.LogDir = dir
 			}
 			var broken error
 			for range seeds {
@@ -46,7 +46,7 @@
 	c.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, run one after the other")
 	c.Flags().DurationVar(&opt.Duration, "duration", 10*time.Second, "how long faults are injected, for each seed")
 	c.Flags().IntVar(&opt.VMs, "vms", 4, "number of entry VMs, in two failure domains")
-	c.Flags().StringVar(&opt.Logs, "logs", "", "directory for the VMs' logs (default a new temporary one)")
+	c.Flags().StringVar(&opt.LogDir, "logs", "", "directory for the VMs' logs (default a new temporary one)")
 	_ = c.MarkFlagRequired("daemon")
 	return c
 }
--- a/cmd/pumiceyard/top.go
+++ b/cmd/pumiceyard/top.go
@@ -26,7 +26,7 @@
 		},
 	}
 	c.Flags().StringSliceVar(&o.URLs, "metrics", nil, "metrics URLs of entry VMs that run pumiceyardd kept (or "+metricsVariable+")")
-	c.Flags().DurationVar(&o.Every, "every", time.Second, "refresh interval")
+	c.Flags().DurationVar(&o.Interval, "every", time.Second, "refresh interval")
 	c.Flags().IntVar(&o.Count, "count", 0, "number of refreshes; 0: until interrupted")
 	return c
 }
--- a/internal/process/distribution/outage_test.go
+++ b/internal/process/distribution/outage_test.go
@@ -29,7 +29,7 @@
 		operator := publication.New(client.Configuration(), time.Now)
 		pair := newPair(t, client)
 		publish := func(id string, base uint64) (publication.Receipt, error) {
-			return operator.Publish(t.Context(), publication.Change{ID: id, Author: "radka", Base: base, Document: sample(t)})
+			return operator.Publish(t.Context(), publication.Change{ID: id, Author: "radka", BaseRevision: base, Document: sample(t)})
 		}
 		if _, err := publish("first", 0); err != nil {
 			t.Fatal(err)
--- a/internal/process/storeclient/configuration.go
+++ b/internal/process/storeclient/configuration.go
@@ -36,6 +36,6 @@
 	return publication.Outcome{
 		Swapped:  result.Swapped,
 		ReadBack: result.ReadBack,
-		Now:      publication.Stored{Value: result.Value, Version: result.Version},
+		Current:  publication.Stored{Value: result.Value, Version: result.Version},
 	}, nil
 }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -347,7 +347,7 @@
 		Fleet:                s.opt.EntryVMs,
 	})
 	publisher := publication.New(store.Configuration(), time.Now)
-	return publisher.Publish(ctx, publication.Change{ID: change, Author: author, Base: d.Revision, Document: d})
+	return publisher.Publish(ctx, publication.Change{ID: change, Author: author, BaseRevision: d.Revision, Document: d})
 }
 
 const awaitPoll = 20 * time.Millisecond
--- a/internal/tool/evacuations/evacuations.go
+++ b/internal/tool/evacuations/evacuations.go
@@ -18,7 +18,7 @@
 type Requests struct{ Store store.Store }
 
 // At reaches the requests in the store at host:port.
-func At(address string) Requests {
+func NewRequests(address string) Requests {
 	return Requests{Store: &kvcall.Client{Calls: &relay.HTTP{Address: address, Client: http.DefaultClient}}}
 }
 
@@ -45,7 +45,7 @@
 }
 
 // Return gives a domain back to use. It is no error if it was not evacuated.
-func (r Requests) Return(ctx context.Context, domain string) error {
+func (r Requests) CancelEvacuation(ctx context.Context, domain string) error {
 	k, err := key(domain)
 	if err != nil {
 		return err
--- a/internal/tool/evacuations/evacuations_test.go
+++ b/internal/tool/evacuations/evacuations_test.go
@@ -16,7 +16,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := errors.Join(r.Return(ctx, "b"), r.Return(ctx, "b")); err != nil {
+	if err := errors.Join(r.CancelEvacuation(ctx, "b"), r.CancelEvacuation(ctx, "b")); err != nil {
 		t.Fatal(err)
 	}
 	got, err := r.List(ctx)
--- a/internal/tool/logstory/logstory.go
+++ b/internal/tool/logstory/logstory.go
@@ -23,9 +23,9 @@
 
 // Head is the pattern of what stands before the message of a line: severity, date and time
 // (the one group), thread, place.
-const Head = `[IWE](\d{4} \d{2}:\d{2}:\d{2}\.\d+)\s+\d+ \S+\] `
+const LinePrefixPattern = `[IWE](\d{4} \d{2}:\d{2}:\d{2}\.\d+)\s+\d+ \S+\] `
 
-var klogLine = regexp.MustCompile(`^` + Head + `"([^"]*)" ?(.*)$`)
+var klogLine = regexp.MustCompile(`^` + LinePrefixPattern + `"([^"]*)" ?(.*)$`)
 
 const lineMost = 1 << 20 // bytes
 
@@ -38,13 +38,13 @@
 
 // Log is one VM's log.
 type Log struct {
-	Name string
-	In   io.Reader
+	Name   string
+	Reader io.Reader
 }
 
 // Tell writes the lines of all logs that name a submission, in the order of their times
 // of day, and says what is missing. It reports whether any line was found.
-func Tell(id string, logs []Log, out io.Writer) (found bool, err error) {
+func WriteTimeline(id string, logs []Log, out io.Writer) (found bool, err error) {
 	var all []line
 	for _, l := range logs {
 		lines, err := read(id, l)
@@ -69,7 +69,7 @@
 
 func read(id string, l Log) ([]line, error) {
 	var out []line
-	s := NewScanner(l.In)
+	s := NewScanner(l.Reader)
 	mark := `id="` + id + `"`
 	name := strings.TrimSuffix(filepath.Base(l.Name), filepath.Ext(l.Name))
 	for s.Scan() {
--- a/internal/tool/logstory/logstory_test.go
+++ b/internal/tool/logstory/logstory_test.go
@@ -26,7 +26,7 @@
 func TestStoryIsToldAcrossVMsInOrder(t *testing.T) {
 	for _, message := range acceptedMessages {
 		var out strings.Builder
-		found, err := Tell("a1", []Log{{"logs/vm1.log", homeWith(message)}, {"vm2.log", strings.NewReader(holder)}}, &out)
+		found, err := WriteTimeline("a1", []Log{{"logs/vm1.log", homeWith(message)}, {"vm2.log", strings.NewReader(holder)}}, &out)
 		if err != nil || !found {
 			t.Fatal(message, found, err)
 		}
@@ -48,7 +48,7 @@
 	for _, message := range acceptedMessages {
 		for id, want := range map[string]string{"b2": "its first start", "none": "no log names it"} {
 			var out strings.Builder
-			if _, err := Tell(id, []Log{{"vm1.log", homeWith(message)}}, &out); err != nil {
+			if _, err := WriteTimeline(id, []Log{{"vm1.log", homeWith(message)}}, &out); err != nil {
 				t.Fatal(err)
 			}
 			if !strings.Contains(out.String(), want) {
--- a/internal/tool/losses/losses.go
+++ b/internal/tool/losses/losses.go
@@ -26,15 +26,15 @@
 
 // The causes, in the order in which a hand-in is tried against them.
 const (
-	InTime      Cause = "in time"
-	RefusedSoon Cause = "refused at once"
-	RefusedLate Cause = "refused after a wait"
-	GivenUp     Cause = "given up"
-	Abandoned   Cause = "its caller had gone"
-	NoEnd       Cause = "no end in the logs"
-	Reran       Cause = "a run was lost or failed"
-	Waited      Cause = "waited for room"
-	SlowRun     Cause = "a run took long"
+	InTime            Cause = "in time"
+	RefusedAtOnce     Cause = "refused at once"
+	RefusedAfterWait  Cause = "refused after a wait"
+	GivenUp           Cause = "given up"
+	CallerGone        Cause = "its caller had gone"
+	NoEndLogged       Cause = "no end in the logs"
+	RunLostOrFailed   Cause = "a run was lost or failed"
+	WaitedForCapacity Cause = "waited for room"
+	SlowRun           Cause = "a run took long"
 )
 
 // soonWithin is up to when a refusal counts as given at once: half of the refusals should
@@ -46,17 +46,17 @@
 
 // Row counts the hand-ins of one phase, queue and cause.
 type Row struct {
-	Phase time.Duration // since the first line
-	Queue string
-	Cause Cause
-	Why   string // as the log gives it
+	Phase  time.Duration // since the first line
+	Queue  string
+	Cause  Cause
+	Reason string // as the log gives it
 }
 
 // Account is what the logs tell of all hand-ins.
-type Account struct {
-	Every time.Duration // length of a phase
-	Count map[Row]int
-	Total int
+type Report struct {
+	PhaseLength   time.Duration // length of a phase
+	Counts        map[Row]int
+	TotalAttempts int
 }
 
 // handIn is one hand-in of a submission, as far as it was read.
@@ -76,7 +76,7 @@
 }
 
 var (
-	klogLine  = regexp.MustCompile(logstory.Head + `"kept: (accepted transient|taken|start|answered|refused|given up|abandoned)" (.*)$`)
+	klogLine  = regexp.MustCompile(logstory.LinePrefixPattern + `"kept: (accepted transient|taken|start|answered|refused|given up|abandoned)" (.*)$`)
 	fieldText = regexp.MustCompile(`(\w+)=(?:"((?:[^"\\]|\\.)*)"|(\S+))`)
 )
 
@@ -84,7 +84,7 @@
 
 // Read takes the logs of all entry VMs and sorts what happened to the hand-ins into causes.
 // Times are compared between VMs: their clocks should agree to some milliseconds.
-func Read(logs []io.Reader, every time.Duration) (*Account, error) {
+func Read(logs []io.Reader, every time.Duration) (*Report, error) {
 	var all []event
 	for _, l := range logs {
 		events, err := readLog(l)
@@ -94,7 +94,7 @@
 		all = append(all, events...)
 	}
 	slices.SortStableFunc(all, func(a, b event) int { return a.at.Compare(b.at) })
-	account := &Account{Every: every, Count: make(map[Row]int)}
+	account := &Report{PhaseLength: every, Counts: make(map[Row]int)}
 	if len(all) == 0 {
 		return account, nil
 	}
@@ -123,12 +123,12 @@
 	return out, s.Err()
 }
 
-func (a *Account) follow(all []event) {
+func (a *Report) follow(all []event) {
 	first := all[0].at
 	open := make(map[string]*handIn)
 	end := func(h *handIn, cause Cause, why string) {
-		a.Total++
-		a.Count[Row{Phase: h.at.Sub(first).Truncate(max(a.Every, 1)), Queue: h.queue, Cause: cause, Why: why}]++
+		a.TotalAttempts++
+		a.Counts[Row{Phase: h.at.Sub(first).Truncate(max(a.PhaseLength, 1)), Queue: h.queue, Cause: cause, Reason: why}]++
 	}
 	for _, ev := range all {
 		id := ev.fields["id"]
@@ -138,7 +138,7 @@
 			open[id] = &handIn{queue: ev.fields["queue"], at: ev.at, objective: duration(ev.fields["objective"])}
 			continue
 		case ev.what == "refused" && h == nil:
-			end(&handIn{queue: ev.fields["queue"], at: ev.at}, RefusedSoon, ev.fields["why"])
+			end(&handIn{queue: ev.fields["queue"], at: ev.at}, RefusedAtOnce, ev.fields["why"])
 			continue
 		case h == nil:
 			continue // its beginning is not in these logs
@@ -154,7 +154,7 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(open)) {
-		end(open[id], NoEnd, "")
+		end(open[id], NoEndLogged, "")
 	}
 }
 
@@ -164,13 +164,13 @@
 	switch ev.what {
 	case "refused":
 		if after <= soonWithin {
-			return RefusedSoon, ev.fields["why"], true
+			return RefusedAtOnce, ev.fields["why"], true
 		}
-		return RefusedLate, ev.fields["why"], true
+		return RefusedAfterWait, ev.fields["why"], true
 	case "given up":
 		return GivenUp, ev.fields["why"], true
 	case "abandoned":
-		return Abandoned, "", true
+		return CallerGone, "", true
 	case "answered":
 		return h.late(after), "", true
 	default:
@@ -184,9 +184,9 @@
 	case h.objective == 0 || after <= h.objective:
 		return InTime
 	case h.reran:
-		return Reran
+		return RunLostOrFailed
 	case float64(h.lastStart) > waitShare*float64(after):
-		return Waited
+		return WaitedForCapacity
 	default:
 		return SlowRun
 	}
@@ -203,12 +203,12 @@
 
 // Write prints one line for each cause with the hand-ins of each queue, the most frequent
 // first, for the whole time or for each phase.
-func (a *Account) Write(out io.Writer, phases bool) error {
+func (a *Report) Write(out io.Writer, phases bool) error {
 	queues := make(map[string]bool)
 	lines := make(map[Row]map[string]int)
-	for row, n := range a.Count {
+	for row, n := range a.Counts {
 		queues[row.Queue] = true
-		key := Row{Cause: row.Cause, Why: row.Why}
+		key := Row{Cause: row.Cause, Reason: row.Reason}
 		if phases {
 			key.Phase = row.Phase
 		}
@@ -221,8 +221,8 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "from\tcause\twhy\tall\tshare\t%s\n", strings.Join(names, "\t"))
 	for _, key := range sorted(lines) {
-		cells := []string{key.Phase.String(), string(key.Cause), key.Why, strconv.Itoa(sum(lines[key])),
-			fmt.Sprintf("%.4f", float64(sum(lines[key]))/float64(max(a.Total, 1)))}
+		cells := []string{key.Phase.String(), string(key.Cause), key.Reason, strconv.Itoa(sum(lines[key])),
+			fmt.Sprintf("%.4f", float64(sum(lines[key]))/float64(max(a.TotalAttempts, 1)))}
 		for _, q := range names {
 			cells = append(cells, strconv.Itoa(lines[key][q]))
 		}
@@ -237,7 +237,7 @@
 			cmp.Compare(a.Phase, b.Phase),
 			cmp.Compare(sum(lines[b]), sum(lines[a])),
 			cmp.Compare(a.Cause, b.Cause),
-			cmp.Compare(a.Why, b.Why),
+			cmp.Compare(a.Reason, b.Reason),
 		)
 	})
 }
--- a/internal/tool/losses/losses_test.go
+++ b/internal/tool/losses/losses_test.go
@@ -42,19 +42,19 @@
 		t.Fatal(err)
 	}
 	want := map[Row]int{
-		{Queue: "q", Cause: InTime}:                                        1,
-		{Queue: "q", Cause: Waited}:                                        1,
-		{Queue: "r", Cause: Reran}:                                         1,
-		{Queue: "r", Cause: RefusedLate, Why: "it cannot be done in time"}: 1,
-		{Phase: 2 * time.Second, Queue: "r", Cause: RefusedSoon, Why: "no shard can be reached"}: 1,
-		{Phase: 2 * time.Second, Queue: "r", Cause: NoEnd}:                                       1,
+		{Queue: "q", Cause: InTime}:                                                                   1,
+		{Queue: "q", Cause: WaitedForCapacity}:                                                        1,
+		{Queue: "r", Cause: RunLostOrFailed}:                                                          1,
+		{Queue: "r", Cause: RefusedAfterWait, Reason: "it cannot be done in time"}:                    1,
+		{Phase: 2 * time.Second, Queue: "r", Cause: RefusedAtOnce, Reason: "no shard can be reached"}: 1,
+		{Phase: 2 * time.Second, Queue: "r", Cause: NoEndLogged}:                                      1,
 	}
-	if len(a.Count) != len(want) || a.Total != 6 {
-		t.Errorf("%d hand-ins: %v", a.Total, a.Count)
+	if len(a.Counts) != len(want) || a.TotalAttempts != 6 {
+		t.Errorf("%d hand-ins: %v", a.TotalAttempts, a.Counts)
 	}
 	for row, n := range want {
-		if a.Count[row] != n {
-			t.Errorf("%v: %d, want %d", row, a.Count[row], n)
+		if a.Counts[row] != n {
+			t.Errorf("%v: %d, want %d", row, a.Counts[row], n)
 		}
 	}
 }
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -35,7 +35,7 @@
 	Seed     uint64
 	Duration time.Duration // of the faults; the recovery takes some seconds more
 	VMs      int
-	Logs     string // directory for the VMs' logs
+	LogDir   string // directory for the VMs' logs
 	Out      io.Writer
 }
 
@@ -68,12 +68,14 @@
 }
 
 // Broken is a promise that the soak saw broken.
-type Broken struct {
-	Seed    uint64
-	Promise string
+type Violation struct {
+	Seed      uint64
+	Guarantee string
 }
 
-func (b *Broken) Error() string { return fmt.Sprintf("seed %d: broken promise: %s", b.Seed, b.Promise) }
+func (b *Violation) Error() string {
+	return fmt.Sprintf("seed %d: broken promise: %s", b.Seed, b.Guarantee)
+}
 
 // Run runs one soak and returns what it found broken.
 func Run(ctx context.Context, opt Options) error {
@@ -164,8 +166,8 @@
 	}
 	p := &process{
 		name:     name,
-		settings: filepath.Join(s.opt.Logs, fmt.Sprintf("%d-%s.json", s.opt.Seed, name)),
-		logPath:  filepath.Join(s.opt.Logs, fmt.Sprintf("%d-%s.log", s.opt.Seed, name)),
+		settings: filepath.Join(s.opt.LogDir, fmt.Sprintf("%d-%s.json", s.opt.Seed, name)),
+		logPath:  filepath.Join(s.opt.LogDir, fmt.Sprintf("%d-%s.log", s.opt.Seed, name)),
 		callers:  "http://" + callers,
 		peer:     peer,
 		store:    store,
@@ -331,7 +333,7 @@
 }
 
 func (s *soak) broken(format string, args ...any) error {
-	return &Broken{Seed: s.opt.Seed, Promise: fmt.Sprintf(format, args...)}
+	return &Violation{Seed: s.opt.Seed, Guarantee: fmt.Sprintf(format, args...)}
 }
 
 // stop ends the processes that the soak started.
--- a/internal/tool/top/sample.go
+++ b/internal/tool/top/sample.go
@@ -16,29 +16,29 @@
 
 // Sample is what an entry VM said of itself.
 type Sample struct {
-	EntryVM     string
-	At          time.Time
-	Shards      map[string]Shard // that it holds
-	Queues      map[string]Queue
-	Open        float64  // submissions at their home here
-	StoreCalls  float64  // since it started
-	Unanswered  float64  // of them
-	ShardsTaken float64  // since it started
-	PeersLost   float64  // since it started
-	Evacuated   []string // failure domains in which, as far as it knows, nothing may start
+	EntryVM              string
+	At                   time.Time
+	Shards               map[string]Shard // that it holds
+	Queues               map[string]Queue
+	OpenSubmissions      float64  // submissions at their home here
+	StoreCalls           float64  // since it started
+	UnansweredStoreCalls float64  // of them
+	ShardTakeovers       float64  // since it started
+	PeersLost            float64  // since it started
+	Evacuated            []string // failure domains in which, as far as it knows, nothing may start
 }
 
 // Shard is the room of a shard's workers.
 type Shard struct {
-	Workers    float64
-	RoomCores  float64 // of all usable workers
-	FreeCores  float64
-	QueueCores float64 // that the tasks waiting for room take
+	Workers       float64
+	CapacityCores float64 // of all usable workers
+	FreeCores     float64
+	QueuedCores   float64 // that the tasks waiting for room take
 }
 
 // Queue counts a queue's submissions since the VM started.
 type Queue struct {
-	Taken, Done, Failed, Refused float64
+	Accepted, Done, Failed, Refused float64
 }
 
 // ReadError says that a VM's metrics could not be read.
@@ -94,8 +94,8 @@
 	sum := func(to *float64) func(float64, map[string]string) {
 		return func(v float64, _ map[string]string) { *to += v }
 	}
-	each("submissions_open", sum(&s.Open))
-	each("shards_taken_total", sum(&s.ShardsTaken))
+	each("submissions_open", sum(&s.OpenSubmissions))
+	each("shards_taken_total", sum(&s.ShardTakeovers))
 	each("peers_lost_total", sum(&s.PeersLost))
 	each("domain_evacuated", func(v float64, labels map[string]string) {
 		if v > 0 {
@@ -105,7 +105,7 @@
 	each("store_calls_total", func(v float64, labels map[string]string) {
 		s.StoreCalls += v
 		if labels["answered"] != "true" {
-			s.Unanswered += v
+			s.UnansweredStoreCalls += v
 		}
 	})
 	shard := func(set func(*Shard, float64)) func(float64, map[string]string) {
@@ -116,12 +116,12 @@
 		}
 	}
 	each("shard_workers", shard(func(sh *Shard, v float64) { sh.Workers = v }))
-	each("shard_room_cores", shard(func(sh *Shard, v float64) { sh.RoomCores = v }))
+	each("shard_room_cores", shard(func(sh *Shard, v float64) { sh.CapacityCores = v }))
 	each("shard_free_cores", shard(func(sh *Shard, v float64) { sh.FreeCores = v }))
-	each("shard_queued_cores", shard(func(sh *Shard, v float64) { sh.QueueCores = v }))
+	each("shard_queued_cores", shard(func(sh *Shard, v float64) { sh.QueuedCores = v }))
 	each("submissions_taken_total", func(v float64, labels map[string]string) {
 		q := s.Queues[labels["queue"]]
-		q.Taken += v
+		q.Accepted += v
 		s.Queues[labels["queue"]] = q
 	})
 	each("submissions_ended_total", func(v float64, labels map[string]string) {
--- a/internal/tool/top/show.go
+++ b/internal/tool/top/show.go
@@ -16,10 +16,10 @@
 
 // Options of a show.
 type Options struct {
-	URLs  []string      // metrics addresses of the entry VMs
-	Every time.Duration // between two pictures
-	Count int           // pictures; 0: until the context ends
-	Out   io.Writer
+	URLs     []string      // metrics addresses of the entry VMs
+	Interval time.Duration // between two pictures
+	Count    int           // pictures; 0: until the context ends
+	Out      io.Writer
 }
 
 // Validate says what is missing.
@@ -27,8 +27,8 @@
 	switch {
 	case len(o.URLs) == 0:
 		return errors.New("no metrics URL of an entry VM is given")
-	case o.Every <= 0:
-		return fmt.Errorf("pictures every %v: it must be above 0", o.Every)
+	case o.Interval <= 0:
+		return fmt.Errorf("pictures every %v: it must be above 0", o.Interval)
 	case o.Count < 0:
 		return fmt.Errorf("%d pictures: it must not be below 0", o.Count)
 	default:
@@ -46,7 +46,7 @@
 		return err
 	}
 	before := make(map[string]*Sample)
-	tick := time.NewTicker(o.Every)
+	tick := time.NewTicker(o.Interval)
 	defer tick.Stop()
 	for n := 0; o.Count == 0 || n < o.Count; n++ {
 		now, errs := readAll(ctx, o.URLs)
@@ -98,9 +98,9 @@
 	fmt.Fprintln(w, "ENTRY VM\tSHARDS\tOPEN\tSTORE/S\tUNANSWERED/S\tTAKEN OVER\tPEERS LOST")
 	for _, url := range slices.Sorted(maps.Keys(now)) {
 		s := now[url]
-		fmt.Fprintf(w, "%s\t%d\t%.0f\t%s\t%s\t%.0f\t%.0f\n", s.EntryVM, len(s.Shards), s.Open,
+		fmt.Fprintf(w, "%s\t%d\t%.0f\t%s\t%s\t%.0f\t%.0f\n", s.EntryVM, len(s.Shards), s.OpenSubmissions,
 			rate(before[url], s, func(s *Sample) float64 { return s.StoreCalls }),
-			rate(before[url], s, func(s *Sample) float64 { return s.Unanswered }), s.ShardsTaken, s.PeersLost)
+			rate(before[url], s, func(s *Sample) float64 { return s.UnansweredStoreCalls }), s.ShardTakeovers, s.PeersLost)
 	}
 	for _, url := range slices.Sorted(maps.Keys(errs)) {
 		fmt.Fprintf(w, "no answer: %v\n", errs[url])
@@ -110,12 +110,12 @@
 	}
 	fmt.Fprintln(w, "\nSHARD\tHOLDER\tWORKERS\tROOM cores\tFREE\tWAITING")
 	for _, r := range shardRows(now) {
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\n", r.name, r.holder, r.Workers, r.RoomCores, r.FreeCores, r.QueueCores)
+		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\n", r.name, r.holder, r.Workers, r.CapacityCores, r.FreeCores, r.QueuedCores)
 	}
 	fmt.Fprintln(w, "\nQUEUE\tTAKEN/S\tDONE/S\tFAILED/S\tREFUSED/S")
 	for _, name := range queueNames(now) {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", name,
-			queueRate(before, now, name, func(q Queue) float64 { return q.Taken }),
+			queueRate(before, now, name, func(q Queue) float64 { return q.Accepted }),
 			queueRate(before, now, name, func(q Queue) float64 { return q.Done }),
 			queueRate(before, now, name, func(q Queue) float64 { return q.Failed }),
 			queueRate(before, now, name, func(q Queue) float64 { return q.Refused }))
--- a/internal/tool/top/top_test.go
+++ b/internal/tool/top/top_test.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Shards) != 1 || s.Shards["a/0"].RoomCores != 192 {
+	if len(s.Shards) != 1 || s.Shards["a/0"].CapacityCores != 192 {
 		t.Errorf("shards %+v, want a/0 alone with 192 cores", s.Shards)
 	}
-	if s.StoreCalls != 102 || s.Unanswered != 2 {
-		t.Errorf("%v calls of the store, %v unanswered, want 102 and 2", s.StoreCalls, s.Unanswered)
+	if s.StoreCalls != 102 || s.UnansweredStoreCalls != 2 {
+		t.Errorf("%v calls of the store, %v unanswered, want 102 and 2", s.StoreCalls, s.UnansweredStoreCalls)
 	}
 	if q := s.Queues["desk"]; q.Done != 100 || q.Refused != 1 {
 		t.Errorf("queue %+v, want 100 done and 1 refused", q)
@@ -62,7 +62,7 @@
 	down := httptest.NewServer(http.NotFoundHandler())
 	defer down.Close()
 	var out bytes.Buffer
-	err := Run(context.Background(), Options{URLs: []string{up.URL, down.URL}, Every: time.Millisecond, Count: 2, Out: &out})
+	err := Run(context.Background(), Options{URLs: []string{up.URL, down.URL}, Interval: time.Millisecond, Count: 2, Out: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,11 +87,11 @@
 }
 
 func TestOptionsAreChecked(t *testing.T) {
-	good := Options{URLs: []string{"http://x"}, Every: time.Second}
+	good := Options{URLs: []string{"http://x"}, Interval: time.Second}
 	if err := good.Validate(); err != nil {
 		t.Error(err)
 	}
-	for _, bad := range []Options{{Every: time.Second}, {URLs: good.URLs}, {URLs: good.URLs, Every: 1, Count: -1}} {
+	for _, bad := range []Options{{Interval: time.Second}, {URLs: good.URLs}, {URLs: good.URLs, Interval: 1, Count: -1}} {
 		if bad.Validate() == nil {
 			t.Errorf("%+v passed", bad)
 		}
--- a/internal/version/document/parse.go
+++ b/internal/version/document/parse.go
@@ -45,7 +45,7 @@
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, &SyntaxError{Offset: decoder.InputOffset(), Reason: "text after the document"}
 	}
-	doc.Defaults()
+	doc.ApplyDefaults()
 	if err := doc.Validate(); err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 
 // Defaults fills in what an operator may leave out and puts templates and
 // accounts into the order of their names, on which the lookups rely.
-func (d *Document) Defaults() {
+func (d *Document) ApplyDefaults() {
 	for i := range d.Templates {
 		d.Templates[i].defaults()
 	}
--- a/internal/version/publication/publication.go
+++ b/internal/version/publication/publication.go
@@ -27,8 +27,8 @@
 	ID     string
 	Author string
 	// Base is the revision that the author started from; 0 for the first.
-	Base     uint64
-	Document *document.Document
+	BaseRevision uint64
+	Document     *document.Document
 }
 
 // Receipt says under which revision a change is published.
@@ -41,14 +41,14 @@
 
 // ConflictError says that another change came first. Nothing was published.
 type ConflictError struct {
-	Base  uint64  // the revision that the author started from
-	Other Summary // the change that followed it
-	Now   uint64  // the revision in force
+	BaseRevision    uint64  // the revision that the author started from
+	Conflicting     Summary // the change that followed it
+	CurrentRevision uint64  // the revision in force
 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("not published: based on revision %d, but change %s by %s came first as revision %d; now at %d",
-		e.Base, e.Other.ChangeID, e.Other.Author, e.Other.Revision, e.Now)
+		e.BaseRevision, e.Conflicting.ChangeID, e.Conflicting.Author, e.Conflicting.Revision, e.CurrentRevision)
 }
 
 // ChangeReusedError says that a change id was used before, for a document that
@@ -95,7 +95,7 @@
 	if err := check(change); err != nil {
 		return Receipt{}, err
 	}
-	head, version, err := p.headSince(ctx, change.Base)
+	head, version, err := p.headSince(ctx, change.BaseRevision)
 	if err != nil {
 		return Receipt{}, err
 	}
@@ -103,8 +103,8 @@
 	if receipt, done, err := alreadyPublished(head, next); done {
 		return receipt, err
 	}
-	if head.revision() != change.Base {
-		return Receipt{}, conflict(change.Base, head)
+	if head.revision() != change.BaseRevision {
+		return Receipt{}, conflict(change.BaseRevision, head)
 	}
 	if err := p.archive(ctx, head); err != nil {
 		return Receipt{}, err
@@ -128,7 +128,7 @@
 // stamp returns a copy of the document under the revision after the base.
 func (p *Publisher) stamp(change Change) *document.Document {
 	next := *change.Document
-	next.Revision = change.Base + 1
+	next.Revision = change.BaseRevision + 1
 	next.ChangeID = change.ID
 	next.Author = change.Author
 	next.PublishedUnixMillis = p.now().UnixMilli()
@@ -151,7 +151,7 @@
 }
 
 func conflict(base uint64, head *Head) error {
-	return &ConflictError{Base: base, Other: head.after(base), Now: head.revision()}
+	return &ConflictError{BaseRevision: base, Conflicting: head.after(base), CurrentRevision: head.revision()}
 }
 
 // archive keeps the revision in force before it is replaced. Done after it, a
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	if !outcome.Swapped && !mine(outcome.Now.Value) {
+	if !outcome.Swapped && !mine(outcome.Current.Value) {
 		return &DamagedError{Key: key, Cause: fmt.Errorf("changed while revision %d was being kept", head.revision())}
 	}
 	return nil
@@ -221,7 +221,7 @@
 		return Receipt{}, err
 	}
 	if !outcome.Swapped {
-		return p.lost(outcome.Now.Value, next)
+		return p.lost(outcome.Current.Value, next)
 	}
 	klog.Infof(logPrefix+"revision %d: change %s by %s", next.Revision, next.ChangeID, next.Author)
 	return Receipt{Summary: summary, Earlier: outcome.ReadBack}, nil
--- a/internal/version/publication/publication_test.go
+++ b/internal/version/publication/publication_test.go
@@ -43,7 +43,7 @@
 }
 
 func change(id string, base uint64, doc *document.Document) publication.Change {
-	return publication.Change{ID: id, Author: "author-of-" + id, Base: base, Document: doc}
+	return publication.Change{ID: id, Author: "author-of-" + id, BaseRevision: base, Document: doc}
 }
 
 // bubble runs a test on a virtual clock.
@@ -136,7 +136,7 @@
 		if !errors.As(errors.Join(first, second), &conflict) {
 			t.Fatalf("%v, %v: want a ConflictError", first, second)
 		}
-		if conflict.Other.ChangeID != now.ChangeID || conflict.Other.Author != now.Author || conflict.Now != 2 {
+		if conflict.Conflicting.ChangeID != now.ChangeID || conflict.Conflicting.Author != now.Author || conflict.CurrentRevision != 2 {
 			t.Errorf("conflict %+v does not name the winner %s by %s", conflict, now.ChangeID, now.Author)
 		}
 	})
--- a/internal/version/publication/store.go
+++ b/internal/version/publication/store.go
@@ -30,7 +30,7 @@
 type Outcome struct {
 	Swapped  bool
 	ReadBack bool   // an answer was lost and reading back settled it
-	Now      Stored // after a conflict, the other's value
+	Current  Stored // after a conflict, the other's value
 }
 
 // Store is the key-value service. It settles lost answers by reading back.
