--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -285,7 +285,7 @@
 		Ticket:           token,
 	}
 	if a.Outcome == reason.Failed && a.Reason == reason.TaskFailed {
-		p.Task = &a.Task
+		p.Task = &a.FailedTask
 	}
 	writeProblem(w, p)
 }
@@ -343,7 +343,7 @@
 		out.Steps = append(out.Steps, TimelineStep{
 			UnixMicros: step.At.UnixMicro(),
 			EntryVM:    step.EntryVM,
-			Step:       step.What,
+			Step:       step.Event,
 			Reason:     step.Reason,
 			Detail:     step.Detail,
 		})
--- a/internal/process/entry/local.go
+++ b/internal/process/entry/local.go
@@ -33,7 +33,7 @@
 		out = append(out, &pb.TimelineStep{
 			UnixMicros: s.At.UnixMicro(),
 			EntryVm:    vm.settings.Name,
-			Step:       s.What,
+			Step:       s.Event,
 			Reason:     string(s.Reason),
 			Detail:     s.Detail,
 		})
@@ -63,7 +63,7 @@
 	for _, s := range steps {
 		out = append(out, caller.NamedStep{EntryVM: s.EntryVm, Step: timeline.Step{
 			At:     time.UnixMicro(s.UnixMicros),
-			What:   s.Step,
+			Event:  s.Step,
 			Reason: reason.Code(s.Reason),
 			Detail: s.Detail,
 		}})
--- a/internal/process/holder/queue.go
+++ b/internal/process/holder/queue.go
@@ -184,7 +184,7 @@
 	h.cfg.Observer.Started(g.m.Account, g.m.Template, started, h.now.Sub(g.received))
 	h.cfg.Timelines.Add(pick.Key.id, timeline.Step{
 		At:     h.now,
-		What:   "placed",
+		Event:  "placed",
 		Reason: pick.Why,
 		Detail: fmt.Sprintf("%d tasks on %s and %d others after %s", started, placed[0].Worker, len(placed)-1, h.now.Sub(g.received).Round(time.Millisecond)),
 	})
--- a/internal/process/holder/standing.go
+++ b/internal/process/holder/standing.go
@@ -49,7 +49,7 @@
 		}
 		w.noted = true
 		h.cfg.Timelines.Add(key.id, timeline.Step{
-			At: h.now, What: "waiting", Reason: h.order.WaitReason(g.m.Account), Detail: "client account " + g.m.Account,
+			At: h.now, Event: "waiting", Reason: h.order.WaitReason(g.m.Account), Detail: "client account " + g.m.Account,
 		})
 	}
 }
--- a/internal/process/home/act.go
+++ b/internal/process/home/act.go
@@ -96,7 +96,7 @@
 		if ev.asked.Closed != "" {
 			h.act(e, e.job.CloseFailed(ev.asked.Gen))
 		} else {
-			h.act(e, e.job.Unreachable(ev.worker, ev.asked.Gen))
+			h.act(e, e.job.WorkerUnreachable(ev.worker, ev.asked.Gen))
 		}
 		h.schedule(e)
 		return
@@ -106,17 +106,17 @@
 		return
 	}
 	reply := job.SealReply{
-		Worker:  ev.worker,
-		Asked:   ev.asked.Gen,
-		Sealed:  ev.resp.Sealed,
-		Highest: highest,
-		Closed:  reason.Code(ev.resp.Closed),
-		Records: records(ev.resp.Results),
+		Worker:       ev.worker,
+		RequestedGen: ev.asked.Gen,
+		Sealed:       ev.resp.Sealed,
+		HighestGen:   highest,
+		Closed:       reason.Code(ev.resp.Closed),
+		Records:      records(ev.resp.Results),
 	}
 	if ev.asked.Closed != "" {
-		h.act(e, e.job.Closed(reply))
+		h.act(e, e.job.HandleCloseReply(reply))
 	} else {
-		h.act(e, e.job.Sealed(reply))
+		h.act(e, e.job.HandleSealReply(reply))
 	}
 	h.schedule(e)
 }
@@ -188,7 +188,7 @@
 func (ev followedEvent) apply(h *Home) {
 	e := ev.e
 	if ev.err != nil {
-		h.act(e, e.job.FollowLost(ev.worker, ev.indexes))
+		h.act(e, e.job.FollowedWorkerLost(ev.worker, ev.indexes))
 		return
 	}
 	ended := make(map[uint32]bool, len(ev.resp.Results))
@@ -237,16 +237,16 @@
 func (h *Home) taskResult(e *entry, owner string, gen ticket.Generation, r *pb.TaskResult) {
 	switch r.State {
 	case pb.TaskState_TASK_STATE_DONE:
-		h.act(e, e.job.Done(r.Index, r.Output))
+		h.act(e, e.job.TaskDone(r.Index, r.Output))
 	case pb.TaskState_TASK_STATE_FAILED:
-		h.act(e, e.job.Failed(r.Index, reason.TaskFailed, r.Reason))
+		h.act(e, e.job.TaskFailed(r.Index, reason.TaskFailed, r.Reason))
 	case pb.TaskState_TASK_STATE_STOPPED:
-		h.act(e, e.job.Failed(r.Index, reason.Stopped, r.Reason))
+		h.act(e, e.job.TaskFailed(r.Index, reason.Stopped, r.Reason))
 	case pb.TaskState_TASK_STATE_DISCARDED:
-		h.act(e, e.job.Failed(r.Index, reason.AnswerDiscarded, "the task ran, its output is no longer kept"))
+		h.act(e, e.job.TaskFailed(r.Index, reason.AnswerDiscarded, "the task ran, its output is no longer kept"))
 	case pb.TaskState_TASK_STATE_NOT_RUN:
 		e.noteRestart(r)
-		h.act(e, e.job.NotStarted(owner, gen, r.Index, reason.Code(r.Reason), r.Worker))
+		h.act(e, e.job.TaskNotStarted(owner, gen, r.Index, reason.Code(r.Reason), r.Worker))
 		h.holdBack(e)
 	}
 }
@@ -273,7 +273,7 @@
 	}
 	for worker, indexes := range byWorker {
 		h.step(e, "lost", reason.LeaseLost, fmt.Sprintf("%s gave no answer for %d tasks", worker, len(indexes)))
-		h.act(e, e.job.Lost(owner, gen, indexes, worker))
+		h.act(e, e.job.StartsUnanswered(owner, gen, indexes, worker))
 	}
 }
 
--- a/internal/process/home/failure_test.go
+++ b/internal/process/home/failure_test.go
@@ -309,7 +309,7 @@
 	f.takeAnswers(reason.Complete)
 	f.refuses(seal, ticket.Generation{Counter: 1, Author: recoverer})
 	for _, s := range f.h.cfg.Timelines.Steps(ticket.ID{Incarnation: self, Counter: 1}) {
-		if s.What == "takeover" {
+		if s.Event == "takeover" {
 			t.Errorf("an ended submission was taken over: %+v", s)
 		}
 	}
--- a/internal/process/home/home.go
+++ b/internal/process/home/home.go
@@ -140,7 +140,7 @@
 	}
 	gen := wire.Generation(g.Generation)
 	for _, index := range g.Index {
-		h.act(e, e.job.NotStarted(owner, gen, index, reason.QueueFull, ""))
+		h.act(e, e.job.TaskNotStarted(owner, gen, index, reason.QueueFull, ""))
 	}
 	h.holdBack(e)
 }
@@ -171,7 +171,7 @@
 	}
 	refusal := h.admit(&ev.sub)
 	if refusal != nil && ev.sub.First {
-		h.cfg.Timelines.Add(id, timeline.Step{At: h.now, What: "refused", Reason: refusal.Reason, Detail: refusal.Detail})
+		h.cfg.Timelines.Add(id, timeline.Step{At: h.now, Event: "refused", Reason: refusal.Reason, Detail: refusal.Detail})
 		ev.reply(&job.Answer{Outcome: reason.NotRun, Reason: refusal.Reason, Detail: refusal.Detail, RetryAfter: refusal.RetryAfter})
 		return
 	}
@@ -216,15 +216,15 @@
 	}
 	set := h.candidates(&sub)
 	spec := job.Spec{
-		ID:        sub.Ticket.ID,
-		Account:   sub.Ticket.Account,
-		Template:  sub.Template,
-		Inputs:    sub.Inputs,
-		Expiry:    sub.Ticket.Expiry,
-		Deadline:  sub.Deadline,
-		Revision:  sub.Revision,
-		Closers:   h.owners.closers(set.ids),
-		SettleFor: h.cfg.Settings.SettleFor,
+		ID:              sub.Ticket.ID,
+		Account:         sub.Ticket.Account,
+		Template:        sub.Template,
+		Inputs:          sub.Inputs,
+		TicketExpiry:    sub.Ticket.Expiry,
+		Deadline:        sub.Deadline,
+		Revision:        sub.Revision,
+		CloseCandidates: h.owners.closers(set.ids),
+		SettleTimeout:   h.cfg.Settings.SettleFor,
 	}
 	e := &entry{
 		sub:        sub,
@@ -246,7 +246,7 @@
 		e.job = job.New(spec, h.cfg.Incarnation)
 		if refusal != nil {
 			h.step(e, "refused", refusal.Reason, refusal.Detail)
-			h.act(e, e.job.End(h.now, refusal.Reason, refusal.Detail, refusal.RetryAfter))
+			h.act(e, e.job.GiveUp(h.now, refusal.Reason, refusal.Detail, refusal.RetryAfter))
 		} else {
 			h.step(e, "accepted", "", "")
 		}
@@ -341,5 +341,5 @@
 
 // step notes what happened to a submission and why.
 func (h *Home) step(e *entry, what string, code reason.Code, detail string) {
-	h.cfg.Timelines.Add(e.sub.Ticket.ID, timeline.Step{At: h.now, What: what, Reason: code, Detail: detail})
+	h.cfg.Timelines.Add(e.sub.Ticket.ID, timeline.Step{At: h.now, Event: what, Reason: code, Detail: detail})
 }
--- a/internal/process/home/schedule.go
+++ b/internal/process/home/schedule.go
@@ -122,7 +122,7 @@
 			h.due.push(e, h.now.Add(h.cfg.Settings.HoldBack))
 		}
 	}
-	next := e.job.Due()
+	next := e.job.NextTick()
 	if !h.now.Before(next) {
 		next = h.now.Add(h.cfg.Settings.Tick)
 	}
--- a/internal/process/router/peer.go
+++ b/internal/process/router/peer.go
@@ -54,7 +54,7 @@
 		Detail:           a.Detail,
 		RetryAfterMillis: uint32(a.RetryAfter.Milliseconds()),
 		Output:           a.Outputs,
-		Task:             a.Task,
+		Task:             a.FailedTask,
 		Revision:         a.Revision,
 		Driver:           a.Driver,
 	}
@@ -67,7 +67,7 @@
 		Detail:     m.Detail,
 		RetryAfter: time.Duration(m.RetryAfterMillis) * time.Millisecond,
 		Outputs:    m.Output,
-		Task:       m.Task,
+		FailedTask: m.Task,
 		Revision:   m.Revision,
 		Driver:     m.Driver,
 	}
--- a/internal/process/router/router.go
+++ b/internal/process/router/router.go
@@ -221,7 +221,7 @@
 	if !r.isHome(&req.Ticket) || !req.First {
 		refusal.Outcome = reason.Unknown
 	}
-	r.cfg.Timelines.Add(req.Ticket.ID, timeline.Step{At: time.Now(), What: "refused", Reason: refusal.Reason, Detail: refusal.Detail})
+	r.cfg.Timelines.Add(req.Ticket.ID, timeline.Step{At: time.Now(), Event: "refused", Reason: refusal.Reason, Detail: refusal.Detail})
 	return refusal
 }
 
--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -10,15 +10,15 @@
 
 // Spec is what a submission asks for. It does not change.
 type Spec struct {
-	ID        ticket.ID
-	Account   string
-	Template  string
-	Inputs    [][]byte
-	Expiry    time.Time // of the ticket
-	Deadline  time.Time
-	Revision  uint64   // configuration revision it was accepted under
-	Closers   []string // candidates to close it at, in order of preference
-	SettleFor time.Duration
+	ID              ticket.ID
+	Account         string
+	Template        string
+	Inputs          [][]byte
+	TicketExpiry    time.Time // of the ticket
+	Deadline        time.Time
+	Revision        uint64   // configuration revision it was accepted under
+	CloseCandidates []string // candidates to close it at, in order of preference
+	SettleTimeout   time.Duration
 }
 
 // Answer is the one final result.
@@ -28,7 +28,7 @@
 	Detail     string
 	RetryAfter time.Duration
 	Outputs    [][]byte // one per task when complete, else nil
-	Task       uint32   // first task that failed, when one did
+	FailedTask uint32   // first task that failed, when one did
 	Revision   uint64
 	Driver     uint64 // incarnation that drives it instead, when recovered elsewhere
 }
@@ -219,7 +219,7 @@
 // Done takes the output of a task that ran to its end, from whichever driver's
 // start. A second one for the same index is dropped: counting it again would
 // make a partial answer look complete.
-func (j *Job) Done(index uint32, output []byte) Actions {
+func (j *Job) TaskDone(index uint32, output []byte) Actions {
 	var a Actions
 	if !j.open(index) {
 		return a
@@ -234,14 +234,14 @@
 
 // Failed takes the failure of a task that ran. The job fails with it: a task is
 // not started twice, so no other try can make the answer complete.
-func (j *Job) Failed(index uint32, code reason.Code, detail string) Actions {
+func (j *Job) TaskFailed(index uint32, code reason.Code, detail string) Actions {
 	var a Actions
 	if !j.open(index) {
 		return a
 	}
 	j.started = true
 	j.move(index, ended, 0)
-	j.finish(&a, Answer{Outcome: reason.Failed, Reason: code, Detail: detail, Task: index})
+	j.finish(&a, Answer{Outcome: reason.Failed, Reason: code, Detail: detail, FailedTask: index})
 	return a
 }
 
@@ -253,9 +253,9 @@
 	return j.tasks[index].state < done
 }
 
-// NotStarted takes an owner's word that a task was not started under the given
+// TaskNotStarted takes an owner's word that a task was not started under the given
 // generation and never will be. Word on an older hand-out is dropped.
-func (j *Job) NotStarted(owner string, gen ticket.Generation, index uint32, code reason.Code, worker string) Actions {
+func (j *Job) TaskNotStarted(owner string, gen ticket.Generation, index uint32, code reason.Code, worker string) Actions {
 	var a Actions
 	if !j.open(index) || !j.handedOut(owner, gen, index) {
 		return a
@@ -288,7 +288,7 @@
 
 // Lost takes an owner's word that starts were sent to a worker and no answer
 // can be had from there. The worker is asked again, under a new generation.
-func (j *Job) Lost(owner string, gen ticket.Generation, indexes []uint32, worker string) Actions {
+func (j *Job) StartsUnanswered(owner string, gen ticket.Generation, indexes []uint32, worker string) Actions {
 	var a Actions
 	for _, index := range indexes {
 		if j.open(index) && j.handedOut(owner, gen, index) {
--- a/internal/request/job/job_test.go
+++ b/internal/request/job/job_test.go
@@ -13,11 +13,11 @@
 // testSpec is a submission of n tasks that may run on w1 and w2.
 func testSpec(n int) Spec {
 	return Spec{
-		ID:        ticket.ID{Incarnation: 1, Counter: 1},
-		Inputs:    make([][]byte, n),
-		Deadline:  start.Add(time.Second),
-		Closers:   []string{"w1", "w2"},
-		SettleFor: 100 * time.Millisecond,
+		ID:              ticket.ID{Incarnation: 1, Counter: 1},
+		Inputs:          make([][]byte, n),
+		Deadline:        start.Add(time.Second),
+		CloseCandidates: []string{"w1", "w2"},
+		SettleTimeout:   100 * time.Millisecond,
 	}
 }
 
@@ -32,7 +32,7 @@
 	for range 3 {
 		before := home.Generation()
 		given := home.Assign("owner", []string{"w1"}, 1)
-		home.Lost("owner", before, given, "w1")
+		home.StartsUnanswered("owner", before, given, "w1")
 		if !before.Less(home.Generation()) {
 			t.Fatalf("generation %+v is not above %+v after a lost answer", home.Generation(), before)
 		}
@@ -49,11 +49,11 @@
 	j := New(testSpec(1), 9)
 	j.Assign("owner", []string{"w1"}, 1)
 	first := j.Generation()
-	j.NotStarted("owner", first, 0, reason.WorkerBusy, "w1")
+	j.TaskNotStarted("owner", first, 0, reason.WorkerBusy, "w1")
 	if len(j.Assign("owner", []string{"w1"}, 1)) != 1 {
 		t.Fatal("a task that came back was not handed out again")
 	}
-	j.NotStarted("owner", first, 0, reason.WorkerBusy, "w1")
+	j.TaskNotStarted("owner", first, 0, reason.WorkerBusy, "w1")
 	if j.Unassigned() != 0 {
 		t.Fatal("a doubled refusal freed a task that is handed out")
 	}
@@ -67,10 +67,10 @@
 func TestDoubtIsSealedAboveTheHandOut(t *testing.T) {
 	for _, code := range []reason.Code{reason.Sealed, reason.DuplicateTask} {
 		j, a := Recover(testSpec(1), 5, []string{"w1"}, false, ticket.Generation{})
-		j.Sealed(SealReply{Worker: "w1", Asked: a.Seal[0].Gen, Sealed: true, Highest: a.Seal[0].Gen})
+		j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: a.Seal[0].Gen, Sealed: true, HighestGen: a.Seal[0].Gen})
 		j.Assign("owner", []string{"w1"}, 1)
 		handed := j.Generation()
-		a = j.NotStarted("owner", handed, 0, code, "w1")
+		a = j.TaskNotStarted("owner", handed, 0, code, "w1")
 		if len(a.Seal) != 1 || !handed.Less(a.Seal[0].Gen) {
 			t.Errorf("%s: seals %+v do not shut out starts under %+v", code, a.Seal, handed)
 		}
@@ -89,12 +89,12 @@
 	higher := ticket.Generation{Counter: 1, Author: 5}
 	takeover := j.TakeOver(higher, []string{"w1", "w2"}, false)
 	asked := takeover.Seal[0].Gen
-	if a = j.Closed(SealReply{Worker: "w1", Asked: closing.Gen, Highest: asked}); a.Answer != nil {
+	if a = j.HandleCloseReply(SealReply{Worker: "w1", RequestedGen: closing.Gen, HighestGen: asked}); a.Answer != nil {
 		t.Fatalf("the late answer to an earlier closing ended the job: %+v", a.Answer)
 	}
 	j.CloseFailed(closing.Gen)
-	j.Unreachable("w2", asked)
-	a = j.Sealed(SealReply{Worker: "w1", Asked: asked, Sealed: true, Highest: asked})
+	j.WorkerUnreachable("w2", asked)
+	a = j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: asked, Sealed: true, HighestGen: asked})
 	if a.Answer == nil || a.Answer.Outcome != reason.Unknown {
 		t.Fatalf("answer %+v, want unknown: w2 may have run the task", a.Answer)
 	}
@@ -108,12 +108,12 @@
 	j.Cancel(start)
 	takeover := j.TakeOver(ticket.Generation{Counter: 1, Author: 5}, []string{"w1"}, false)
 	asked := takeover.Seal[0].Gen
-	a := j.Sealed(SealReply{Worker: "w1", Asked: asked, Sealed: true, Highest: asked})
+	a := j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: asked, Sealed: true, HighestGen: asked})
 	if len(a.Seal) != 1 || a.Seal[0].Closed == "" {
 		t.Fatalf("actions %+v, want a closing", a)
 	}
 	a = j.CloseFailed(asked)
-	a = j.Closed(SealReply{Worker: a.Seal[0].Worker, Asked: asked, Sealed: true, Highest: asked})
+	a = j.HandleCloseReply(SealReply{Worker: a.Seal[0].Worker, RequestedGen: asked, Sealed: true, HighestGen: asked})
 	if a.Answer == nil || a.Answer.Outcome != reason.NotRun {
 		t.Fatalf("answer %+v, want not_run", a.Answer)
 	}
@@ -127,8 +127,8 @@
 	j := New(testSpec(2), 9)
 	j.Assign("owner", []string{"w1", "w2"}, 2)
 	first := j.Generation()
-	j.Lost("owner", first, []uint32{0}, "w1")
-	if a := j.NotStarted("owner", first, 1, reason.Sealed, "w2"); len(a.Seal) != 1 || a.Seal[0].Worker != "w2" {
+	j.StartsUnanswered("owner", first, []uint32{0}, "w1")
+	if a := j.TaskNotStarted("owner", first, 1, reason.Sealed, "w2"); len(a.Seal) != 1 || a.Seal[0].Worker != "w2" {
 		t.Fatalf("actions %+v, want w2 to be asked", a)
 	}
 	if j.Unassigned() != 0 {
@@ -144,7 +144,7 @@
 	j := New(testSpec(1), 9)
 	j.Assign("owner", []string{"w1"}, 1)
 	j.Cancel(start)
-	a := j.Failed(0, reason.Stopped, "").Answer
+	a := j.TaskFailed(0, reason.Stopped, "").Answer
 	if a == nil || a.Reason != reason.Cancelled || a.Outcome != reason.Failed {
 		t.Errorf("answer %+v, want failed, cancelled", a)
 	}
@@ -155,8 +155,8 @@
 // running task, so only the worker itself can be told to stop it.
 func TestFoundTasksAreStoppedWithTheJob(t *testing.T) {
 	j, _ := Recover(testSpec(2), 5, []string{"w1", "w2"}, false, ticket.Generation{})
-	j.Sealed(SealReply{Worker: "w1", Asked: j.Generation(), Sealed: true, Highest: j.Generation(), Records: []Record{{Index: 0, State: RecordRunning}}})
-	a := j.Sealed(SealReply{Worker: "w2", Asked: j.Generation(), Sealed: true, Highest: j.Generation(), Records: []Record{{Index: 1, State: RecordFailed}}})
+	j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: j.Generation(), Sealed: true, HighestGen: j.Generation(), Records: []Record{{Index: 0, State: RecordRunning}}})
+	a := j.HandleSealReply(SealReply{Worker: "w2", RequestedGen: j.Generation(), Sealed: true, HighestGen: j.Generation(), Records: []Record{{Index: 1, State: RecordFailed}}})
 	if a.Answer == nil || len(a.Stop) != 1 || a.Stop[0] != "w1" {
 		t.Errorf("actions %+v, want an answer and a stop at w1", a)
 	}
--- a/internal/request/job/seal.go
+++ b/internal/request/job/seal.go
@@ -34,22 +34,22 @@
 
 // SealReply is a worker's answer to a seal.
 type SealReply struct {
-	Worker  string
-	Asked   ticket.Generation // the generation of the seal
-	Sealed  bool              // false: Highest was there first
-	Highest ticket.Generation
-	Closed  reason.Code // not empty: an earlier driver ended the submission
-	Records []Record
+	Worker       string
+	RequestedGen ticket.Generation // the generation of the seal
+	Sealed       bool              // false: Highest was there first
+	HighestGen   ticket.Generation
+	Closed       reason.Code // not empty: an earlier driver ended the submission
+	Records      []Record
 }
 
 // Sealed takes a worker's answer.
-func (j *Job) Sealed(r SealReply) Actions {
+func (j *Job) HandleSealReply(r SealReply) Actions {
 	var a Actions
 	if j.answer != nil {
 		return a
 	}
-	if !r.Sealed && j.gen.Less(r.Highest) && r.Highest.Author != j.self {
-		j.yield(&a, r.Highest)
+	if !r.Sealed && j.gen.Less(r.HighestGen) && r.HighestGen.Author != j.self {
+		j.yield(&a, r.HighestGen)
 		return a
 	}
 	if r.Closed != "" && j.ending == nil {
@@ -66,7 +66,7 @@
 	if len(follow.Indexes) > 0 {
 		a.Follow = append(a.Follow, follow)
 	}
-	j.answered(r.Worker, r.Asked, false)
+	j.answered(r.Worker, r.RequestedGen, false)
 	j.settleBatches(&a)
 	j.conclude(&a)
 	return a
@@ -74,7 +74,7 @@
 
 // Unreachable takes the news that a worker can not be asked, now or later: it
 // was restarted, or stayed silent past the bound.
-func (j *Job) Unreachable(worker string, asked ticket.Generation) Actions {
+func (j *Job) WorkerUnreachable(worker string, asked ticket.Generation) Actions {
 	var a Actions
 	if j.answer != nil {
 		return a
@@ -85,17 +85,17 @@
 	return a
 }
 
-// FollowLost takes the news that a worker on which a task ran is gone. The task
+// FollowedWorkerLost takes the news that a worker on which a task ran is gone. The task
 // did start, so nothing may start it again.
-func (j *Job) FollowLost(worker string, indexes []uint32) Actions {
+func (j *Job) FollowedWorkerLost(worker string, indexes []uint32) Actions {
 	var a Actions
 	for _, index := range indexes {
 		if j.open(index) && j.tasks[index].state == running {
 			j.finish(&a, Answer{
-				Outcome: reason.Unknown,
-				Reason:  reason.WorkerGone,
-				Detail:  "worker " + worker + " is gone and had started the task",
-				Task:    index,
+				Outcome:    reason.Unknown,
+				Reason:     reason.WorkerGone,
+				Detail:     "worker " + worker + " is gone and had started the task",
+				FailedTask: index,
 			})
 			return a
 		}
@@ -149,13 +149,13 @@
 		j.move(rec.Index, done, 0)
 	case RecordFailed:
 		j.move(rec.Index, ended, 0)
-		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.TaskFailed, Detail: rec.Failure, Task: rec.Index})
+		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.TaskFailed, Detail: rec.Failure, FailedTask: rec.Index})
 	case RecordStopped:
 		j.move(rec.Index, ended, 0)
-		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.Stopped, Detail: rec.Failure, Task: rec.Index})
+		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.Stopped, Detail: rec.Failure, FailedTask: rec.Index})
 	case RecordDiscarded:
 		j.move(rec.Index, ended, 0)
-		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.AnswerDiscarded, Detail: "the task ran, its output is no longer kept", Task: rec.Index})
+		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.AnswerDiscarded, Detail: "the task ran, its output is no longer kept", FailedTask: rec.Index})
 	}
 }
 
@@ -191,10 +191,10 @@
 		}
 		if b.gone {
 			j.finish(a, Answer{
-				Outcome: reason.Unknown,
-				Reason:  reason.WorkerGone,
-				Detail:  "a worker that may have started the task is gone",
-				Task:    uint32(i),
+				Outcome:    reason.Unknown,
+				Reason:     reason.WorkerGone,
+				Detail:     "a worker that may have started the task is gone",
+				FailedTask: uint32(i),
 			})
 			return
 		}
@@ -204,19 +204,19 @@
 
 // Cancel ends the job on the caller's request.
 func (j *Job) Cancel(now time.Time) Actions {
-	return j.End(now, reason.Cancelled, "cancelled by the caller", 0)
+	return j.GiveUp(now, reason.Cancelled, "cancelled by the caller", 0)
 }
 
 // End gives the job up: no more tasks are handed out, those that have not
 // started are taken back. The answer says NotRun when it turns out in time that
 // none has started, else Failed.
-func (j *Job) End(now time.Time, code reason.Code, detail string, retryAfter time.Duration) Actions {
+func (j *Job) GiveUp(now time.Time, code reason.Code, detail string, retryAfter time.Duration) Actions {
 	var a Actions
 	if j.answer != nil || j.ending != nil {
 		return a
 	}
 	j.ending = &Answer{Outcome: reason.Failed, Reason: code, Detail: detail, RetryAfter: retryAfter}
-	j.settle = now.Add(j.spec.SettleFor)
+	j.settle = now.Add(j.spec.SettleTimeout)
 	if j.started {
 		j.finish(&a, *j.ending)
 		return a
@@ -234,13 +234,13 @@
 	case j.ending != nil && !now.Before(j.settle):
 		j.finish(&a, *j.ending)
 	case j.ending == nil && !now.Before(j.spec.Deadline):
-		return j.End(now, reason.DeadlineExceeded, "the deadline passed", 0)
+		return j.GiveUp(now, reason.DeadlineExceeded, "the deadline passed", 0)
 	}
 	return a
 }
 
 // Due is when Tick has to be called next.
-func (j *Job) Due() time.Time {
+func (j *Job) NextTick() time.Time {
 	if j.ending != nil {
 		return j.settle
 	}
@@ -283,15 +283,15 @@
 // close records the end at the next candidate. One is enough, since a
 // recovering entry VM has to ask them all.
 func (j *Job) close(a *Actions) {
-	if j.closing >= len(j.spec.Closers) {
+	if j.closing >= len(j.spec.CloseCandidates) {
 		end := *j.ending
 		end.Outcome = reason.Unknown
 		end.Detail += "; no candidate could be reached to record that nothing ran"
 		j.setAnswer(a, end)
 		return
 	}
-	j.fence(j.spec.Closers[j.closing])
-	a.Seal = append(a.Seal, Seal{Worker: j.spec.Closers[j.closing], Gen: j.gen, Closed: closedNotRun})
+	j.fence(j.spec.CloseCandidates[j.closing])
+	a.Seal = append(a.Seal, Seal{Worker: j.spec.CloseCandidates[j.closing], Gen: j.gen, Closed: closedNotRun})
 	j.closing++
 }
 
@@ -312,13 +312,13 @@
 }
 
 // Closed takes a candidate's answer to a closing seal.
-func (j *Job) Closed(r SealReply) Actions {
+func (j *Job) HandleCloseReply(r SealReply) Actions {
 	var a Actions
-	if !j.awaits(r.Asked) {
+	if !j.awaits(r.RequestedGen) {
 		return a
 	}
 	if !r.Sealed {
-		j.yield(&a, r.Highest)
+		j.yield(&a, r.HighestGen)
 		return a
 	}
 	end := *j.ending
@@ -352,8 +352,8 @@
 	}
 	a.Withdraw = j.owners()
 	a.Stop = j.followed
-	if len(j.spec.Closers) > 0 {
-		a.Seal = append(a.Seal, Seal{Worker: j.spec.Closers[0], Gen: j.gen, Closed: ans.Reason})
+	if len(j.spec.CloseCandidates) > 0 {
+		a.Seal = append(a.Seal, Seal{Worker: j.spec.CloseCandidates[0], Gen: j.gen, Closed: ans.Reason})
 	}
 	j.setAnswer(a, ans)
 }
--- a/internal/request/job/world_owner_test.go
+++ b/internal/request/job/world_owner_test.go
@@ -254,7 +254,7 @@
 }
 
 func (k *worker) seal(s *submission, m Seal) SealReply {
-	r := SealReply{Worker: k.name, Asked: m.Gen, Closed: k.closed[s]}
+	r := SealReply{Worker: k.name, RequestedGen: m.Gen, Closed: k.closed[s]}
 	for index := range s.starts {
 		if t := k.tasks[taskKey{s, uint32(index)}]; t != nil {
 			r.Records = append(r.Records, *t)
@@ -266,6 +266,6 @@
 			k.closed[s] = m.Closed
 		}
 	}
-	r.Highest = k.sealed[s]
+	r.HighestGen = k.sealed[s]
 	return r
 }
--- a/internal/request/job/world_vm_test.go
+++ b/internal/request/job/world_vm_test.go
@@ -86,9 +86,9 @@
 			return
 		}
 	}
-	spec := Spec{ID: s.id, Inputs: make([][]byte, tasksEach), Deadline: v.w.now.Add(deadlineIn), SettleFor: settleIn}
+	spec := Spec{ID: s.id, Inputs: make([][]byte, tasksEach), Deadline: v.w.now.Add(deadlineIn), SettleTimeout: settleIn}
 	names := v.w.candidates()
-	spec.Closers = names[:2]
+	spec.CloseCandidates = names[:2]
 	var used ticket.Generation
 	if e != nil {
 		used = e.job.Generation()
@@ -143,7 +143,7 @@
 			v.act(e, e.job.CloseFailed(s.Gen))
 			return
 		}
-		v.act(e, e.job.Unreachable(s.Worker, s.Gen))
+		v.act(e, e.job.WorkerUnreachable(s.Worker, s.Gen))
 	}
 	reply := func(r SealReply) {
 		if v.alive(inc, e) {
@@ -151,7 +151,7 @@
 		}
 	}
 	if s.Closed == closedNotRun && w.removed == closeFirst {
-		reply(SealReply{Worker: s.Worker, Asked: s.Gen, Sealed: true, Highest: s.Gen})
+		reply(SealReply{Worker: s.Worker, RequestedGen: s.Gen, Sealed: true, HighestGen: s.Gen})
 		return
 	}
 	w.send(&packet{doubles: true, lost: gone, arrive: func() {
@@ -166,17 +166,17 @@
 
 // sealed passes a seal's answer on, as package home does.
 func (v *vm) sealed(e *entry, s Seal, r SealReply) {
-	author := r.Highest.Author
-	if !r.Sealed && author != v.inc && v.w.lives(v, author) == nil && e.job.Generation().Less(r.Highest) {
+	author := r.HighestGen.Author
+	if !r.Sealed && author != v.inc && v.w.lives(v, author) == nil && e.job.Generation().Less(r.HighestGen) {
 		v.w.tally.recoveries++
-		v.act(e, e.job.TakeOver(r.Highest, v.w.candidates(), false))
+		v.act(e, e.job.TakeOver(r.HighestGen, v.w.candidates(), false))
 		return
 	}
 	if s.Closed != "" {
-		v.act(e, e.job.Closed(r))
+		v.act(e, e.job.HandleCloseReply(r))
 		return
 	}
-	v.act(e, e.job.Sealed(r))
+	v.act(e, e.job.HandleSealReply(r))
 }
 
 func (v *vm) follow(e *entry, f Follow) {
@@ -184,7 +184,7 @@
 	k := w.worker(f.Worker)
 	gone := func() {
 		if v.alive(inc, e) {
-			v.act(e, e.job.FollowLost(f.Worker, f.Indexes))
+			v.act(e, e.job.FollowedWorkerLost(f.Worker, f.Indexes))
 		}
 	}
 	life := k.life(e.sub)
@@ -222,10 +222,10 @@
 
 func (v *vm) ended(e *entry, r Record) {
 	if r.State == RecordDone {
-		v.act(e, e.job.Done(r.Index, r.Output))
+		v.act(e, e.job.TaskDone(r.Index, r.Output))
 		return
 	}
-	v.act(e, e.job.Failed(r.Index, reason.TaskFailed, r.Failure))
+	v.act(e, e.job.TaskFailed(r.Index, reason.TaskFailed, r.Failure))
 }
 
 // assign hands tasks of a submission to an owner.
@@ -273,11 +273,11 @@
 	switch {
 	case v.inc != x.session.inc || e == nil:
 	case code == reason.LeaseLost:
-		v.act(e, e.job.Lost(x.session.owner.name, x.gen, []uint32{x.index}, worker))
+		v.act(e, e.job.StartsUnanswered(x.session.owner.name, x.gen, []uint32{x.index}, worker))
 	case r != nil:
 		v.ended(e, *r)
 	default:
-		v.act(e, e.job.NotStarted(x.session.owner.name, x.gen, x.index, code, worker))
+		v.act(e, e.job.TaskNotStarted(x.session.owner.name, x.gen, x.index, code, worker))
 	}
 }
 
--- a/internal/request/timeline/timeline.go
+++ b/internal/request/timeline/timeline.go
@@ -13,7 +13,7 @@
 // Step is one thing that happened to a submission.
 type Step struct {
 	At     time.Time
-	What   string
+	Event  string
 	Reason reason.Code
 	Detail string
 }
--- a/internal/request/timeline/timeline_test.go
+++ b/internal/request/timeline/timeline_test.go
@@ -19,7 +19,7 @@
 				s := NewStore(submissions)
 				for i := range submissions * steps {
 					s.Add(ticket.ID{Counter: uint64(i / steps)}, Step{
-						At: time.Unix(0, 0), What: "placed", Reason: "share_due",
+						At: time.Unix(0, 0), Event: "placed", Reason: "share_due",
 						Detail: fmt.Sprintf("%d tasks on worker-%04d and 0 others after 1ms", i, i),
 					})
 				}
