--- a/internal/connection/peer/client.go
+++ b/internal/connection/peer/client.go
@@ -13,11 +13,13 @@
 	"github.com/pumiceyard/pumiceyard/internal/connection/wire"
 )
 
+// tokenHeader is the request header with the secret that entry VMs share.
 const tokenHeader = "Pumiceyard-Peer-Token"
 
-// TLSClient is the TLS side of a Dial. Nil means plain connections.
+// TLSClient is the TLS configuration of a Dial. Nil means connections without TLS.
 type TLSClient struct{ Config *tls.Config }
 
+// client returns an HTTP client with a transport of its own.
 func (d Dial) client() *wire.Client {
 	if d.Secure == nil {
 		return wire.NewClient(d.Dialer, nil)
@@ -25,6 +27,7 @@
 	return wire.NewClient(d.Dialer, d.Secure.Config)
 }
 
+// service returns a client of the peer service at an address.
 func (d Dial) service(client *wire.Client, address string) pumiceyardv1connect.PeerServiceClient {
 	scheme := "http://"
 	if d.Secure != nil {
@@ -33,7 +36,7 @@
 	return pumiceyardv1connect.NewPeerServiceClient(client, scheme+address, wire.ClientOptions(connect.WithInterceptors(tokenInterceptor(d.Token)))...)
 }
 
-// tokenInterceptor adds the site's secret to calls and streams.
+// tokenInterceptor adds the shared secret to calls and streams.
 type tokenInterceptor string
 
 func (t tokenInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
@@ -55,13 +58,13 @@
 	return next
 }
 
-// Calls forwards requests to homes, one connection per peer.
+// Calls makes calls to other entry VMs, on one connection per peer.
 type Calls struct {
 	settings Settings
 	pool     *wire.Pool[pumiceyardv1connect.PeerServiceClient]
 }
 
-// NewCalls returns Calls without connections.
+// NewCalls returns Calls. Connections are opened by the first calls.
 func NewCalls(s Settings, dial Dial) *Calls {
 	open := func(address string) (*wire.Client, pumiceyardv1connect.PeerServiceClient) {
 		h := dial.client()
@@ -70,20 +73,21 @@
 	return &Calls{settings: s, pool: wire.NewPool(open)}
 }
 
-// Close drops all connections.
+// Close closes all connections.
 func (c *Calls) Close() { c.pool.Close() }
 
-var errNoAnswer = errors.New("the home ended the call without an answer")
+var errNoAnswer = errors.New("the home entry VM ended the call without an answer")
 
-// Submit forwards a submission and waits for the final answer. Heartbeats that
-// stay away end the wait with an error; the request may then have been taken or
-// not, so the caller of Submit must attach or recover, never submit anew.
+// Submit forwards a submission to its home and waits for the final answer. It
+// returns an error if no heartbeat arrives within the silence time-out. The home may
+// then have accepted the submission, so the caller of Submit must attach to it or
+// recover it, and must never submit it again.
 func (c *Calls) Submit(ctx context.Context, address string, req *pb.SubmitRequest) (*pb.Answer, error) {
 	cl := c.pool.Get(address)
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	guard := time.AfterFunc(c.settings.SilenceTimeout, cancel)
-	defer guard.Stop()
+	silenceTimer := time.AfterFunc(c.settings.SilenceTimeout, cancel)
+	defer silenceTimer.Stop()
 	stream, err := cl.Service.Submit(callCtx, connect.NewRequest(req))
 	if err != nil {
 		c.pool.Discard(address, cl)
@@ -91,7 +95,7 @@
 	}
 	defer stream.Close()
 	for stream.Receive() {
-		guard.Reset(c.settings.SilenceTimeout)
+		silenceTimer.Reset(c.settings.SilenceTimeout)
 		if a := stream.Msg().Answer; a != nil {
 			return a, nil
 		}
@@ -105,21 +109,23 @@
 	return nil, errNoAnswer
 }
 
-// Cancel forwards a cancellation.
+// Cancel forwards a cancellation to the submission's home.
 func (c *Calls) Cancel(ctx context.Context, address string, req *pb.CancelRequest) (*pb.CancelResponse, error) {
-	return unary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.CancelResponse], error) {
+	return callUnary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.CancelResponse], error) {
 		return s.Cancel(ctx, connect.NewRequest(req))
 	})
 }
 
-// Timeline asks one entry VM for its steps.
+// Timeline asks one entry VM for the steps that it has recorded of a submission.
 func (c *Calls) Timeline(ctx context.Context, address string, req *pb.TimelineRequest) (*pb.TimelineResponse, error) {
-	return unary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.TimelineResponse], error) {
+	return callUnary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.TimelineResponse], error) {
 		return s.Timeline(ctx, connect.NewRequest(req))
 	})
 }
 
-func unary[M any](ctx context.Context, c *Calls, address string, call func(context.Context, pumiceyardv1connect.PeerServiceClient) (*connect.Response[M], error)) (*M, error) {
+// callUnary makes a call within the silence time-out. A connection on which the call
+// fails is discarded.
+func callUnary[M any](ctx context.Context, c *Calls, address string, call func(context.Context, pumiceyardv1connect.PeerServiceClient) (*connect.Response[M], error)) (*M, error) {
 	cl := c.pool.Get(address)
 	ctx, cancel := context.WithTimeout(ctx, c.settings.SilenceTimeout)
 	defer cancel()
--- a/internal/connection/peer/doc.go
+++ b/internal/connection/peer/doc.go
@@ -1,11 +1,15 @@
-// Package peer connects entry VMs with each other: a link per direction that
-// carries batches of tasks to an owner of worker leases and results back, and
-// calls that forward a caller's request to the home of its submission.
+// Package peer connects entry VMs with each other. In this package, an owner is the
+// entry VM that holds the leases on some workers, and the home of a submission is
+// the entry VM that accepted it and distributes its tasks to owners.
 //
-// A link is addressed to one incarnation of the owner. When the owner is
-// replaced or silent, the link reports OwnerLost before it connects again, and
-// whatever had no result by then has an unknown fate. A link never sends a
-// batch a second time.
+//   - A Link carries batches of tasks from a home to an owner, and the results back.
+//   - Calls forward a caller's requests to the home of its submission.
+//   - An Exchange sends the control messages of membership and configuration.
+//   - A Server is the receiving end of all three.
+//
+// A link is addressed to one incarnation of the owner. If the owner is replaced or
+// silent, the link reports OwnerLost before it connects again; the outcome of tasks
+// without a result is then unknown. A link never sends a batch twice.
 package peer
 
 import (
@@ -17,15 +21,15 @@
 
 const logPrefix = "peer: "
 
-// Settings are the bounds of peer connections.
+// Settings are the intervals, time-outs and limits of peer connections.
 type Settings struct {
-	HeartbeatInterval time.Duration // between heartbeats, both ways
-	SilenceTimeout    time.Duration // without any message: the connection is left
+	HeartbeatInterval time.Duration // between heartbeats, in both directions
+	SilenceTimeout    time.Duration // the connection is closed after this time without a message
 	RedialDelay       time.Duration
-	QueueSize         int // messages waiting to be written to one peer
+	QueueSize         int // messages that wait to be written to one peer
 }
 
-// Defaults returns bounds that suit failure domains 0.5 ms apart.
+// Defaults returns settings for failure domains with 0.5 ms between them.
 func Defaults() Settings {
 	return Settings{
 		HeartbeatInterval: 500 * time.Millisecond,
@@ -35,40 +39,41 @@
 	}
 }
 
-// Events is told what happens on the links to owners.
+// Events receives the events of the links to owners.
 type Events interface {
-	// OwnerUp: the link works and leads to this incarnation.
+	// OwnerUp reports that the link is connected to this incarnation of the owner.
 	OwnerUp(owner string, incarnation uint64)
-	// Advert says what the owner can take.
+	// Advert reports the owner's workers and free capacity.
 	Advert(owner string, m *pb.Advert)
-	// RunResults of tasks that were sent on this link.
+	// RunResults reports results of tasks that were sent on this link.
 	RunResults(owner string, results []*pb.RunResult)
-	// OwnerLost: tasks without a result have an unknown fate.
-	OwnerLost(owner, why string)
+	// OwnerLost reports that the connection has ended. The outcome of tasks without a
+	// result is unknown.
+	OwnerLost(owner, reason string)
 }
 
-// Owner takes the batches of homes. The server of this package calls it.
+// Owner runs the batches that homes send. The Server calls it.
 type Owner interface {
-	// Join starts a session. It returns false to refuse.
+	// Join starts the session of one home. It returns false to refuse it.
 	Join(s holder.Session) bool
-	// Offer hands over batches. Each task gets one result on the session.
+	// Offer queues batches of tasks. Each task gets one result on the session.
 	Offer(s holder.Session, groups []*pb.RunGroup)
-	// Withdraw takes back what has not started of the submissions.
+	// Withdraw removes the tasks of these submissions that have not started.
 	Withdraw(s holder.Session, ids []*pb.SubmissionID)
-	// Leave ends a session: its tasks that have not started never will.
+	// Leave ends a session. Its tasks that have not started will never start.
 	Leave(s holder.Session)
-	// Advert describes the owner now.
+	// Advert returns the owner's current workers and free capacity.
 	Advert() *pb.Advert
-	// Power takes what an entry VM of the failure domain says about watts.
+	// Power handles a power message of an entry VM in the same failure domain.
 	Power(m *pb.Power)
 }
 
-// Home answers requests that other entry VMs forward.
+// Home handles the requests that other entry VMs forward.
 type Home interface {
-	// Submit waits for the final answer, or for ctx.
+	// Submit waits for the final answer, or until done is closed.
 	Submit(done <-chan struct{}, m *pb.SubmitRequest) *pb.Answer
-	// Cancel gives a submission up.
+	// Cancel cancels a submission.
 	Cancel(m *pb.CancelRequest) *pb.CancelResponse
-	// Timeline returns the steps known here.
+	// Timeline returns the steps recorded by this entry VM.
 	Timeline(m *pb.TimelineRequest) *pb.TimelineResponse
 }
--- a/internal/connection/peer/exchange.go
+++ b/internal/connection/peer/exchange.go
@@ -12,24 +12,26 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/ring"
 )
 
-// Control takes the messages of other entry VMs' membership and distribution.
+// Control handles the control messages of other entry VMs: those of membership and
+// of the distribution of the configuration.
 type Control interface {
-	// Exchanged takes one batch. It must not block.
+	// HandleExchange handles one batch of messages. It must not block.
 	HandleExchange(m *pb.ExchangeRequest)
-	// LastList is the newest list of VMs, empty before there is one.
+	// LastList returns the newest known list of VMs, empty before the first.
 	LastList() *pb.ListVMsResponse
-	// LastPlan is the power plan in force, empty before there is one.
+	// LastPlan returns the power plan in force, empty before the first.
 	LastPlan() *pb.LastPlanResponse
 }
 
-// exchangeQueueSize bounds the messages that wait for one peer. Heartbeats of that
-// many beats would be of no use any more.
+// exchangeQueueSize is the maximum number of messages that wait for one peer. If that
+// many heartbeats are queued, the oldest are too old to be of use.
 const exchangeQueueSize = 64
 
-// Exchange sends control messages to other entry VMs. Messages to one peer go
-// out in batches, one call at a time, on a connection that nothing else uses: a
-// peer that is silent delays nobody else, and a call that fails may leave the
-// connection without breaking a forwarded request. What cannot be sent is lost.
+// Exchange sends control messages to other entry VMs. Messages to one peer are sent
+// in batches, one call at a time, on a connection that is used for nothing else. A
+// silent peer therefore does not delay messages to other peers, and closing the
+// connection after a failed call does not break a forwarded request. Messages that
+// cannot be sent are dropped.
 type Exchange struct {
 	settings Settings
 	dial     Dial
@@ -44,13 +46,13 @@
 	outboxes map[string]*outbox // by address
 }
 
-// outbox is what waits for one peer.
+// outbox holds the messages that wait for one peer.
 type outbox struct {
-	waiting *ring.Ring[*pb.ControlMessage]
-	cancel  context.CancelFunc
+	queue  *ring.Ring[*pb.ControlMessage]
+	cancel context.CancelFunc
 }
 
-// NewExchange returns an Exchange of an entry VM in a failure domain.
+// NewExchange returns the Exchange of an entry VM in a failure domain.
 func NewExchange(s Settings, dial Dial, sender Identity, domain string) *Exchange {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Exchange{
@@ -64,7 +66,7 @@
 	}
 }
 
-// Send queues messages to the entry VM at an address.
+// Send queues messages for the entry VM at an address.
 func (e *Exchange) Send(address string, messages ...*pb.ControlMessage) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,19 +77,19 @@
 	if out == nil {
 		out = e.startSender(address)
 	}
-	out.waiting.TryPush(messages...)
+	out.queue.TryPush(messages...)
 }
 
-// open starts the duty that sends to an address. The caller holds the lock.
+// startSender starts the goroutine that sends to an address. The caller holds mu.
 func (e *Exchange) startSender(address string) *outbox {
 	ctx, cancel := context.WithCancel(e.ctx)
-	out := &outbox{waiting: ring.New[*pb.ControlMessage](exchangeQueueSize), cancel: cancel}
+	out := &outbox{queue: ring.New[*pb.ControlMessage](exchangeQueueSize), cancel: cancel}
 	e.outboxes[address] = out
 	e.senders.Go(func() { e.runSender(ctx, address, out) })
 	return out
 }
 
-// Keep ends the sending to all addresses that are not wanted any more.
+// RetainOnly stops sending to all addresses that are not wanted.
 func (e *Exchange) RetainOnly(wanted map[string]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,7 +101,7 @@
 	}
 }
 
-// Stop ends all sending.
+// Stop stops sending to all addresses.
 func (e *Exchange) Stop() {
 	e.mu.Lock()
 	e.cancel()
@@ -107,6 +109,7 @@
 	e.senders.Wait()
 }
 
+// runSender sends the messages for one address until ctx ends.
 func (e *Exchange) runSender(ctx context.Context, address string, out *outbox) {
 	client := e.dial.client()
 	defer func() { client.CloseAll() }()
@@ -115,13 +118,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-out.waiting.Ready():
+		case <-out.queue.Ready():
 		}
-		messages := out.waiting.Drain()
-		if len(messages) == 0 || e.post(ctx, service, messages) {
+		messages := out.queue.Drain()
+		if len(messages) == 0 || e.sendBatch(ctx, service, messages) {
 			continue
 		}
-		// The connection may be silent for good: the next batch gets a new one.
+		// The connection may be dead, so the next batch is sent on a new one.
 		client.CloseAll()
 		client = e.dial.client()
 		service = e.dial.service(client, address)
@@ -129,8 +132,8 @@
 	}
 }
 
-// post sends one batch and reports whether it arrived.
-func (e *Exchange) post(ctx context.Context, service pumiceyardv1connect.PeerServiceClient, messages []*pb.ControlMessage) bool {
+// sendBatch sends one batch and reports whether it was answered.
+func (e *Exchange) sendBatch(ctx context.Context, service pumiceyardv1connect.PeerServiceClient, messages []*pb.ControlMessage) bool {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.SilenceTimeout)
 	defer cancel()
 	req := &pb.ExchangeRequest{EntryVm: e.sender.Name, Domain: e.domain, Messages: messages}
@@ -140,18 +143,18 @@
 
 // LastList asks the entry VM at an address for its list of VMs.
 func (c *Calls) LastList(ctx context.Context, address string) (*pb.ListVMsResponse, error) {
-	return unary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.ListVMsResponse], error) {
+	return callUnary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.ListVMsResponse], error) {
 		return s.LastList(ctx, connect.NewRequest(&pb.LastListRequest{}))
 	})
 }
 
-// Exchange implements the service.
+// Exchange implements PeerServiceHandler.
 func (s *Server) Exchange(_ context.Context, req *connect.Request[pb.ExchangeRequest]) (*connect.Response[pb.ExchangeResponse], error) {
 	s.control.HandleExchange(req.Msg)
 	return connect.NewResponse(&pb.ExchangeResponse{}), nil
 }
 
-// LastList implements the service.
+// LastList implements PeerServiceHandler.
 func (s *Server) LastList(context.Context, *connect.Request[pb.LastListRequest]) (*connect.Response[pb.ListVMsResponse], error) {
 	return connect.NewResponse(s.control.LastList()), nil
 }
@@ -159,12 +162,12 @@
 // LastPlan asks the entry VM at an address for the power plan of its failure
 // domain.
 func (c *Calls) LastPlan(ctx context.Context, address string) (*pb.LastPlanResponse, error) {
-	return unary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.LastPlanResponse], error) {
+	return callUnary(ctx, c, address, func(ctx context.Context, s pumiceyardv1connect.PeerServiceClient) (*connect.Response[pb.LastPlanResponse], error) {
 		return s.LastPlan(ctx, connect.NewRequest(&pb.LastPlanRequest{}))
 	})
 }
 
-// LastPlan implements the service.
+// LastPlan implements PeerServiceHandler.
 func (s *Server) LastPlan(context.Context, *connect.Request[pb.LastPlanRequest]) (*connect.Response[pb.LastPlanResponse], error) {
 	return connect.NewResponse(s.control.LastPlan()), nil
 }
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -17,27 +17,27 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/ring"
 )
 
-// Target is the entry VM a link leads to.
+// Target is the entry VM that a link connects to.
 type Target struct {
 	Name        string
 	Address     string
-	Incarnation uint64 // 0: whichever answers
+	Incarnation uint64 // 0: any incarnation
 }
 
-// Identity is the entry VM that opens links.
+// Identity is the entry VM at this end of a connection.
 type Identity struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Dial says how to reach peers.
+// Dial holds what is needed to connect to peers.
 type Dial struct {
 	Dialer wire.Dialer
 	Secure *TLSClient
 	Token  string // shared secret of the site's entry VMs
 }
 
-// Link carries batches to one owner for as long as it runs.
+// Link sends batches to one owner and reconnects until it is stopped.
 type Link struct {
 	settings Settings
 	target   Target
@@ -50,7 +50,7 @@
 	done   chan struct{}
 }
 
-// StartLink opens a link to an owner.
+// StartLink starts a link to an owner.
 func StartLink(s Settings, target Target, self Identity, dial Dial, events Events) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Link{
@@ -67,11 +67,11 @@
 	return l
 }
 
-// Send queues a message to the owner. It reports false when the ring is full;
-// nothing was sent then.
+// Send queues a message for the owner. It returns false if the queue is full; the
+// message is not sent then.
 func (l *Link) Send(m *pb.RunRequest) bool { return l.out.TryPush(m) }
 
-// Stop ends the link.
+// Stop stops the link and waits until it has ended.
 func (l *Link) Stop() {
 	l.cancel()
 	<-l.done
@@ -80,15 +80,16 @@
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
 	for ctx.Err() == nil {
-		l.connect(ctx)
+		l.runConnection(ctx)
 		pause.For(ctx, l.settings.RedialDelay)
 	}
 }
 
 type runStream = connect.BidiStreamForClient[pb.RunRequest, pb.RunResponse]
 
-// connect is one connection from hello to loss, on a transport of its own.
-func (l *Link) connect(ctx context.Context) {
+// runConnection opens a connection with a transport of its own and uses it until it
+// is lost. Messages queued before the connection are dropped.
+func (l *Link) runConnection(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := l.dial.client()
@@ -99,46 +100,49 @@
 		Incarnation:     l.self.Incarnation,
 		PeerIncarnation: l.target.Incarnation,
 	}}
-	guard := time.AfterFunc(l.settings.SilenceTimeout, cancel)
+	timeout := time.AfterFunc(l.settings.SilenceTimeout, cancel)
 	if err := conn.Send(hello); err != nil {
-		guard.Stop()
+		timeout.Stop()
 		return
 	}
 	first, err := conn.Receive()
-	if !guard.Stop() || err != nil || first.Advert == nil {
+	if !timeout.Stop() || err != nil || first.Advert == nil {
 		return
 	}
 	l.out.Drain()
 	l.events.OwnerUp(l.target.Name, first.Advert.Incarnation)
 	l.events.Advert(l.target.Name, first.Advert)
-	why := l.serve(ctx, client, conn)
-	klog.V(1).InfoS(logPrefix+"link ended", "peer", l.target.Name, "why", why)
-	l.events.OwnerLost(l.target.Name, why)
+	reason := l.useConnection(ctx, client, conn)
+	klog.V(1).InfoS(logPrefix+"link ended", "peer", l.target.Name, "why", reason)
+	l.events.OwnerLost(l.target.Name, reason)
 }
 
-func (l *Link) serve(ctx context.Context, client *wire.Client, conn *runStream) string {
+// useConnection reads from and writes to a connection until it ends, and returns the
+// reason.
+func (l *Link) useConnection(ctx context.Context, client *wire.Client, conn *runStream) string {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var last atomic.Int64
-	last.Store(time.Now().UnixNano())
-	var duties sync.WaitGroup
-	duties.Go(func() {
+	var lastHeardNanos atomic.Int64
+	lastHeardNanos.Store(time.Now().UnixNano())
+	var reader sync.WaitGroup
+	reader.Go(func() {
 		defer cancel()
-		l.read(conn, &last)
+		l.readLoop(conn, &lastHeardNanos)
 	})
-	why := l.write(ctx, conn, &last)
+	reason := l.writeLoop(ctx, conn, &lastHeardNanos)
 	client.CloseAll()
-	duties.Wait()
-	return why
+	reader.Wait()
+	return reason
 }
 
-func (l *Link) read(conn *runStream, last *atomic.Int64) {
+// readLoop passes the owner's messages to the link's events until the stream ends.
+func (l *Link) readLoop(conn *runStream, lastHeardNanos *atomic.Int64) {
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		last.Store(time.Now().UnixNano())
+		lastHeardNanos.Store(time.Now().UnixNano())
 		if len(m.Results) > 0 {
 			l.events.RunResults(l.target.Name, m.Results)
 		}
@@ -148,23 +152,25 @@
 	}
 }
 
-func (l *Link) write(ctx context.Context, conn *runStream, last *atomic.Int64) string {
-	beats := time.NewTicker(l.settings.HeartbeatInterval)
-	defer beats.Stop()
-	beat := uint64(0)
+// writeLoop sends queued messages and heartbeats, and returns the reason why the
+// connection must end.
+func (l *Link) writeLoop(ctx context.Context, conn *runStream, lastHeardNanos *atomic.Int64) string {
+	heartbeats := time.NewTicker(l.settings.HeartbeatInterval)
+	defer heartbeats.Stop()
+	number := uint64(0)
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return "stream ended"
-		case <-beats.C:
-			if time.Duration(time.Now().UnixNano()-last.Load()) > l.settings.SilenceTimeout {
+		case <-heartbeats.C:
+			if time.Duration(time.Now().UnixNano()-lastHeardNanos.Load()) > l.settings.SilenceTimeout {
 				return "silent"
 			}
-			beat++
-			err = conn.Send(&pb.RunRequest{Beat: beat})
+			number++
+			err = conn.Send(&pb.RunRequest{Beat: number})
 		case <-l.out.Ready():
-			if m := join(l.out.Drain()); m != nil {
+			if m := mergeRequests(l.out.Drain()); m != nil {
 				err = conn.Send(m)
 			}
 		}
@@ -174,8 +180,8 @@
 	}
 }
 
-// join merges waiting messages into one.
-func join(waiting []*pb.RunRequest) *pb.RunRequest {
+// mergeRequests merges queued messages into the first one; nil if there are none.
+func mergeRequests(waiting []*pb.RunRequest) *pb.RunRequest {
 	if len(waiting) == 0 {
 		return nil
 	}
@@ -183,14 +189,15 @@
 	for _, next := range waiting[1:] {
 		m.Groups = append(m.Groups, next.Groups...)
 		m.Withdraw = append(m.Withdraw, next.Withdraw...)
-		m.Power = joinPower(m.Power, next.Power)
+		m.Power = mergePower(m.Power, next.Power)
 	}
 	return m
 }
 
-// joinPower merges what is said about watts into a message of its own: the parts
-// may be on their way to other peers too. The later summary replaces the earlier.
-func joinPower(a, b *pb.Power) *pb.Power {
+// mergePower merges two power messages. If both are set it builds a new message,
+// because the originals may be queued for other peers too. The later summary
+// replaces the earlier one.
+func mergePower(a, b *pb.Power) *pb.Power {
 	if a == nil || b == nil {
 		return cmp.Or(a, b)
 	}
--- a/internal/connection/peer/silence_test.go
+++ b/internal/connection/peer/peer_test.go
@@ -12,8 +12,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/pipe"
 )
 
-// entryVM is the other end: an owner that reports each task as done, and a home
-// that answers after a time.
+// entryVM is a fake entry VM at the other end: an owner that reports each task as
+// done at once, and a home that answers after a delay.
 type entryVM struct {
 	joined, left int
 	offered      []uint64 // counters of submissions
@@ -46,13 +46,13 @@
 func (o *entryVM) LastList() *pb.ListVMsResponse  { return &pb.ListVMsResponse{} }
 func (o *entryVM) LastPlan() *pb.LastPlanResponse { return &pb.LastPlanResponse{} }
 
-// events keeps what a link reported, in order.
+// events records the reports of a link in order.
 type events struct{ seen []string }
 
 func (e *events) OwnerUp(string, uint64)             { e.seen = append(e.seen, "up") }
 func (e *events) Advert(string, *pb.Advert)          {}
 func (e *events) RunResults(string, []*pb.RunResult) { e.seen = append(e.seen, "results") }
-func (e *events) OwnerLost(_, why string)            { e.seen = append(e.seen, "lost: "+why) }
+func (e *events) OwnerLost(_, reason string)         { e.seen = append(e.seen, "lost: "+reason) }
 
 func serve(t *testing.T) (*entryVM, *pipe.Network, Dial) {
 	o, n := &entryVM{}, pipe.New()
@@ -66,11 +66,11 @@
 	return &pb.RunRequest{Groups: []*pb.RunGroup{{Submission: &pb.SubmissionID{Counter: counter}}}}
 }
 
-// Symptom: tasks wait at an owner that nobody hears, or run twice. Sequence: the
-// link falls silent for good with a batch under way; new connections work. Cause
-// would be waiting on the old link, sending its batch again on the new one, or an
-// owner that keeps the session.
-func TestSilentLinkIsLeft(t *testing.T) {
+// Guards against tasks that wait at an owner that cannot be heard, and against tasks
+// that run twice. The connection goes silent for good with a batch in flight while
+// new connections work. The link must not wait on the old connection or send the
+// batch again on the new one, and the owner must not keep the session.
+func TestSilentLinkIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o, n, dial := serve(t)
 		e, s := &events{}, Defaults()
@@ -94,15 +94,15 @@
 			}
 		}
 		if len(o.offered) != 2 || o.offered[1] != 3 || o.joined != 2 || o.left != 1 {
-			t.Fatalf("offered %v, %d sessions, %d ended", o.offered, o.joined, o.left)
+			t.Fatalf("offered submissions %v, want 1 and 3; %d sessions, want 2; %d ended, want 1", o.offered, o.joined, o.left)
 		}
 	})
 }
 
-// Symptom: a caller hangs, or a slow answer is taken for a dead home. Sequence: a
-// forwarded request takes long; the connection of the next one falls silent.
-// Cause would be a bound on the whole wait, or none on the silence.
-func TestForwardedRequestWaitsWhileHeartbeatsCome(t *testing.T) {
+// Guards against a caller that hangs and against a slow answer that is taken for a
+// dead home. One forwarded request takes long, and the connection of the next one
+// goes silent. There must be a time-out on the silence, but none on the whole wait.
+func TestForwardedRequestWaitsWhileHeartbeatsArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o, n, dial := serve(t)
 		s := Defaults()
@@ -114,7 +114,7 @@
 		}
 		time.AfterFunc(s.HeartbeatInterval, n.Silence)
 		if _, err := c.Submit(context.Background(), "b:1", &pb.SubmitRequest{Ticket: "two"}); err == nil {
-			t.Fatal("an answer came over a silent connection")
+			t.Fatal("got an answer over a silent connection")
 		}
 		if a, err := c.Submit(context.Background(), "b:1", &pb.SubmitRequest{Ticket: "two"}); err != nil || a.Detail != "two" || n.Dials() != 2 {
 			t.Fatalf("answer %v, %v after %d connections", a, err, n.Dials())
@@ -122,11 +122,11 @@
 	})
 }
 
-// Symptom: two entry VMs that can reach each other take each other for dead.
-// Sequence: the connection of their control messages falls silent for good with a
-// heartbeat under way; new connections work. Cause would be an exchange that
-// waits on the old one.
-func TestSilentExchangeTakesANewConnection(t *testing.T) {
+// Guards against two entry VMs that can reach each other but take each other for
+// dead. The connection of their control messages goes silent for good with a
+// heartbeat in flight while new connections work. The exchange must not wait on the
+// old connection.
+func TestSilentExchangeOpensNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o, n, dial := serve(t)
 		s := Defaults()
@@ -143,7 +143,7 @@
 		e.Send("b:1", want(), want())
 		synctest.Wait()
 		if len(o.exchanged) != 3 || n.Dials() != 2 {
-			t.Errorf("%d messages came over %d connections, want 3 over 2", len(o.exchanged), n.Dials())
+			t.Errorf("%d messages arrived over %d connections, want 3 over 2", len(o.exchanged), n.Dials())
 		}
 	})
 }
--- a/internal/connection/peer/server.go
+++ b/internal/connection/peer/server.go
@@ -16,25 +16,26 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/ring"
 )
 
-// session is one home's connection to this owner.
+// session is the connection of one home to this owner.
 type session struct {
-	out     *ring.Ring[*pb.RunResponse]
-	version uint64 // of the held workers the home was told last
-	taken   atomic.Uint64
+	out                *ring.Ring[*pb.RunResponse]
+	sentWorkersVersion uint64 // version of the list of workers that the home has
+	takenTasks         atomic.Uint64
 }
 
-// Took counts tasks that show in the owner's advert from now on.
-func (s *session) AddTaken(tasks int) { s.taken.Add(uint64(tasks)) }
+// AddTaken counts tasks of this session that the owner's adverts include from now
+// on.
+func (s *session) AddTaken(tasks int) { s.takenTasks.Add(uint64(tasks)) }
 
-// Report queues results for the home. When the ring is full the session ends:
-// the home then asks the workers, which is slower but loses nothing.
+// Report queues results for the home. If the queue is full the session ends, and the
+// home asks the workers for the results. That is slower but loses nothing.
 func (s *session) Report(m *pb.RunResponse) {
 	if !s.out.TryPush(m) {
 		s.out.Close()
 	}
 }
 
-// Server answers other entry VMs.
+// Server handles the requests of other entry VMs.
 type Server struct {
 	settings Settings
 	token    string
@@ -42,19 +43,20 @@
 	owner    Owner
 	home     Home
 	control  Control
-	inFlight atomic.Int64 // forwarded submissions without a sent answer
+	inFlight atomic.Int64 // forwarded submissions that are not answered yet
 }
 
-// Serving is the number of forwarded submissions that wait for their answer.
+// InFlightSubmits returns the number of forwarded submissions that are not answered
+// yet.
 func (s *Server) InFlightSubmits() int { return int(s.inFlight.Load()) }
 
-// NewServer returns a server. token is the shared secret of the site's entry
-// VMs.
+// NewServer returns a server. The token is the secret that the site's entry VMs
+// share.
 func NewServer(s Settings, token string, self Identity, owner Owner, home Home, control Control) *Server {
 	return &Server{settings: s, token: token, self: self, owner: owner, home: home, control: control}
 }
 
-// Handler serves the peer interface.
+// Handler returns the HTTP handler of the peer interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := pumiceyardv1connect.NewPeerServiceHandler(s, wire.HandlerOptions()...)
@@ -62,10 +64,11 @@
 	return mux
 }
 
+// authenticate refuses requests without the shared secret.
 func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get(tokenHeader)), []byte(s.token)) != 1 {
-			http.Error(w, "peer token does not match the settings", http.StatusUnauthorized)
+			http.Error(w, "the peer token does not match this entry VM's settings", http.StatusUnauthorized)
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -74,7 +77,7 @@
 
 type serverStream = connect.BidiStream[pb.RunRequest, pb.RunResponse]
 
-// Run implements the service.
+// Run implements PeerServiceHandler: it serves the session of one home.
 func (s *Server) Run(ctx context.Context, conn *serverStream) error {
 	first, err := conn.Receive()
 	if err != nil {
@@ -82,23 +85,23 @@
 	}
 	hello := first.GetHello()
 	if hello == nil || (hello.PeerIncarnation != 0 && hello.PeerIncarnation != s.self.Incarnation) {
-		return connect.NewError(connect.CodeFailedPrecondition, errors.New("not the incarnation that was asked for"))
+		return connect.NewError(connect.CodeFailedPrecondition, errors.New("this entry VM has another incarnation than the requested one"))
 	}
 	session := &session{out: ring.New[*pb.RunResponse](s.settings.QueueSize)}
 	if !s.owner.Join(session) {
-		return connect.NewError(connect.CodeUnavailable, errors.New("not taking sessions"))
+		return connect.NewError(connect.CodeUnavailable, errors.New("this entry VM accepts no new sessions"))
 	}
 	defer s.owner.Leave(session)
 	if err := conn.Send(&pb.RunResponse{Advert: session.advertForHome(s.owner.Advert(), true)}); err != nil {
 		return err
 	}
-	heard := make(chan struct{}, 1)
-	go s.receive(conn, session, heard)
-	return s.send(ctx, conn, session, heard)
+	received := make(chan struct{}, 1)
+	go s.readLoop(conn, session, received)
+	return s.writeLoop(ctx, conn, session, received)
 }
 
-// receive is the session's reading duty.
-func (s *Server) receive(conn *serverStream, session *session, heard chan<- struct{}) {
+// readLoop passes the home's messages to the owner until the stream ends.
+func (s *Server) readLoop(conn *serverStream, session *session, received chan<- struct{}) {
 	defer session.out.Close()
 	for {
 		m, err := conn.Receive()
@@ -106,7 +109,7 @@
 			return
 		}
 		select {
-		case heard <- struct{}{}:
+		case received <- struct{}{}:
 		default:
 		}
 		if len(m.Groups) > 0 {
@@ -121,30 +124,30 @@
 	}
 }
 
-// send is the session's writing duty: results as they come, an advert and a
-// heartbeat at each beat. It ends when the home was silent too long, because
-// tasks must not wait here for a home that is gone.
-func (s *Server) send(ctx context.Context, conn *serverStream, session *session, heard <-chan struct{}) error {
-	beats := time.NewTicker(s.settings.HeartbeatInterval)
-	defer beats.Stop()
-	last := time.Now()
+// writeLoop sends results as they arrive and heartbeats at the interval, each with
+// an advert. It ends the session if the home is silent for longer than the silence
+// time-out, because tasks must not stay queued here for a home that is gone.
+func (s *Server) writeLoop(ctx context.Context, conn *serverStream, session *session, received <-chan struct{}) error {
+	heartbeats := time.NewTicker(s.settings.HeartbeatInterval)
+	defer heartbeats.Stop()
+	lastReceived := time.Now()
 	beat := uint64(0)
 	for {
 		var m *pb.RunResponse
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-heard:
-			last = time.Now()
+		case <-received:
+			lastReceived = time.Now()
 			continue
-		case <-beats.C:
-			if time.Since(last) > s.settings.SilenceTimeout {
-				return connect.NewError(connect.CodeDeadlineExceeded, errors.New("home is silent"))
+		case <-heartbeats.C:
+			if time.Since(lastReceived) > s.settings.SilenceTimeout {
+				return connect.NewError(connect.CodeDeadlineExceeded, errors.New("the home entry VM has sent no message within the silence time-out"))
 			}
 			beat++
 			m = &pb.RunResponse{Beat: beat}
 		case <-session.out.Ready():
-			m = joinResponses(session.out.Drain())
+			m = mergeResponses(session.out.Drain())
 			if m == nil && session.out.Closed() {
 				return nil
 			}
@@ -159,23 +162,23 @@
 	}
 }
 
-// brief is the advert for this home. What accounts use goes with heartbeats
-// only, which bounds its cost. It leaves the list of workers out of an advert that the home has already:
-// the list is long and changes seldom.
+// advertForHome returns the advert to send to this home. The usage per account is
+// sent with heartbeats only, to limit its cost. The list of workers is left out if
+// the home has it already, because it is long and seldom changes.
 func (s *session) advertForHome(m *pb.Advert, beat bool) *pb.Advert {
-	brief := AdvertForSession(m, s.taken.Load())
+	advert := AdvertForSession(m, s.takenTasks.Load())
 	if beat {
-		brief.Usage, brief.Periodic = m.Usage, true
+		advert.Usage, advert.Periodic = m.Usage, true
 	}
-	if m.WorkersVersion == s.version {
-		brief.Workers = nil
+	if m.WorkersVersion == s.sentWorkersVersion {
+		advert.Workers = nil
 	}
-	s.version = m.WorkersVersion
-	return brief
+	s.sentWorkersVersion = m.WorkersVersion
+	return advert
 }
 
-// AdvertForSession is an owner's advert with the count of tasks that one session has brought,
-// without what accounts use.
+// AdvertForSession returns a copy of an owner's advert with the number of tasks taken
+// from one session, and without the usage per account.
 func AdvertForSession(m *pb.Advert, takenTasks uint64) *pb.Advert {
 	return &pb.Advert{
 		Incarnation:    m.Incarnation,
@@ -191,7 +194,8 @@
 	}
 }
 
-func joinResponses(waiting []*pb.RunResponse) *pb.RunResponse {
+// mergeResponses merges queued messages into the first one; nil if there are none.
+func mergeResponses(waiting []*pb.RunResponse) *pb.RunResponse {
 	if len(waiting) == 0 {
 		return nil
 	}
@@ -202,7 +206,7 @@
 	return m
 }
 
-// Submit implements the service: heartbeats until the final answer.
+// Submit implements PeerServiceHandler. It sends heartbeats until the final answer.
 func (s *Server) Submit(ctx context.Context, req *connect.Request[pb.SubmitRequest], conn *connect.ServerStream[pb.SubmitResponse]) error {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -224,12 +228,12 @@
 	}
 }
 
-// Cancel implements the service.
+// Cancel implements PeerServiceHandler.
 func (s *Server) Cancel(_ context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
 	return connect.NewResponse(s.home.Cancel(req.Msg)), nil
 }
 
-// Timeline implements the service.
+// Timeline implements PeerServiceHandler.
 func (s *Server) Timeline(_ context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
 	return connect.NewResponse(s.home.Timeline(req.Msg)), nil
 }
