--- a/internal/connection/submissions/submissions.go
+++ b/internal/connection/submissions/submissions.go
@@ -41,8 +41,8 @@
 type service struct{ entry Entry }
 
 var (
-	errUnknownQueue  = errors.New("queue: there is no queue of this name")
-	errNotConfigured = errors.New("the entry VM has not received a configuration yet; nothing has run")
+	errUnknownQueue  = errors.New("queue: there is none of that name")
+	errNotConfigured = errors.New("no configuration has come yet; nothing has run") // the entry VM has no catalog
 )
 
 // SubmitWork implements SubmissionServiceHandler.
@@ -99,7 +99,8 @@
 			step.DependsOn = append(step.DependsOn, int(a))
 		}
 		if w.Count == 0 {
-			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Reason: "a step must have at least one task"}
+			// A step must have at least one task.
+			return nil, &submission.InvalidError{Field: fmt.Sprintf("step %d: count", i), Reason: "a step has tasks"}
 		}
 		rec.Steps = append(rec.Steps, step)
 	}
--- a/internal/kept/vm/callers.go
+++ b/internal/kept/vm/callers.go
@@ -36,7 +36,7 @@
 
 // ErrUnavailable reports that the request could not be served now: the engine is overloaded or did not
 // answer in time, or the store could not be reached.
-var ErrUnavailable = errors.New("kept: the entry VM or the store did not answer")
+var ErrUnavailable = errors.New("kept: the state cannot be read now")
 
 // StateAnswer is the state of a submission. submission.Unknown means that it does not exist.
 type StateAnswer struct {
--- a/internal/kept/vm/engine.go
+++ b/internal/kept/vm/engine.go
@@ -181,6 +181,7 @@
 
 // runShard advances a shard that this VM holds and carries out its actions.
 func (e *engine) runShard(name string, h *heldShard) {
+	// The confirmation by the store matters only for stored submissions.
 	h.extendLeases.Store(e.now-h.confirmedAt < holdingTrustedFor || !h.core.HasStored())
 	if e.now-h.scannedAt >= rescanInterval && !h.scanning {
 		e.scanRecords(name, h)
--- a/internal/kept/vm/evacuate.go
+++ b/internal/kept/vm/evacuate.go
@@ -215,7 +215,8 @@
 func (e *engine) endUnassigned(t *transientSubmission) {
 	switch {
 	case t.anyStarted():
-		e.giveUp(t, "no reachable shard may start its remaining tasks")
+		// No reachable shard may start its remaining tasks.
+		e.giveUp(t, "its failure domains are evacuated")
 	case t.assignedTaskCount() == 0:
 		e.refuseTransient(t, policy.AllDomainsEvacuated)
 	default: // another shard has a part, which will start or be returned
--- a/internal/kept/vm/recall.go
+++ b/internal/kept/vm/recall.go
@@ -73,7 +73,8 @@
 		}
 		l := e.selectShard(t, p)
 		if l == nil {
-			e.giveUp(t, "one of its parts was rejected and no shard can take it")
+			// The part was rejected, and no shard can take it.
+			e.giveUp(t, "a part of it came back and no shard can be reached")
 			return
 		}
 		p.record.Serial = e.nextSerial()
--- a/internal/kept/vm/shards.go
+++ b/internal/kept/vm/shards.go
@@ -16,9 +16,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// Delays and time-outs of a holder's calls of the store.
+// Delays and time-outs of holders and of claims.
 const (
-	endsBatchDelay   = 40 * time.Millisecond // ends within this time share a transaction
+	endsBatchDelay   = 40 * time.Millisecond // final states, progress and reassignments written within this time share a transaction
 	endsWriteTimeout = time.Hour             // a holder retries for as long as it holds the shard
 	claimTimeout     = 2 * time.Second
 	scanRetryDelay   = 50 * time.Millisecond
@@ -65,6 +65,7 @@
 func (e *engine) applyHoldings(requestedAt time.Duration) {
 	e.holdersChanged = true
 	all := e.site.Holdings()
+	// The holder of the first shard removes old final states for the whole site.
 	e.vm.sweepsFinals.Store(len(all) > 0 && e.site.HeldBySelf(all[0]))
 	for _, holding := range all {
 		h := e.shards[holding.Shard]
--- a/internal/kept/vm/stored.go
+++ b/internal/kept/vm/stored.go
@@ -41,6 +41,7 @@
 	defaultRetryAfter = time.Second             // told to callers while no submission can be accepted
 )
 
+// apply accepts or refuses a submission, or defers it while this VM starts.
 func (ev submitEvent) apply(e *engine) {
 	ev.receivedAt = e.now
 	if !e.deferAtStartup(ev) {
@@ -111,7 +112,7 @@
 		Done:        func(r journal.Result) { e.vm.post(recordStoredEvent{record: rec, result: r}) },
 	})
 	if !added {
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "too many submissions wait to be stored"})
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "too many submissions wait for the store"})
 	}
 }
 
@@ -148,6 +149,8 @@
 	return sum
 }
 
+// apply answers the callers of a submission once its write has succeeded or failed, and passes a stored one
+// to the holder of its shard.
 func (ev recordStoredEvent) apply(e *engine) {
 	h := e.tracked[ev.record.ID]
 	if h == nil || h.stored || h.record != ev.record {
@@ -169,7 +172,8 @@
 	case journal.Conflict:
 		e.handleStoreConflict(h, ev.result)
 	case journal.Refused:
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "the store refused the write"})
+		// The store refused each write, so the record is certainly not stored.
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "the store takes nothing"})
 	case journal.Unknown:
 		klog.InfoS("kept: store did not answer, the submission may have been stored", "id", ev.record.ID, "took", e.now-h.receivedAt)
 		delete(e.tracked, ev.record.ID)
@@ -196,7 +200,8 @@
 		}
 	}
 	if h.storeAttempts >= maxIntakeAttempts || e.now-h.receivedAt > intakeTimeout {
-		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "its shard keeps changing its holder"})
+		// No write succeeded, as the shard got a new holder each time before the record reached the store.
+		e.refuse(h, Outcome{Kind: Refused, RetryAfter: defaultRetryAfter, Reason: "its shard changes hands"})
 		return
 	}
 	e.placeAndStore(h)
--- a/internal/kept/vm/transient.go
+++ b/internal/kept/vm/transient.go
@@ -105,8 +105,8 @@
 	return e.vm.config.Incarnation + e.transientSerial
 }
 
-// splitIntoParts chooses shards for a submission and makes a part for each. Only submissions of a single
-// step are split: steps that depend on each other stay together.
+// splitIntoParts chooses shards for a submission and makes a part for each. Submissions that isDivisible
+// excludes get one shard: steps that depend on each other stay together.
 func (e *engine) splitIntoParts(r *submission.Record, receivedAt time.Duration) ([]*part, *Outcome) {
 	r.Home = e.vm.config.Name
 	shards, refusal := e.candidates(r, receivedAt)
@@ -133,7 +133,8 @@
 	return parts, nil
 }
 
-// isDivisible reports whether the tasks of a submission may be split over several shards.
+// isDivisible reports whether the tasks of a submission may be split over several shards. It must have a single
+// step, without a limit of tasks per worker.
 func isDivisible(r *submission.Record) bool { return len(r.Steps) == 1 && r.Steps[0].MaxPerWorker == 0 }
 
 // sendPart sends a part to the holder of its shard.
@@ -177,7 +178,8 @@
 }
 
 // driveTransients sends parts to the new holders of their shards, gives up submissions whose holders are
-// unreachable for too long, and drops results that were kept long enough.
+// unreachable for too long, assigns tasks that no shard has, recalls parts or reassigns rejected ones, and drops
+// results that were kept for resultRetention.
 func (e *engine) driveTransients() {
 	for _, t := range e.transients {
 		for _, p := range t.parts {
@@ -203,7 +205,8 @@
 func (e *engine) resendPart(t *transientSubmission, p *part, l *knownLoad) {
 	p.resends++
 	if p.resends > maxResends {
-		e.giveUp(t, "a shard of it keeps changing its holder")
+		// The shard's holder changed, or did not get the part, more than maxResends times.
+		e.giveUp(t, "a shard of it changes hands again and again")
 		return
 	}
 	klog.InfoS("kept: part sent again, to the same or a new holder", "id", t.record.ID, "shard", p.shard, "holder", l.holder, "token", l.token, "from", p.holder)
@@ -218,7 +221,7 @@
 			p.unreachableSince = e.now
 		}
 		if e.now-p.unreachableSince > holderUnreachableTimeout {
-			e.giveUp(t, "the holder of a shard cannot be reached")
+			e.giveUp(t, "the holder of a shard is away")
 		}
 		return
 	}
@@ -240,14 +243,14 @@
 	f.Queries = append(f.Queries, &pb.KeptRef{Id: string(t.record.ID), Shard: p.shard})
 }
 
-// giveUp cancels all parts of a submission and tells the callers that it may have run.
+// giveUp cancels all unfinished parts of a submission and tells the callers that it may have run.
 func (e *engine) giveUp(t *transientSubmission, reason string) {
 	e.vm.metrics.queue(t.record.Queue).countEnd("given_up", e.now-t.receivedAt)
 	klog.InfoS("kept: given up", "id", t.record.ID, "why", reason, "after", e.now-t.receivedAt, "parts", len(t.parts))
 	e.dropTransient(t, Outcome{Kind: Indeterminate, Reason: reason})
 }
 
-// dropTransient cancels all parts, answers the callers, and keeps no result.
+// dropTransient cancels all unfinished parts, answers the callers, and keeps no result.
 func (e *engine) dropTransient(t *transientSubmission, o Outcome) {
 	e.cancelParts(t)
 	t.replyOutcome(o)
@@ -340,7 +343,7 @@
 		}
 	case submission.Cancelled:
 		p.state = state
-		e.giveUp(t, "a holder has cancelled it")
+		e.giveUp(t, "a holder has ended it")
 	case submission.Rejected:
 		p.state = state
 		if t.allPartsIn(submission.Rejected) && len(t.unassigned) == 0 {
@@ -362,7 +365,7 @@
 // the callers are told that the submission may have run.
 func (e *engine) endRejected(t *transientSubmission) {
 	if t.started {
-		e.giveUp(t, "its remaining tasks cannot be done in time")
+		e.giveUp(t, "what is left of it cannot be done in time")
 		return
 	}
 	e.refuseTransient(t, policy.TooLateByNow)
