--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -16,7 +16,7 @@
 )
 
 // Tick carries out what has become due and starts the tasks that can start. The caller calls it after
-// each batch of events, and every 50 ms without any.
+// each batch of events, and at least every 50 ms.
 func (s *Shard) Tick(now time.Duration) {
 	s.liftBarrier(now)
 	if now >= s.nextSweepAt {
@@ -60,8 +60,9 @@
 	maps.DeleteFunc(s.recentlyEnded, func(_ submission.ID, p endedJob) bool { return now-p.at > endedRetention })
 }
 
-// liftBarrier lets the tasks start that an earlier holder may have started, once no run of an earlier
-// holder can be left that no worker lists. For transient submissions that is the case earlier.
+// liftBarrier releases the tasks that an earlier holder may have started, once each run that it left has
+// ended or is listed by a worker: when all workers have answered, or the leases of the earlier holders have
+// expired. For transient submissions that is the case earlier, at transientBarrierUntil.
 func (s *Shard) liftBarrier(now time.Duration) {
 	if !s.barrierUp || !s.recordsLoaded {
 		return
@@ -152,7 +153,7 @@
 }
 
 // place starts tasks, those of the most urgent submission first, each on the worker where it should
-// complete soonest.
+// complete soonest. Suspect tasks, which may have crashed earlier workers, start only on exclusive candidates.
 func (s *Shard) place(now time.Duration) {
 	if !s.placementDue || !s.recordsLoaded {
 		return
