--- a/client/client.go
+++ b/client/client.go
@@ -77,7 +77,7 @@
 
 // Options configure a Client.
 type Options struct {
-	// Endpoints are the base URLs of entry VMs, or of a load balancer in front of them.
+	// Endpoints are the base URLs of the entry VMs' caller listeners, or of a load balancer in front of them.
 	Endpoints []string
 	// Key is the client account's key.
 	Key string
@@ -89,17 +89,18 @@
 	// Silence is how long an entry VM may send nothing, not even a heartbeat, while a
 	// job runs. After that the client asks for the job on another connection. 0: 5 s.
 	Silence time.Duration
-	// HTTP is the HTTP client to use; nil: one with connection limits for short jobs.
+	// HTTP is the HTTP client to use; nil: one that keeps enough idle connections for many
+	// short jobs at once.
 	HTTP *http.Client
 }
 
 const (
-	defaultPrefetch = 32
-	defaultSilence  = 5 * time.Second
-	minBackoff      = 20 * time.Millisecond
-	maxBackoff      = time.Second
-	maxConnsPerHost = 512
-	attachTimeout   = 60 * time.Second // of one request for a job; the job may run longer
+	defaultPrefetch     = 32
+	defaultSilence      = 5 * time.Second
+	minBackoff          = 20 * time.Millisecond
+	maxBackoff          = time.Second
+	maxIdleConnsPerHost = 512
+	attachTimeout       = 60 * time.Second // of one request for a job; the job may run longer
 )
 
 // Client submits jobs for one client account. It is safe for concurrent use.
@@ -124,8 +125,8 @@
 	c := &Client{opt: opt, http: opt.HTTP}
 	if c.http == nil {
 		c.http = &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: maxConnsPerHost,
-			MaxIdleConns:        maxConnsPerHost * len(opt.Endpoints),
+			MaxIdleConnsPerHost: maxIdleConnsPerHost,
+			MaxIdleConns:        maxIdleConnsPerHost * len(opt.Endpoints),
 			IdleConnTimeout:     time.Minute,
 		}}
 	}
@@ -216,7 +217,8 @@
 
 // askUntilFinal sends the job under its ticket, again and again, until there is a final
 // answer or ctx ends. The first request goes to the endpoint of p, each later one to
-// another endpoint than the one before. first says that the ticket was never sent.
+// another endpoint than the one before, if there is one. first says that the ticket was
+// never sent.
 func (c *Client) askUntilFinal(ctx context.Context, ticket string, p *pool, j Job, first bool) (*Answer, error) {
 	body, err := json.Marshal(submitBody{j.Template, j.Tasks, uint32(j.Deadline.Milliseconds()), first})
 	if err != nil {
@@ -288,6 +290,7 @@
 	RetryAfterMillis int64             `json:"retry_after_millis"`
 }
 
+// putJob makes one request for a job and waits for its answer.
 func (c *Client) putJob(ctx context.Context, endpoint, ticket string, body []byte) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attachTimeout)
 	defer cancel()
@@ -418,7 +421,8 @@
 	return append(slices.Clone(pools[start:]), pools[:start]...)
 }
 
-// nextPool returns the pools round-robin, skipping except if there is another one.
+// nextPool returns the pools round-robin. It skips except, unless there is no other one or
+// concurrent callers advance the turn in between.
 func (c *Client) nextPool(except *pool) *pool {
 	pools := *c.pools.Load()
 	p := pools[c.nextTurn.Add(1)%uint64(len(pools))]
--- a/client/pool.go
+++ b/client/pool.go
@@ -16,15 +16,16 @@
 
 	mu          sync.Mutex
 	tickets     []Ticket
-	refilling   bool
-	brokenUntil time.Time
+	refilling   bool      // a refill is running in the background
+	brokenUntil time.Time // no tickets are fetched before
 }
 
 const (
 	// askAgainFor is how long it should be possible to ask again for a job under its
 	// ticket. A ticket that expires within half of it is not used any more.
 	askAgainFor = 30 * time.Second
-	// brokenPeriod is how long an endpoint that issued no tickets is skipped.
+	// brokenPeriod is how long no tickets are fetched from an endpoint after it issued none
+	// or a request to it failed.
 	brokenPeriod = time.Second
 	fetchTimeout = 2 * time.Second
 )
@@ -46,7 +47,7 @@
 	return "", nil, last
 }
 
-var errNoTickets = errors.New("the endpoint issued no usable ticket at the last attempt")
+var errNoTickets = errors.New("the endpoint is skipped for a second: a request to it failed, or it issued no usable ticket")
 
 // take returns a ticket, and fetches a batch first if none is left.
 func (p *pool) take(ctx context.Context) (string, error) {
--- a/client/silence_test.go
+++ b/client/silence_test.go
@@ -46,7 +46,7 @@
 // heartbeats the SDK cannot tell a silent connection from a long job, and the caller waits
 // on although its job was answered. The SDK has to ask for the job under the same ticket at
 // another endpoint, but not for a long job whose heartbeats arrive.
-func TestSilentConnectionIsLeft(t *testing.T) {
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	for name, silentPuts := range map[string]int{"heartbeats": 0, "silence": 1} {
 		synctest.Test(t, func(t *testing.T) {
 			site := &slowSite{fakeSite: &fakeSite{answer: func(int, put) (string, error) {
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -59,6 +59,7 @@
 	}
 }
 
+// endLease removes a lease and its keys.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	for _, key := range slices.Sorted(maps.Keys(s.leaseOf)) {
@@ -78,6 +79,7 @@
 	s.record(store.Event{Item: store.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
+// record adds an event to the history and wakes the watches.
 func (s *Store) record(e store.Event) {
 	s.history = append(s.history, e)
 	close(s.changed)
@@ -288,57 +290,59 @@
 }
 
 // SetFault sets how the calls fail from now on.
-func (d *Transport) SetFault(f Fault) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fault = f
+func (t *Transport) SetFault(f Fault) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.fault = f
 }
 
 // SilenceCalls makes the calls for which isSilenced returns true get no answer, as on a
 // connection that has gone silent.
-func (d *Transport) SilenceCalls(isSilenced func(relay.Call) bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.isSilenced = isSilenced
+func (t *Transport) SilenceCalls(isSilenced func(relay.Call) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.isSilenced = isSilenced
 }
 
 // DelayCalls makes calls take longer by what extra returns, as calls with large answers do on
 // a link of low bandwidth.
-func (d *Transport) DelayCalls(extra func(relay.Call) time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.extraDelay = extra
+func (t *Transport) DelayCalls(extra func(relay.Call) time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.extraDelay = extra
 }
 
-func (d *Transport) callDelay(c relay.Call) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.extraDelay == nil {
+// callDelay returns how much longer a call takes than the delay of the transport.
+func (t *Transport) callDelay(c relay.Call) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.extraDelay == nil {
 		return 0
 	}
-	return d.extraDelay(c)
+	return t.extraDelay(c)
 }
 
-func (d *Transport) faultFor(c relay.Call) Fault {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.isSilenced != nil && d.isSilenced(c) {
+// faultFor returns how a call fails.
+func (t *Transport) faultFor(c relay.Call) Fault {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.isSilenced != nil && t.isSilenced(c) {
 		return NoReply
 	}
-	return d.fault
+	return t.fault
 }
 
 // Do implements relay.Transport.
-func (d *Transport) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
-	d.store.mu.Lock()
-	d.store.Calls++
-	d.store.mu.Unlock()
+func (t *Transport) Do(ctx context.Context, c relay.Call) (relay.Reply, error) {
+	t.store.mu.Lock()
+	t.store.Calls++
+	t.store.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return relay.Reply{}, ctx.Err()
-	case <-time.After(d.delay + d.callDelay(c)):
+	case <-time.After(t.delay + t.callDelay(c)):
 	}
-	f := d.faultFor(c)
+	f := t.faultFor(c)
 	switch f {
 	case Unavailable:
 		return relay.Reply{Status: 503}, nil
@@ -346,7 +350,7 @@
 		<-ctx.Done()
 		return relay.Reply{}, ctx.Err()
 	}
-	r := kvcall.Answer(ctx, d.store, c)
+	r := kvcall.Answer(ctx, t.store, c)
 	if f == ReplyLost {
 		<-ctx.Done()
 		return relay.Reply{}, ctx.Err()
--- a/internal/standin/runhost/runhost.go
+++ b/internal/standin/runhost/runhost.go
@@ -93,6 +93,7 @@
 	return n
 }
 
+// begin records that a run has started on the worker where.
 func (l *Ledger) begin(ref submission.TaskRef, run uint64, where string) {
 	l.Starts[ref]++
 	l.running[ref]++
@@ -104,6 +105,7 @@
 	}
 }
 
+// end records that a run has ended.
 func (l *Ledger) end(ref submission.TaskRef, reason worker.EndReason) {
 	l.running[ref]--
 	if reason == worker.Completed {
@@ -131,10 +133,10 @@
 	ClockOffset time.Duration
 
 	token          uint64
-	deadline       time.Duration
+	deadline       time.Duration // end of the lease, in the caller's time
 	running        []*run
 	ended          []worker.Ended
-	lastEnd        uint64
+	lastEnd        uint64 // Seq of the newest entry of ended
 	crashed        bool
 	supersededUpTo map[submission.TaskRef]uint64 // by task: runs up to this number are not started any more
 }
@@ -165,6 +167,7 @@
 	}
 }
 
+// endsAt returns when a run ends, unless the lease expires first.
 func (h *Host) endsAt(r *run) time.Duration {
 	if r.stopAt > 0 && (r.work.Hangs || r.stopAt < r.startedAt+r.work.Time) {
 		return r.stopAt
@@ -175,6 +178,7 @@
 	return r.startedAt + r.work.Time
 }
 
+// endReason returns how a run ends at endsAt.
 func (h *Host) endReason(r *run) worker.EndReason {
 	switch {
 	case r.stopAt > 0 && (r.work.Hangs || r.stopAt < r.startedAt+r.work.Time):
@@ -186,6 +190,7 @@
 	}
 }
 
+// expireLease ends all runs because the lease has expired.
 func (h *Host) expireLease() {
 	for len(h.running) > 0 {
 		h.finish(h.running[0], worker.LeaseExpired)
@@ -273,6 +278,7 @@
 	return clock - h.ClockOffset
 }
 
+// extendLease moves the end of the lease to deadline, but at most MaxLease from now and never back.
 func (h *Host) extendLease(now, deadline time.Duration) {
 	h.deadline = max(h.deadline, min(deadline, now+MaxLease))
 }
