--- a/cmd/pumiceyard/operator.go
+++ b/cmd/pumiceyard/operator.go
@@ -62,7 +62,7 @@
 		}
 		named = []string{scheme + "127.0.0.1:" + operatorPort}
 	}
-	return operate.NewSite(named, f.port, material.Client())
+	return operate.NewSite(named, f.port, material.ClientConfig())
 }
 
 // explainFile adds the flag to the error about a file that cannot be used.
--- a/internal/connection/secure/secure.go
+++ b/internal/connection/secure/secure.go
@@ -1,6 +1,6 @@
-// Package secure builds the TLS configurations of the connections between entry
-// VMs and from operators to them. Both ends show a certificate of the site's own
-// CA, and each refuses the other without one.
+// Package secure builds the TLS configurations for connections between entry VMs and
+// from operators to entry VMs. TLS is mutual: both ends must present a certificate
+// issued by the site's own CA.
 package secure
 
 import (
@@ -12,15 +12,15 @@
 	"os"
 )
 
-// Files name what one end of TLS connections needs, in PEM. Either all are named
-// or none; none means plain connections.
+// Files are the paths of the PEM files that one end of TLS connections needs. Either
+// all of them are set or none; none means connections without TLS.
 type Files struct {
-	Cert string `json:"cert_file"` // this end's certificate, then intermediate ones
+	Cert string `json:"cert_file"` // this end's certificate, followed by intermediate certificates
 	Key  string `json:"key_file"`  // the certificate's private key
-	CA   string `json:"ca_file"`   // the CA certificates that the other end's may come from
+	CA   string `json:"ca_file"`   // the CA certificates that the other end's certificate is verified against
 }
 
-// Part is one of the Files.
+// Part names one of the Files.
 type Part string
 
 // The parts of Files.
@@ -30,25 +30,25 @@
 	CA   Part = "ca"
 )
 
-// FileError names a file that can not be used.
+// FileError is the error for a file that cannot be used.
 type FileError struct {
 	Part    Part
 	Path    string
 	Allowed string
-	Err     error // nil: the file is not named
+	Err     error // nil: no path is set
 }
 
 func (e *FileError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("the %s file is not named: allowed is %s", e.Part, e.Allowed)
+		return fmt.Sprintf("no path is set for the %s file: allowed is %s", e.Part, e.Allowed)
 	}
-	return fmt.Sprintf("the %s file %q can not be used (%v): allowed is %s", e.Part, e.Path, e.Err, e.Allowed)
+	return fmt.Sprintf("the %s file %q cannot be used (%v): allowed is %s", e.Part, e.Path, e.Err, e.Allowed)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause, if there is one.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// What the files may be.
+// Descriptions of valid files, for FileError.Allowed.
 const (
 	allowedCert = "a file of PEM certificates, this end's first"
 	allowedKey  = "a file with the certificate's private key in PEM"
@@ -56,27 +56,27 @@
 	allowedSet  = "all of the certificate, key and CA files, or none"
 )
 
-// maxFileBytes is far above any chain of certificates.
+// maxFileBytes is the maximum size of a file, far above any certificate chain.
 const maxFileBytes = 1 << 20
 
 var (
 	errNotAFile = errors.New("not a regular file")
 	errTooLarge = fmt.Errorf("over %d bytes", maxFileBytes)
-	errNoCA     = errors.New("holds no certificate")
+	errNoCA     = errors.New("contains no certificate")
 )
 
-// None reports whether no file is named.
+// IsEmpty reports whether no path is set.
 func (f Files) IsEmpty() bool { return f == Files{} }
 
-// Material is what was read from Files. It makes the configurations of servers
-// and clients.
+// Credentials are the contents of Files. Servers and clients get their configurations
+// from them.
 type Credentials struct {
 	certificate tls.Certificate
 	ca          *x509.CertPool
 }
 
-// Load reads the files. It returns nil when none is named. The error is a
-// *FileError.
+// Load reads the files. It returns nil without an error if no path is set. An error
+// is a *FileError.
 func (f Files) Load() (*Credentials, error) {
 	if f.IsEmpty() {
 		return nil, nil
@@ -104,8 +104,9 @@
 	return &Credentials{certificate: pair, ca: pool}, nil
 }
 
-// read reads a file that must be named. A device or a pipe is refused: reading it
-// may never end, and one would see a daemon that neither starts nor says why.
+// readFile reads one of the files; its path must be set. Devices and pipes are
+// refused: reading them may never end, and the daemon would neither start nor report
+// an error.
 func readFile(part Part, path, allowed string) ([]byte, error) {
 	if path == "" {
 		return nil, &FileError{part, path, allowedSet, nil}
@@ -132,13 +133,13 @@
 	return text, nil
 }
 
-// protocols are those of the connections in the clear.
+// alpnProtocols are the same protocols as on connections without TLS.
 var alpnProtocols = []string{"h2", "http/1.1"}
 
-// Server is the configuration of a listener: it takes clients with a certificate
-// of the CA for client authentication, and no others. Nil Material means plain
-// connections, and the configuration is nil.
-func (m *Credentials) Server() *tls.Config {
+// ServerConfig returns the configuration of a listener. It accepts only clients with
+// a certificate for client authentication that the CA has issued. Nil Credentials
+// mean connections without TLS; the configuration is nil then.
+func (m *Credentials) ServerConfig() *tls.Config {
 	if m == nil {
 		return nil
 	}
@@ -151,10 +152,10 @@
 	}
 }
 
-// Client is the configuration of connections that are dialled: the server's
-// certificate must come from the CA and name the host or IP that was dialled. Nil
-// Material means plain connections, and the configuration is nil.
-func (m *Credentials) Client() *tls.Config {
+// ClientConfig returns the configuration for dialling. The server's certificate must
+// be issued by the CA and name the host or IP address that is dialled. Nil Credentials
+// mean connections without TLS; the configuration is nil then.
+func (m *Credentials) ClientConfig() *tls.Config {
 	if m == nil {
 		return nil
 	}
--- a/internal/connection/secure/secure_test.go
+++ b/internal/connection/secure/secure_test.go
@@ -28,16 +28,16 @@
 
 var loopback = net.IPv4(127, 0, 0, 1)
 
-// control answers a peer with a list.
-type control struct{ peer.Control }
+// fakeControl answers a peer with a list of VMs.
+type fakeControl struct{ peer.Control }
 
-func (control) LastList() *pb.ListVMsResponse { return &pb.ListVMsResponse{Version: listVersion} }
+func (fakeControl) LastList() *pb.ListVMsResponse { return &pb.ListVMsResponse{Version: listVersion} }
 
-// operated answers an operator with a status.
-type operated struct{ operator.VM }
+// fakeVM answers an operator with a status.
+type fakeVM struct{ operator.VM }
 
-func (operated) Status() operator.Status { return operator.Status{Name: "e1", Ready: true} }
-func (operated) Fleet() operator.Fleet   { return operator.Fleet{} }
+func (fakeVM) Status() operator.Status { return operator.Status{Name: "e1", Ready: true} }
+func (fakeVM) Fleet() operator.Fleet   { return operator.Fleet{} }
 
 func newCA(t *testing.T) *certificate.CA {
 	ca, err := certificate.NewCA()
@@ -75,7 +75,7 @@
 	return l.Addr().String()
 }
 
-// askPeer makes a call between entry VMs. Nil is a client in the clear.
+// askPeer makes a call to an entry VM as a peer. A nil config means no TLS.
 func askPeer(ctx context.Context, address string, config *tls.Config) error {
 	dial := peer.Dial{Token: token}
 	if config != nil {
@@ -85,12 +85,13 @@
 	defer calls.Close()
 	list, err := calls.LastList(ctx, address)
 	if err == nil && list.Version != listVersion {
-		return errors.New("another list")
+		return errors.New("got the list of another server")
 	}
 	return err
 }
 
-// askOperator asks for a status by the tool. Nil is a tool in the clear.
+// askOperator requests the status as the operator's tool does. A nil config means no
+// TLS.
 func askOperator(ctx context.Context, address string, config *tls.Config) error {
 	scheme := "http://"
 	if config != nil {
@@ -106,51 +107,51 @@
 	return nil
 }
 
-// Symptom: somebody without a certificate of the site operates it or speaks as an
-// entry VM; or one who is refused takes the listener down for the others.
-// Sequence: each client comes, then a good one. Cause would be a listener that
-// does not verify, or a client that talks to a server of another CA or address.
-func TestOnlyCertificatesOfTheSite(t *testing.T) {
-	ca, other := newCA(t), newCA(t)
+// Guards against a client that operates the site or acts as an entry VM without a
+// certificate of the site, against a client that accepts a server of another CA or
+// address, and against a refused client that takes the listener down for others. Each
+// client connects, then one with valid certificates.
+func TestOnlySiteCertificatesAreAccepted(t *testing.T) {
+	ca, otherCA := newCA(t), newCA(t)
 	later, past := time.Now().Add(time.Hour), time.Now().Add(-time.Minute)
 	files := write(t, ca, loopback, later)
 	site := load(t, files)
-	good := site.Client()
+	good := site.ClientConfig()
 	expired := load(t, write(t, ca, loopback, past))
-	elsewhere := load(t, write(t, ca, net.IPv4(10, 0, 0, 1), later))
-	foreignFiles := write(t, other, loopback, later)
+	otherAddress := load(t, write(t, ca, net.IPv4(10, 0, 0, 1), later))
+	foreignFiles := write(t, otherCA, loopback, later)
 	foreign := load(t, foreignFiles)
-	// It trusts the site and shows a certificate that the site does not trust.
+	// This client trusts the site's CA but presents a certificate of another CA.
 	foreignFiles.CA = files.CA
-	foreignClient := load(t, foreignFiles).Client()
-	without := good.Clone()
-	without.Certificates = nil
-	old := good.Clone()
-	old.MinVersion, old.MaxVersion = 0, tls.VersionTLS12
+	foreignClient := load(t, foreignFiles).ClientConfig()
+	withoutCert := good.Clone()
+	withoutCert.Certificates = nil
+	tls12 := good.Clone()
+	tls12.MinVersion, tls12.MaxVersion = 0, tls.VersionTLS12
 
 	cases := map[string]struct {
 		server *tls.Config
 		client *tls.Config
 		refuse bool
-		advice string // of the operator's tool
+		advice string // expected in the error of the operator's tool
 	}{
-		"right certificates":        {site.Server(), good, false, ""},
-		"client of another CA":      {site.Server(), foreignClient, true, "refuses --tls-cert"},
-		"client that expired":       {site.Server(), expired.Client(), true, "refuses --tls-cert"},
-		"client without any":        {site.Server(), without, true, "refuses --tls-cert"},
-		"client of TLS 1.2":         {site.Server(), old, true, "remote error"},
-		"plain client":              {site.Server(), nil, true, "https://"},
-		"server of another CA":      {foreign.Server(), good, true, "not of a CA in --tls-ca"},
-		"server that expired":       {expired.Server(), good, true, "not valid now"},
-		"server of another address": {elsewhere.Server(), good, true, "does not name this address"},
+		"right certificates":        {site.ServerConfig(), good, false, ""},
+		"client of another CA":      {site.ServerConfig(), foreignClient, true, "refuses --tls-cert"},
+		"client that expired":       {site.ServerConfig(), expired.ClientConfig(), true, "refuses --tls-cert"},
+		"client without any":        {site.ServerConfig(), withoutCert, true, "refuses --tls-cert"},
+		"client of TLS 1.2":         {site.ServerConfig(), tls12, true, "remote error"},
+		"plain client":              {site.ServerConfig(), nil, true, "https://"},
+		"server of another CA":      {foreign.ServerConfig(), good, true, "not of a CA in --tls-ca"},
+		"server that expired":       {expired.ServerConfig(), good, true, "not valid now"},
+		"server of another address": {otherAddress.ServerConfig(), good, true, "does not name this address"},
 		"plain server":              {nil, good, true, "does not speak TLS"},
 	}
 	interfaces := map[string]struct {
 		handler http.Handler
 		ask     func(context.Context, string, *tls.Config) error
 	}{
-		"peer":     {peer.NewServer(peer.Defaults(), token, peer.Identity{Name: "e1"}, nil, nil, control{}).Handler(), askPeer},
-		"operator": {operator.NewServer(operated{}, nil, http.NotFoundHandler()).Handler(), askOperator},
+		"peer":     {peer.NewServer(peer.Defaults(), token, peer.Identity{Name: "e1"}, nil, nil, fakeControl{}).Handler(), askPeer},
+		"operator": {operator.NewServer(fakeVM{}, nil, http.NotFoundHandler()).Handler(), askOperator},
 	}
 	for side, i := range interfaces {
 		for name, c := range cases {
@@ -164,19 +165,19 @@
 					t.Errorf("%q does not say %q", err, c.advice)
 				}
 				if c.server == nil || c.client == good && c.refuse {
-					return // nobody is right for this server
+					return // no client can connect to this server
 				}
 				if err := i.ask(t.Context(), address, good); err != nil {
-					t.Errorf("the server does not go on: %v", err)
+					t.Errorf("the server refuses a valid client after the refused one: %v", err)
 				}
 			})
 		}
 	}
 }
 
-// Symptom: a daemon starts, and nobody can reach it, for a file that was wrong
-// from the start. Every such file is named.
-func TestFilesThatCanNotBeUsed(t *testing.T) {
+// Guards against a daemon that starts but cannot be reached because of an unusable
+// file. The error must name the file.
+func TestUnusableFileIsNamedInError(t *testing.T) {
 	ca := newCA(t)
 	good := write(t, ca, loopback, time.Now().Add(time.Hour))
 	another := write(t, ca, loopback, time.Now().Add(time.Hour))
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -226,8 +226,8 @@
 	vm.serve(vm.listeners.caller, caller.NewServer(callers, vm.router, vm, vm.Document, vm.newClaims(vm.store)).Handler(), nil)
 	self := peer.Identity{Name: vm.settings.Name, Incarnation: vm.incarnation}
 	vm.peerSide = peer.NewServer(vm.settings.peer(), vm.settings.PeerToken, self, vm.holder, peerHome{vm}, controlled{vm})
-	vm.serve(vm.listeners.peer, vm.peerSide.Handler(), vm.secure.Server())
-	vm.serve(vm.listeners.operator, vm.operatorHandler(), vm.secure.Server())
+	vm.serve(vm.listeners.peer, vm.peerSide.Handler(), vm.secure.ServerConfig())
+	vm.serve(vm.listeners.operator, vm.operatorHandler(), vm.secure.ServerConfig())
 }
 
 func (vm *VM) serve(l net.Listener, handler http.Handler, config *tls.Config) {
--- a/internal/process/entry/peers.go
+++ b/internal/process/entry/peers.go
@@ -45,7 +45,7 @@
 
 func newPeerSet(vm *VM) *peerSet {
 	dial := peer.Dial{Dialer: vm.settings.dialer(), Token: vm.settings.PeerToken}
-	if config := vm.secure.Client(); config != nil {
+	if config := vm.secure.ClientConfig(); config != nil {
 		dial.Secure = &peer.TLSClient{Config: config}
 	}
 	return &peerSet{
--- a/internal/process/entry/tls_test.go
+++ b/internal/process/entry/tls_test.go
@@ -76,7 +76,7 @@
 			address string
 			secure  bool
 		}{"peer": {e.VM.PeerAddress(), true}, "operator": {e.VM.OperatorAddress(), true}, "caller": {e.VM.CallerAddress(), false}} {
-			conn, err := tls.Dial("tcp", l.address, material.Client())
+			conn, err := tls.Dial("tcp", l.address, material.ClientConfig())
 			if (err == nil) != l.secure {
 				t.Errorf("%s listener speaks TLS: want %v, got %v", role, l.secure, err)
 			}
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	tool, err := operate.NewSite(urls, "1", material.Client())
+	tool, err := operate.NewSite(urls, "1", material.ClientConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
