--- a/internal/connection/runhost/runhost.go
+++ b/internal/connection/runhost/runhost.go
@@ -1,5 +1,6 @@
-// Package runhost carries orders to workers that take numbered runs, and serves them
-// for a stand-in.
+// Package runhost is the Connect interface to workers that run tasks as numbered runs:
+// the client that starts and stops runs on workers, and the server for simulated
+// workers.
 package runhost
 
 import (
@@ -17,14 +18,14 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/worker"
 )
 
-// Client gives orders to workers, on one connection to each.
+// Client calls workers, on one connection per address.
 type Client struct {
 	pool *wire.Pool[pumiceyardv1connect.RunHostServiceClient]
 }
 
 var _ worker.Client = (*Client)(nil)
 
-// NewClient returns a client without connections.
+// NewClient returns a client. Connections are opened by the first calls.
 func NewClient() *Client {
 	open := func(address string) (*wire.Client, pumiceyardv1connect.RunHostServiceClient) {
 		h := wire.NewClient(nil, nil)
@@ -33,12 +34,13 @@
 	return &Client{pool: wire.NewPool(open)}
 }
 
-// Close drops all connections.
+// Close closes all connections of the client.
 func (c *Client) Close() { c.pool.Close() }
 
-var silent = worker.Reply{Verdict: worker.NoAnswer}
+var noAnswer = worker.Reply{Verdict: worker.NoAnswer}
 
-// call makes one call. A connection on which a call has no answer is left.
+// call makes one call. If it is not answered, call closes its connection and returns
+// false.
 func call[R any](ctx context.Context, c *Client, address string, do func(pumiceyardv1connect.RunHostServiceClient) (*connect.Response[R], error)) (*R, bool) {
 	conn := c.pool.Get(address)
 	resp, err := do(conn.Service)
@@ -49,26 +51,26 @@
 	return resp.Msg, true
 }
 
-func taskOf(r submission.TaskRef) *pb.RunTask {
+func taskMessage(r submission.TaskRef) *pb.RunTask {
 	return &pb.RunTask{Id: string(r.ID), Step: uint32(r.Step), Index: uint32(r.Index)}
 }
 
-func refOf(t *pb.RunTask) submission.TaskRef {
+func taskRef(t *pb.RunTask) submission.TaskRef {
 	return submission.TaskRef{
 		ID:   submission.ID(t.GetId()),
 		Task: submission.Task{Step: int(t.GetStep()), Index: int(t.GetIndex())},
 	}
 }
 
-func replyOf(r *pb.RunReply) worker.Reply {
+func workerReply(r *pb.RunReply) worker.Reply {
 	return worker.Reply{Verdict: worker.Verdict(r.GetVerdict()), Clock: time.Duration(r.GetClockNs())}
 }
 
-// Start implements worker.Orders.
+// Start implements worker.Client.
 func (c *Client) Start(ctx context.Context, to worker.Info, s worker.Start) worker.Reply {
 	req := &pb.StartRunRequest{
 		Worker:     to.ID,
-		Task:       taskOf(s.Task),
+		Task:       taskMessage(s.Task),
 		Run:        s.Run,
 		Spec:       s.Spec,
 		Checkpoint: s.Checkpoint,
@@ -79,87 +81,89 @@
 		return h.StartRun(ctx, connect.NewRequest(req))
 	})
 	if !ok {
-		return silent
+		return noAnswer
 	}
-	return replyOf(r)
+	return workerReply(r)
 }
 
-// Stop implements worker.Orders.
+// Stop implements worker.Client.
 func (c *Client) Stop(ctx context.Context, to worker.Info, s worker.Stop) worker.Reply {
-	req := &pb.StopRunRequest{Worker: to.ID, Task: taskOf(s.Task), Run: s.Run, Token: s.Token}
+	req := &pb.StopRunRequest{Worker: to.ID, Task: taskMessage(s.Task), Run: s.Run, Token: s.Token}
 	r, ok := call(ctx, c, to.Address, func(h pumiceyardv1connect.RunHostServiceClient) (*connect.Response[pb.RunReply], error) {
 		return h.StopRun(ctx, connect.NewRequest(req))
 	})
 	if !ok {
-		return silent
+		return noAnswer
 	}
-	return replyOf(r)
+	return workerReply(r)
 }
 
-// Hold implements worker.Orders.
+// Hold implements worker.Client.
 func (c *Client) Hold(ctx context.Context, to worker.Info, h worker.Hold) (worker.Listing, worker.Reply) {
 	req := &pb.HoldRunsRequest{Worker: to.ID, Token: h.Token, Seen: h.AckedEnd, DeadlineNs: int64(h.Deadline), WaitNs: int64(h.Wait)}
 	r, ok := call(ctx, c, to.Address, func(s pumiceyardv1connect.RunHostServiceClient) (*connect.Response[pb.HoldRunsResponse], error) {
 		return s.HoldRuns(ctx, connect.NewRequest(req))
 	})
 	if !ok {
-		return worker.Listing{}, silent
+		return worker.Listing{}, noAnswer
 	}
-	reply := replyOf(r.Reply)
+	reply := workerReply(r.Reply)
 	reply.Born = r.BornUnixMillis
 	l := worker.Listing{Clock: reply.Clock, Born: reply.Born}
 	for _, run := range r.Running {
-		l.Running = append(l.Running, worker.Running{Task: refOf(run.Task), Run: run.Run, Checkpoint: run.Checkpoint, Percent: int(run.Percent)})
+		l.Running = append(l.Running, worker.Running{Task: taskRef(run.Task), Run: run.Run, Checkpoint: run.Checkpoint, Percent: int(run.Percent)})
 	}
 	for _, e := range r.Ended {
-		l.Ended = append(l.Ended, worker.Ended{Seq: e.Number, Task: refOf(e.Task), Run: e.Run, Reason: worker.EndReason(e.How), Checkpoint: e.Checkpoint})
+		l.Ended = append(l.Ended, worker.Ended{Seq: e.Number, Task: taskRef(e.Task), Run: e.Run, Reason: worker.EndReason(e.How), Checkpoint: e.Checkpoint})
 	}
 	return l, reply
 }
 
-// Server serves one worker's address from any worker.Orders.
+// Server serves the interface of the worker at one address by calling a
+// worker.Client.
 type Server struct {
 	info   worker.Info
-	orders worker.Client
+	worker worker.Client
 	http   *http.Server
 }
 
-// NewServer returns a server for the worker at an address.
-func NewServer(info worker.Info, orders worker.Client) *Server {
-	s := &Server{info: info, orders: orders}
+// NewServer returns a server that passes requests to client. Info describes the
+// worker, apart from its id.
+func NewServer(info worker.Info, client worker.Client) *Server {
+	s := &Server{info: info, worker: client}
 	mux := http.NewServeMux()
 	mux.Handle(pumiceyardv1connect.NewRunHostServiceHandler(s, wire.HandlerOptions()...))
 	s.http = wire.NewServer(mux, nil)
 	return s
 }
 
-// Serve serves until Close.
+// Serve runs the server on a listener until Close.
 func (s *Server) Serve(l net.Listener) error { return wire.Serve(s.http, l) }
 
-// Close ends all connections.
+// Close closes the server and all its connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// meant is the worker as the caller knows it.
-func (s *Server) meant(id string) worker.Info {
+// addressedWorker returns the server's worker with the id that the caller sent.
+func (s *Server) addressedWorker(id string) worker.Info {
 	info := s.info
 	info.ID = id
 	return info
 }
 
-var errSilent = connect.NewError(connect.CodeUnavailable, context.DeadlineExceeded)
+var errNoAnswer = connect.NewError(connect.CodeUnavailable, context.DeadlineExceeded)
 
-func answerOf(r worker.Reply) (*connect.Response[pb.RunReply], error) {
+func runReply(r worker.Reply) (*connect.Response[pb.RunReply], error) {
 	if r.Verdict == worker.NoAnswer {
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
 	return connect.NewResponse(&pb.RunReply{Verdict: uint32(r.Verdict), ClockNs: int64(r.Clock)}), nil
 }
 
-// StartRun implements the service.
+// StartRun implements RunHostServiceHandler.
 func (s *Server) StartRun(ctx context.Context, req *connect.Request[pb.StartRunRequest]) (*connect.Response[pb.RunReply], error) {
 	m := req.Msg
-	return answerOf(s.orders.Start(ctx, s.meant(m.Worker), worker.Start{
-		Task:       refOf(m.Task),
+	return runReply(s.worker.Start(ctx, s.addressedWorker(m.Worker), worker.Start{
+		Task:       taskRef(m.Task),
 		Run:        m.Run,
 		Spec:       m.Spec,
 		Checkpoint: m.Checkpoint,
@@ -168,30 +172,30 @@
 	}))
 }
 
-// StopRun implements the service.
+// StopRun implements RunHostServiceHandler.
 func (s *Server) StopRun(ctx context.Context, req *connect.Request[pb.StopRunRequest]) (*connect.Response[pb.RunReply], error) {
 	m := req.Msg
-	return answerOf(s.orders.Stop(ctx, s.meant(m.Worker), worker.Stop{Task: refOf(m.Task), Run: m.Run, Token: m.Token}))
+	return runReply(s.worker.Stop(ctx, s.addressedWorker(m.Worker), worker.Stop{Task: taskRef(m.Task), Run: m.Run, Token: m.Token}))
 }
 
-// HoldRuns implements the service.
+// HoldRuns implements RunHostServiceHandler.
 func (s *Server) HoldRuns(ctx context.Context, req *connect.Request[pb.HoldRunsRequest]) (*connect.Response[pb.HoldRunsResponse], error) {
 	m := req.Msg
-	l, r := s.orders.Hold(ctx, s.meant(m.Worker), worker.Hold{
+	l, r := s.worker.Hold(ctx, s.addressedWorker(m.Worker), worker.Hold{
 		Token:    m.Token,
 		AckedEnd: m.Seen,
 		Deadline: time.Duration(m.DeadlineNs),
 		Wait:     time.Duration(m.WaitNs),
 	})
 	if r.Verdict == worker.NoAnswer {
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
 	out := &pb.HoldRunsResponse{Reply: &pb.RunReply{Verdict: uint32(r.Verdict), ClockNs: int64(r.Clock)}, BornUnixMillis: r.Born}
 	for _, run := range l.Running {
-		out.Running = append(out.Running, &pb.ListedRun{Task: taskOf(run.Task), Run: run.Run, Checkpoint: run.Checkpoint, Percent: uint32(run.Percent)})
+		out.Running = append(out.Running, &pb.ListedRun{Task: taskMessage(run.Task), Run: run.Run, Checkpoint: run.Checkpoint, Percent: uint32(run.Percent)})
 	}
 	for _, e := range l.Ended {
-		out.Ended = append(out.Ended, &pb.EndedRun{Number: e.Seq, Task: taskOf(e.Task), Run: e.Run, How: uint32(e.Reason), Checkpoint: e.Checkpoint})
+		out.Ended = append(out.Ended, &pb.EndedRun{Number: e.Seq, Task: taskMessage(e.Task), Run: e.Run, How: uint32(e.Reason), Checkpoint: e.Checkpoint})
 	}
 	return connect.NewResponse(out), nil
 }
--- a/internal/connection/wire/fleetwire/fleetwire.go
+++ b/internal/connection/wire/fleetwire/fleetwire.go
@@ -1,5 +1,5 @@
-// Package fleetwire converts between the generated messages and those of the
-// membership and of the configuration's distribution.
+// Package fleetwire converts the messages of packages membership and distribution to
+// and from the generated messages.
 package fleetwire
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/membership"
 )
 
-// RevisionMessage writes a message of the configuration's distribution.
+// RevisionMessage converts a message of package distribution to a control message.
 func RevisionMessage(m distribution.Message) *pb.ControlMessage {
 	switch m := m.(type) {
 	case distribution.Summary:
@@ -18,12 +18,12 @@
 		push := &pb.RevisionPush{Version: m.Snapshot.Version, Value: m.Snapshot.Encoded}
 		return &pb.ControlMessage{Message: &pb.ControlMessage_Push{Push: push}}
 	}
-	panic("unknown message of the distribution")
+	panic("unknown type of distribution message")
 }
 
-// Revision reads a message of the configuration's distribution. It returns nil
-// for others, and for a revision whose document is damaged: put in force by
-// nobody, it must not be spread.
+// Revision converts a control message to a message of package distribution. It
+// returns nil for other kinds of message, and for a revision with a damaged document:
+// no VM would apply it, so it must not be passed on.
 func Revision(m *pb.ControlMessage) distribution.Message {
 	switch m := m.GetMessage().(type) {
 	case *pb.ControlMessage_Revision:
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// MembershipMessage writes a message of the membership.
+// MembershipMessage converts a message of package membership to a control message.
 func MembershipMessage(m membership.Message) *pb.ControlMessage {
 	switch m := m.(type) {
 	case membership.Heartbeat:
@@ -56,10 +56,11 @@
 		reply := &pb.ProbeReply{Incarnation: m.Incarnation, Gone: m.Gone, Suspected: m.Suspected}
 		return &pb.ControlMessage{Message: &pb.ControlMessage_ProbeReply{ProbeReply: reply}}
 	}
-	panic("unknown message of the membership")
+	panic("unknown type of membership message")
 }
 
-// Membership reads a message of the membership. It returns nil for others.
+// Membership converts a control message to a message of package membership. It
+// returns nil for other kinds of message.
 func Membership(m *pb.ControlMessage) membership.Message {
 	switch m := m.GetMessage().(type) {
 	case *pb.ControlMessage_Heartbeat:
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// ListedFacts reads the platform's list of VMs.
+// ListedFacts converts the platform's list of VMs to facts.
 func ListedFacts(m *pb.ListVMsResponse) []membership.Fact {
 	out := make([]membership.Fact, 0, len(m.GetVms()))
 	for _, vm := range m.GetVms() {
@@ -118,7 +119,7 @@
 	return out
 }
 
-// fact reads what a peer says of a VM.
+// fact converts a fact about a VM that a peer sent.
 func fact(m *pb.VMFact) membership.Fact {
 	f := membership.Fact{
 		Role: membership.Worker, ID: m.GetId(), Incarnation: m.GetIncarnation(), Domain: m.GetDomain(), Rack: m.GetRack(),
@@ -160,8 +161,8 @@
 	return m
 }
 
-// summary reads a summary. A row has its writer as a member at least, so that
-// one without members is a digest.
+// summary converts a domain summary. A row without members is a digest: a full row
+// has at least its author as a member.
 func summary(m *pb.DomainSummary) membership.Summary {
 	s := membership.Summary{Sender: fact(m.GetSender()), Need: m.GetNeed(), Reply: m.GetReply()}
 	for _, r := range m.GetRows() {
--- a/internal/connection/wire/fleetwire/fleetwire_test.go
+++ b/internal/connection/wire/fleetwire/fleetwire_test.go
@@ -11,7 +11,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/membership"
 )
 
-func encoded(t *testing.T, m *pb.ControlMessage) *pb.ControlMessage {
+func marshalRoundTrip(t *testing.T, m *pb.ControlMessage) *pb.ControlMessage {
 	t.Helper()
 	text, err := proto.Marshal(m)
 	if err != nil {
@@ -24,9 +24,9 @@
 	return out
 }
 
-// Every message reads back as itself. A field that is lost on the way would show
-// as a fleet that never agrees.
-func TestMessagesReadBack(t *testing.T) {
+// Every message must be unchanged after it is encoded and decoded. If a field were
+// lost, the VMs of the fleet would never agree on the membership.
+func TestMessagesRoundTrip(t *testing.T) {
 	worker := membership.Fact{
 		Role: membership.Worker, ID: "w", Incarnation: 3, Domain: "d", Rack: "r",
 		Address: "w:1", State: membership.Leaving, Sign: membership.SignPeer,
@@ -46,16 +46,16 @@
 		membership.Probe{Sender: sender},
 		membership.ProbeReply{Incarnation: 9, Gone: true, Suspected: true},
 	} {
-		if got := Membership(encoded(t, MembershipMessage(m))); !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v reads back as %+v", m, got)
+		if got := Membership(marshalRoundTrip(t, MembershipMessage(m))); !reflect.DeepEqual(got, m) {
+			t.Errorf("%+v is decoded as %+v", m, got)
 		}
 	}
 	summary := distribution.Summary{Revision: 1, Watching: true, Ask: true}
-	if got := Revision(encoded(t, RevisionMessage(summary))); got != summary {
-		t.Errorf("%+v reads back as %+v", summary, got)
+	if got := Revision(marshalRoundTrip(t, RevisionMessage(summary))); got != summary {
+		t.Errorf("%+v is decoded as %+v", summary, got)
 	}
 	damaged := distribution.Push{Snapshot: distribution.Snapshot{Revision: 2, Version: 3, Encoded: []byte("damaged")}}
-	if got := Revision(encoded(t, RevisionMessage(damaged))); got != nil {
-		t.Errorf("a damaged document is taken as %+v", got)
+	if got := Revision(marshalRoundTrip(t, RevisionMessage(damaged))); got != nil {
+		t.Errorf("a damaged document is decoded as %+v", got)
 	}
 }
--- a/internal/connection/wire/http.go
+++ b/internal/connection/wire/http.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Bounds of the shared HTTP/2 connections.
+// Time-outs and limits of the HTTP/2 connections.
 const (
 	dialTimeout       = 2 * time.Second
 	idleTimeout       = 90 * time.Second
-	readHeaderTimeout = 5 * time.Second // also bounds the TLS handshake of a server
+	readHeaderTimeout = 5 * time.Second // also limits the TLS handshake of a server
 	maxStreams        = 4096
 	windowBytes       = 4 << 20
 	frameBytes        = 256 << 10
 )
 
-// unencrypted enables HTTP/2 with and without TLS.
+// unencrypted returns HTTP/1 and HTTP/2, the latter with and without TLS.
 func serverProtocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -28,10 +28,11 @@
 	return p
 }
 
-// Dialer opens the connections of a client. Tests pass one over in-memory pipes.
+// Dialer opens the connections of a client. Tests pass one that uses in-memory pipes.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client is an HTTP/2 client that can leave its connections at once.
+// Client is an HTTP/2 client that can close all its connections at once, including
+// those in use.
 type Client struct {
 	*http.Client
 	dial Dialer
@@ -41,12 +42,12 @@
 	closed    bool
 }
 
-// NewClient returns a client that speaks HTTP/2 only. With a TLS configuration
-// it speaks it over TLS, otherwise in the clear. Nil dial uses TCP. The
-// configuration may be shared: the transport changes a copy.
+// NewClient returns a client that uses HTTP/2 only: over TLS if secure is not nil,
+// else without TLS. A nil dial means TCP. The TLS configuration may be shared,
+// because the transport gets a copy.
 //
-// Pings are left to the services' own heartbeats: those also notice a peer
-// whose kernel answers while its process does not.
+// The client sends no HTTP/2 pings. The services' own heartbeats replace them; they
+// also detect a peer whose kernel answers while its process does not.
 func NewClient(dial Dialer, secure *tls.Config) *Client {
 	p := new(http.Protocols)
 	p.SetUnencryptedHTTP2(secure == nil)
@@ -58,8 +59,9 @@
 	c := &Client{dial: dial, openConns: make(map[net.Conn]struct{})}
 	c.Client = &http.Client{Transport: &http.Transport{
 		DialContext: c.dialContext,
-		// A server that accepts and then says nothing would hold the dial for good:
-		// the transport's handshake does not end with the request.
+		// Without this time-out, a server that accepts the connection and then sends
+		// nothing would block the dial forever: the transport's handshake does not end
+		// with the request.
 		TLSHandshakeTimeout: dialTimeout,
 		TLSClientConfig:     secure.Clone(),
 		Protocols:           p,
@@ -88,10 +90,10 @@
 	return &trackedConn{Conn: conn, client: c}, nil
 }
 
-// Leave closes all connections, whatever is under way on them. Cancelling a
-// stream's context is not enough: the transport notices it only after its next
-// write, and on a connection that went silent a write may block for minutes.
-// One would see the reader of a cancelled stream wait on.
+// Leave closes all connections, including those with requests in flight, and makes
+// further dials fail. Cancelling the context of a stream is not enough: the transport
+// notices it only after its next write, and on a dead connection a write may block
+// for minutes. The reader of the cancelled stream would wait as long.
 func (c *Client) CloseAll() {
 	c.mu.Lock()
 	c.closed = true
@@ -104,7 +106,7 @@
 	c.CloseIdleConnections()
 }
 
-// trackedConn forgets itself when it is closed.
+// trackedConn is a connection of a Client. Close removes it from the client's set.
 type trackedConn struct {
 	net.Conn
 	client *Client
@@ -117,8 +119,8 @@
 	return t.Conn.Close()
 }
 
-// NewServer returns a server for HTTP/1 and HTTP/2 in the clear, or over TLS
-// when secure is set. Serve it by Serve.
+// NewServer returns a server for HTTP/1 and HTTP/2: over TLS if secure is not nil,
+// else without TLS. Run it with Serve.
 func NewServer(handler http.Handler, secure *tls.Config) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -135,8 +137,8 @@
 	}
 }
 
-// Serve serves a listener, over TLS when the server was made with it, until the
-// server is closed.
+// Serve runs a server made by NewServer on a listener until the server is closed. It
+// uses TLS if the server has a TLS configuration.
 func Serve(server *http.Server, l net.Listener) error {
 	if server.TLSConfig == nil {
 		return server.Serve(l)
--- a/internal/connection/wire/pool.go
+++ b/internal/connection/wire/pool.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Pool keeps one connection per address for short calls, with the client of a
-// service on it.
+// Pool holds one HTTP/2 client per address for short calls, together with the client
+// of a service that uses it.
 type Pool[S any] struct {
 	open func(address string) (*Client, S)
 
@@ -11,19 +11,18 @@
 	clients map[string]*Pooled[S]
 }
 
-// Pooled is a service's client on one connection.
+// Pooled is a service's client with the HTTP/2 client that it uses.
 type Pooled[S any] struct {
 	Service S
 	http    *Client
 }
 
-// NewPool returns a Pool without connections. Open makes the client for an
-// address.
+// NewPool returns an empty Pool. It calls open to create the clients for an address.
 func NewPool[S any](open func(address string) (*Client, S)) *Pool[S] {
 	return &Pool[S]{open: open, clients: make(map[string]*Pooled[S])}
 }
 
-// Get returns the client for an address.
+// Get returns the client for an address. It creates one if there is none.
 func (p *Pool[S]) Get(address string) *Pooled[S] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,8 +35,9 @@
 	return c
 }
 
-// Leave drops a connection that did not answer. A silent connection may stay
-// open for good while a new one works, so the next call must not reuse it.
+// Leave closes the connection of a client that did not answer and removes the client
+// from the pool. A dead connection may stay open indefinitely while a new one would
+// work, so the next call must not reuse it.
 func (p *Pool[S]) Discard(address string, c *Pooled[S]) {
 	p.mu.Lock()
 	if p.clients[address] == c {
@@ -47,7 +47,7 @@
 	c.http.CloseAll()
 }
 
-// Close drops all connections.
+// Close closes all connections.
 func (p *Pool[S]) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connection/wire/wire.go
+++ b/internal/connection/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire converts between the generated messages and the types that the
-// decision packages use, and builds the HTTP/2 clients and servers that all
-// connections between processes share.
+// Package wire converts identifiers between the generated messages and the internal
+// types, and builds the HTTP/2 clients and servers for all connections between
+// processes.
 package wire
 
 import (
@@ -10,34 +10,36 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// ID reads a submission id. A missing message is the zero ID.
+// ID converts a submission id from its message. A nil message gives the zero ID.
 func ID(m *pb.SubmissionID) ticket.ID {
 	return ticket.ID{Incarnation: m.GetIncarnation(), Counter: m.GetCounter()}
 }
 
-// IDMessage writes a submission id.
+// IDMessage converts a submission id to its message.
 func IDMessage(id ticket.ID) *pb.SubmissionID {
 	return &pb.SubmissionID{Incarnation: id.Incarnation, Counter: id.Counter}
 }
 
-// Generation reads a generation. A missing message is the lowest one.
+// Generation converts a generation from its message. A nil message gives the lowest
+// generation.
 func Generation(m *pb.Generation) ticket.Generation {
 	return ticket.Generation{Counter: m.GetCounter(), Author: m.GetAuthor(), Raise: m.GetRaise()}
 }
 
-// GenerationMessage writes a generation.
+// GenerationMessage converts a generation to its message.
 func GenerationMessage(g ticket.Generation) *pb.Generation {
 	return &pb.Generation{Counter: g.Counter, Author: g.Author, Raise: g.Raise}
 }
 
-// ClientOptions are for every client of the project's services. They turn
-// compression off: messages are short and stay within a site, and gzip took a
-// quarter of all CPU per start (docs/MEASUREMENTS.md).
+// ClientOptions returns the options for every client of the project's services,
+// followed by more. They turn compression off: messages are short and stay within a
+// site, and gzip took a quarter of all CPU time per start (docs/MEASUREMENTS.md).
 func ClientOptions(more ...connect.ClientOption) []connect.ClientOption {
 	return append([]connect.ClientOption{connect.WithAcceptCompression(gzipName, nil, nil)}, more...)
 }
 
-// HandlerOptions are for every handler of the project's services.
+// HandlerOptions returns the options for every handler of the project's services.
+// They turn compression off, as ClientOptions do.
 func HandlerOptions() []connect.HandlerOption {
 	return []connect.HandlerOption{connect.WithCompression(gzipName, nil, nil)}
 }
