--- a/internal/version/document/diff.go
+++ b/internal/version/document/diff.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Difference is one field that two documents disagree on.
+// Difference is one field whose value differs between two documents.
 type Difference struct {
 	Path string // such as templates[quote].deadline_millis
 	Old  string // JSON, empty when the field was added
 	New  string // JSON, empty when the field was removed
 }
 
-// Diff lists what changes from one document to another, in the order of the
-// paths. It leaves out revision, change id, author and time.
+// Diff lists the fields that differ between two documents, sorted by path. It
+// ignores the revision, change id, author and publication time.
 func Diff(from, to *Document) []Difference {
 	before, after := from.fields(), to.fields()
 	paths := maps.Clone(before)
@@ -29,7 +29,7 @@
 	return differences
 }
 
-// fields maps the path of each field to its value in JSON.
+// fields returns the JSON value of each field by its path.
 func (d *Document) fields() map[string]string {
 	fields := make(map[string]string)
 	for _, t := range d.Templates {
@@ -42,10 +42,11 @@
 	return fields
 }
 
+// flatten adds the fields of a value, and of the objects in it, under path.
 func flatten(fields map[string]string, path string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic("document: a document that cannot be encoded: " + err.Error())
+		panic("document: cannot encode a parsed document: " + err.Error())
 	}
 	var object map[string]json.RawMessage
 	if json.Unmarshal(text, &object) != nil {
--- a/internal/version/document/document_test.go
+++ b/internal/version/document/document_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-const minimal = `{"templates":[{"name":"b"},{"name":"a","class":"urgent"}],
+const minimalDocument = `{"templates":[{"name":"b"},{"name":"a","class":"urgent"}],
  "accounts":[{"name":"root"},{"name":"leaf","parent":"root"}],
  "site":{"power_cap_milliwatts":10,"domains":{"d1":4,"d2":6}}}`
 
 func TestParseFillsDefaultsAndSorts(t *testing.T) {
-	doc, err := Parse([]byte(minimal))
+	doc, err := Parse([]byte(minimalDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,13 +32,13 @@
 
 func TestSyntaxIsStrict(t *testing.T) {
 	cases := map[string]string{
-		"unknown field":   strings.Replace(minimal, `"class"`, `"clas"`, 1),
-		"repeated field":  strings.Replace(minimal, `"name":"b"`, `"name":"b","Name":"x"`, 1),
-		"repeated domain": strings.Replace(minimal, `"d2":6`, `"d1":6`, 1),
-		"trailing text":   minimal + `{}`,
-		"wrong type":      strings.Replace(minimal, `"urgent"`, `7`, 1),
-		"truncated":       minimal[:len(minimal)-2],
-		"too long":        minimal + strings.Repeat(" ", MaxEncodedBytes),
+		"unknown field":   strings.Replace(minimalDocument, `"class"`, `"clas"`, 1),
+		"repeated field":  strings.Replace(minimalDocument, `"name":"b"`, `"name":"b","Name":"x"`, 1),
+		"repeated domain": strings.Replace(minimalDocument, `"d2":6`, `"d1":6`, 1),
+		"trailing text":   minimalDocument + `{}`,
+		"wrong type":      strings.Replace(minimalDocument, `"urgent"`, `7`, 1),
+		"truncated":       minimalDocument[:len(minimalDocument)-2],
+		"too long":        minimalDocument + strings.Repeat(" ", MaxEncodedBytes),
 	}
 	for name, text := range cases {
 		var syntax *SyntaxError
@@ -61,15 +61,15 @@
 		{`"d2":6`, `"d2":7`, "site.domains"},
 	}
 	for _, c := range cases {
-		_, err := Parse([]byte(strings.Replace(minimal, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(minimalDocument, c.old, c.new, 1)))
 		var invalid *InvalidError
-		if !errors.As(err, &invalid) || !names(invalid, c.path) {
+		if !errors.As(err, &invalid) || !hasFieldError(invalid, c.path) {
 			t.Errorf("%s -> %s: got %v, want a fault at %s", c.old, c.new, err, c.path)
 		}
 	}
 }
 
-func names(invalid *InvalidError, path string) bool {
+func hasFieldError(invalid *InvalidError, path string) bool {
 	for _, field := range invalid.Fields {
 		if field.Path == path && field.Allowed != "" {
 			return true
@@ -78,9 +78,9 @@
 	return false
 }
 
-func TestKeysOfOneAccountOnly(t *testing.T) {
+func TestKeyBelongsToOneAccount(t *testing.T) {
 	hash := KeyHash("secret")
-	one := strings.Replace(minimal, `"name":"root"`, `"name":"root","key_hashes":["`+hash+`"]`, 1)
+	one := strings.Replace(minimalDocument, `"name":"root"`, `"name":"root","key_hashes":["`+hash+`"]`, 1)
 	doc, err := Parse([]byte(one))
 	if err != nil {
 		t.Fatal(err)
@@ -113,10 +113,10 @@
 	}
 }
 
-// FuzzParse checks that what is accepted is read back the same, so that every
-// entry VM holds what the publisher validated.
+// FuzzParse checks that an accepted document is unchanged after encoding and
+// parsing it again, so that every entry VM holds what the publisher validated.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(minimal))
+	f.Add([]byte(minimalDocument))
 	f.Add([]byte(`{}`))
 	f.Add([]byte(`{"site":{"power_cap_milliwatts":1,"domains":{"d":1}},"revision":7}`))
 	f.Add([]byte(`[[{"a":[]}]]`))
@@ -134,10 +134,10 @@
 		}
 		again, err := Parse(encoded)
 		if err != nil {
-			t.Fatalf("an accepted document is refused when read back: %v", err)
+			t.Fatalf("accepted document rejected after encoding: %v", err)
 		}
 		if !reflect.DeepEqual(doc, again) {
-			t.Fatalf("read back as %+v, was %+v", again, doc)
+			t.Fatalf("parsed again as %+v, want %+v", again, doc)
 		}
 	})
 }
--- a/internal/version/document/memory_test.go
+++ b/internal/version/document/memory_test.go
@@ -8,9 +8,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/heap"
 )
 
-// designSize is a document of 44 client accounts with two keys each, and 100
-// templates, encoded.
-func designSize(b *testing.B) []byte {
+// encodeLargeDocument returns an encoded document of the size that the system is designed for:
+// 44 client accounts with two keys each, and 100 templates.
+func encodeLargeDocument(b *testing.B) []byte {
 	d := &Document{Site: Site{PowerCapMilliwatts: 1, Domains: map[string]uint64{"d1": 1}}}
 	for i := range 100 {
 		d.Templates = append(d.Templates, Template{Name: fmt.Sprint("template-", i), Class: Normal, DeadlineMillis: 1000, MaxTasks: 920})
@@ -26,7 +26,7 @@
 	return text
 }
 
-func parse(b *testing.B, text []byte) *Document {
+func mustParse(b *testing.B, text []byte) *Document {
 	d, err := Parse(text)
 	if err != nil {
 		b.Fatal(err)
@@ -34,16 +34,16 @@
 	return d
 }
 
-// BenchmarkMemory is what one revision of the design size holds.
+// BenchmarkMemory reports the memory that one parsed document of the design size holds.
 func BenchmarkMemory(b *testing.B) {
-	text := designSize(b)
-	heap.Report(b, 1, "revision", func() any { return parse(b, text) })
+	text := encodeLargeDocument(b)
+	heap.Report(b, 1, "revision", func() any { return mustParse(b, text) })
 }
 
-// BenchmarkParse is the processor time of reading and validating one revision.
+// BenchmarkParse measures parsing and validating one document of the design size.
 func BenchmarkParse(b *testing.B) {
-	text := designSize(b)
+	text := encodeLargeDocument(b)
 	for b.Loop() {
-		parse(b, text)
+		mustParse(b, text)
 	}
 }
--- a/internal/version/document/parse.go
+++ b/internal/version/document/parse.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// SyntaxError says that a text is not a document at all.
+// SyntaxError reports a text that cannot be decoded as a document.
 type SyntaxError struct {
 	Offset int64  // bytes into the text
-	Path   string // the object concerned, when known
+	Path   string // the field concerned, when known
 	Reason string
 }
 
@@ -24,23 +24,23 @@
 	return fmt.Sprintf("document: byte %d: %s: %s", e.Offset, e.Path, e.Reason)
 }
 
-// Parse reads a document, fills in its defaults and validates it. The error is
-// a *SyntaxError or an *InvalidError.
+// Parse decodes a document, applies defaults and validates it. The error is a
+// *SyntaxError or an *InvalidError.
 //
-// Unknown and repeated fields are refused: a misspelt or repeated field would
-// otherwise be dropped, and the operator would believe it in force.
+// Unknown and repeated fields are rejected: a misspelt or repeated field would
+// otherwise be dropped silently, while the operator believes it is in force.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxEncodedBytes {
 		return nil, &SyntaxError{Reason: fmt.Sprintf("%d bytes long; at most %d allowed", len(text), MaxEncodedBytes)}
 	}
-	if err := refuseRepeatedFields(text); err != nil {
+	if err := rejectRepeatedFields(text); err != nil {
 		return nil, err
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	doc := new(Document)
 	if err := decoder.Decode(doc); err != nil {
-		return nil, syntaxError(decoder.InputOffset(), err)
+		return nil, newSyntaxError(decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, &SyntaxError{Offset: decoder.InputOffset(), Reason: "text after the document"}
@@ -52,7 +52,7 @@
 	return doc, nil
 }
 
-func syntaxError(offset int64, err error) *SyntaxError {
+func newSyntaxError(offset int64, err error) *SyntaxError {
 	var badType *json.UnmarshalTypeError
 	if errors.As(err, &badType) {
 		reason := fmt.Sprintf("got a %s; allowed: %s", badType.Value, badType.Type)
@@ -61,59 +61,60 @@
 	return &SyntaxError{Offset: offset, Reason: strings.TrimPrefix(err.Error(), "json: ")}
 }
 
-// openObject is an object or array that the scan for repeated fields is in.
-type openObject struct {
-	fields   map[string]bool // nil in an array
-	wantName bool
+// openValue is an object or array that encloses the current token.
+type openValue struct {
+	fields      map[string]bool // nil in an array
+	expectsName bool
 }
 
-// refuseRepeatedFields finds fields that occur twice in one object, of which
-// encoding/json would silently keep the last. Names are folded to lower case,
-// as encoding/json matches them.
-func refuseRepeatedFields(text []byte) error {
+// rejectRepeatedFields returns an error if a field occurs twice in one object;
+// encoding/json would silently keep the last one. Names are compared in lower
+// case, since encoding/json matches them without regard to case.
+func rejectRepeatedFields(text []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	var open []openObject
+	var open []openValue
 	for {
 		token, err := decoder.Token()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			return syntaxError(decoder.InputOffset(), err)
+			return newSyntaxError(decoder.InputOffset(), err)
 		}
 		name, isString := token.(string)
-		if isString && len(open) > 0 && open[len(open)-1].wantName {
+		if isString && len(open) > 0 && open[len(open)-1].expectsName {
 			top := &open[len(open)-1]
 			folded := strings.ToLower(name)
 			if top.fields[folded] {
 				return &SyntaxError{Offset: decoder.InputOffset(), Path: name, Reason: "field given twice"}
 			}
 			top.fields[folded] = true
-			top.wantName = false
+			top.expectsName = false
 			continue
 		}
-		open = enterOrLeave(open, token)
+		open = updateNesting(open, token)
 	}
 }
 
-// enterOrLeave follows one token that is not a field name.
-func enterOrLeave(open []openObject, token json.Token) []openObject {
+// updateNesting updates the stack of open objects and arrays for a token that
+// is not a field name.
+func updateNesting(open []openValue, token json.Token) []openValue {
 	switch token {
 	case json.Delim('{'):
-		return append(open, openObject{fields: make(map[string]bool), wantName: true})
+		return append(open, openValue{fields: make(map[string]bool), expectsName: true})
 	case json.Delim('['):
-		return append(open, openObject{})
+		return append(open, openValue{})
 	case json.Delim('}'), json.Delim(']'):
 		open = open[:len(open)-1]
 	}
 	if len(open) > 0 && open[len(open)-1].fields != nil {
-		open[len(open)-1].wantName = true
+		open[len(open)-1].expectsName = true
 	}
 	return open
 }
 
-// Defaults fills in what an operator may leave out and puts templates and
-// accounts into the order of their names, on which the lookups rely.
+// ApplyDefaults sets omitted optional fields, and sorts templates and accounts
+// by name for the binary search of the lookups.
 func (d *Document) ApplyDefaults() {
 	for i := range d.Templates {
 		d.Templates[i].defaults()
--- a/internal/version/document/validate.go
+++ b/internal/version/document/validate.go
@@ -6,32 +6,32 @@
 	"strings"
 )
 
-// Values for fields that an operator left out.
+// Defaults of omitted fields.
 const (
 	DefaultWeight         = 1
 	DefaultSlots          = 1
 	DefaultMilliCPU       = 1000
 	DefaultMemoryMiB      = 256
-	DefaultMilliwatts     = 15_000 // not 0, which would pass under any power cap
+	DefaultMilliwatts     = 15_000 // not 0: a task without power draw would fit under any power cap
 	DefaultRunMillis      = 200
 	DefaultDeadlineMillis = 10_000
 	DefaultMaxTasks       = 1
 )
 
-// Limits of a document.
+// Limits that Validate and Parse enforce.
 const (
-	// MaxEncodedBytes leaves room for the store's limit of one megabyte.
+	// MaxEncodedBytes stays below the store's limit of one megabyte per value.
 	MaxEncodedBytes = 900_000
-	// MaxTasksPerSubmission is the widest job that the system is sized for.
+	// MaxTasksPerSubmission is the largest submission that the system is sized for.
 	MaxTasksPerSubmission = 920
-	// MaxTemplates and MaxAccounts bound the work of one document.
+	// MaxTemplates and MaxAccounts limit the cost of processing one document.
 	MaxTemplates = 2000
 	MaxAccounts  = 500
-	// MaxKeyHashes allows a rotation to overlap with one more.
+	// MaxKeyHashes allows two overlapping key rotations.
 	MaxKeyHashes = 4
-	// MaxWeight bounds the ratio between two accounts.
+	// MaxWeight limits the ratio between the shares of two accounts.
 	MaxWeight = 10_000
-	// MaxSlots to MaxMilliwatts bound what one task can occupy.
+	// MaxSlots to MaxMilliwatts limit the resources of one task.
 	MaxSlots        = 64
 	MaxMilliCPU     = 256_000
 	MaxMemoryMiB    = 4 << 20
@@ -39,13 +39,14 @@
 	MaxMilliwatts   = 10_000_000
 	// MaxDeadlineMillis is ten minutes.
 	MaxDeadlineMillis = 600_000
-	// MaxAccountDepth bounds the hierarchy of accounts.
+	// MaxAccountDepth limits the levels of the account hierarchy.
 	MaxAccountDepth = 4
 	// MaxPowerCapMilliwatts is a hundred megawatts.
 	MaxPowerCapMilliwatts = 100_000_000_000
-	// MaxDomains bounds the failure domains of a site.
+	// MaxDomains limits the number of failure domains of a site.
 	MaxDomains = 200
 
+	// maxLabelBytes limits the change id and the author.
 	maxLabelBytes = 200
 )
 
@@ -59,18 +60,18 @@
 	allowedHash = "64 lower-case hex digits, the SHA-256 of the key"
 )
 
-// FieldError is one field that is not allowed.
+// FieldError reports a field whose value is not allowed.
 type FieldError struct {
 	Path    string // such as templates[quote].deadline_millis
 	Value   string // as given
-	Allowed string // what would be accepted
+	Allowed string // description of the accepted values
 }
 
 func (e FieldError) Error() string {
 	return fmt.Sprintf("%s: %q not allowed; allowed: %s", e.Path, e.Value, e.Allowed)
 }
 
-// InvalidError refuses a whole document and names every field at fault.
+// InvalidError rejects a document as a whole and lists all its invalid fields.
 type InvalidError struct {
 	Fields []FieldError
 }
@@ -80,88 +81,88 @@
 	for i, field := range e.Fields {
 		lines[i] = field.Error()
 	}
-	return "document refused: " + strings.Join(lines, "; ")
+	return "invalid document: " + strings.Join(lines, "; ")
 }
 
-// Validate checks the whole document and returns an *InvalidError that names
-// all faults, or nil.
+// Validate checks the whole document and returns an *InvalidError that lists
+// all invalid fields, or nil.
 func (d *Document) Validate() error {
-	var c checker
-	c.labels(d)
-	c.templates(d.Templates)
-	c.accounts(d)
-	c.site(&d.Site)
-	if len(c.faults) == 0 {
+	var c validator
+	c.checkLabels(d)
+	c.checkTemplates(d.Templates)
+	c.checkAccounts(d)
+	c.checkSite(&d.Site)
+	if len(c.invalid) == 0 {
 		return nil
 	}
-	return &InvalidError{Fields: c.faults}
+	return &InvalidError{Fields: c.invalid}
 }
 
-// checker collects the faults of one document.
-type checker struct {
-	faults []FieldError
+// validator collects the invalid fields of one document.
+type validator struct {
+	invalid []FieldError
 }
 
-func (c *checker) refuse(path string, value any, allowed string) {
-	c.faults = append(c.faults, FieldError{Path: path, Value: fmt.Sprint(value), Allowed: allowed})
+func (c *validator) reject(path string, value any, allowed string) {
+	c.invalid = append(c.invalid, FieldError{Path: path, Value: fmt.Sprint(value), Allowed: allowed})
 }
 
-func (c *checker) within(path string, value, low, high uint64) {
+func (c *validator) checkRange(path string, value, low, high uint64) {
 	if value < low || value > high {
-		c.refuse(path, value, fmt.Sprintf("%d to %d", low, high))
+		c.reject(path, value, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (c *checker) name(path, name string) {
-	if !namePattern.MatchString(name) {
-		c.refuse(path, name, allowedName)
+func (c *validator) checkName(path, checkName string) {
+	if !namePattern.MatchString(checkName) {
+		c.reject(path, checkName, allowedName)
 	}
 }
 
-func (c *checker) labels(d *Document) {
+func (c *validator) checkLabels(d *Document) {
 	allowed := fmt.Sprintf("at most %d bytes", maxLabelBytes)
 	if len(d.ChangeID) > maxLabelBytes {
-		c.refuse("change_id", d.ChangeID, allowed)
+		c.reject("change_id", d.ChangeID, allowed)
 	}
 	if len(d.Author) > maxLabelBytes {
-		c.refuse("author", d.Author, allowed)
+		c.reject("author", d.Author, allowed)
 	}
 }
 
-func (c *checker) templates(templates []Template) {
-	c.within("templates", uint64(len(templates)), 0, MaxTemplates)
+func (c *validator) checkTemplates(checkTemplates []Template) {
+	c.checkRange("templates", uint64(len(checkTemplates)), 0, MaxTemplates)
 	seen := make(map[string]bool)
-	for i := range templates {
-		t := &templates[i]
+	for i := range checkTemplates {
+		t := &checkTemplates[i]
 		path := fmt.Sprintf("templates[%s]", t.Name)
-		c.name(path+".name", t.Name)
+		c.checkName(path+".name", t.Name)
 		if seen[t.Name] {
-			c.refuse(path+".name", t.Name, "a name that no other template has")
+			c.reject(path+".name", t.Name, "a name that no other template has")
 		}
 		seen[t.Name] = true
-		c.template(path, t)
+		c.checkTemplate(path, t)
 	}
 }
 
-func (c *checker) template(path string, t *Template) {
+func (c *validator) checkTemplate(path string, t *Template) {
 	if t.Class != Urgent && t.Class != Normal && t.Class != Bulk {
-		c.refuse(path+".class", t.Class, "urgent, normal or bulk")
+		c.reject(path+".class", t.Class, "urgent, normal or bulk")
 	}
 	declared := path + ".declared"
-	c.within(declared+".slots", uint64(t.Declared.Slots), 1, MaxSlots)
-	c.within(declared+".milli_cpu", uint64(t.Declared.MilliCPU), 1, MaxMilliCPU)
-	c.within(declared+".memory_mib", uint64(t.Declared.MemoryMiB), 1, MaxMemoryMiB)
-	c.within(declared+".accelerators", uint64(t.Declared.Accelerators), 0, MaxAccelerators)
-	c.within(declared+".milliwatts", uint64(t.Declared.Milliwatts), 1, MaxMilliwatts)
-	c.within(path+".deadline_millis", uint64(t.DeadlineMillis), 1, MaxDeadlineMillis)
+	c.checkRange(declared+".slots", uint64(t.Declared.Slots), 1, MaxSlots)
+	c.checkRange(declared+".milli_cpu", uint64(t.Declared.MilliCPU), 1, MaxMilliCPU)
+	c.checkRange(declared+".memory_mib", uint64(t.Declared.MemoryMiB), 1, MaxMemoryMiB)
+	c.checkRange(declared+".accelerators", uint64(t.Declared.Accelerators), 0, MaxAccelerators)
+	c.checkRange(declared+".milliwatts", uint64(t.Declared.Milliwatts), 1, MaxMilliwatts)
+	c.checkRange(path+".deadline_millis", uint64(t.DeadlineMillis), 1, MaxDeadlineMillis)
 	if t.Declared.RunMillis < 1 || t.Declared.RunMillis > t.DeadlineMillis {
-		c.refuse(declared+".run_millis", t.Declared.RunMillis, "1 to deadline_millis")
+		c.reject(declared+".run_millis", t.Declared.RunMillis, "1 to deadline_millis")
 	}
-	c.within(path+".max_tasks", uint64(t.MaxTasks), 1, MaxTasksPerSubmission)
+	c.checkRange(path+".max_tasks", uint64(t.MaxTasks), 1, MaxTasksPerSubmission)
 }
 
-func (c *checker) accounts(d *Document) {
-	c.within("accounts", uint64(len(d.Accounts)), 0, MaxAccounts)
+func (c *validator) checkAccounts(d *Document) {
+	c.checkRange("accounts", uint64(len(d.Accounts)), 0, MaxAccounts)
 	seen := make(map[string]bool)
 	keyOwner := make(map[string]string)
 	parents := make(map[string]string)
@@ -171,61 +172,61 @@
 	for i := range d.Accounts {
 		a := &d.Accounts[i]
 		path := fmt.Sprintf("accounts[%s]", a.Name)
-		c.name(path+".name", a.Name)
+		c.checkName(path+".name", a.Name)
 		if seen[a.Name] {
-			c.refuse(path+".name", a.Name, "a name that no other account has")
+			c.reject(path+".name", a.Name, "a name that no other account has")
 		}
 		seen[a.Name] = true
-		c.within(path+".weight", uint64(a.Weight), 1, MaxWeight)
-		c.parent(path+".parent", a, parents)
-		c.keyHashes(path+".key_hashes", a, keyOwner)
+		c.checkRange(path+".weight", uint64(a.Weight), 1, MaxWeight)
+		c.checkParent(path+".parent", a, parents)
+		c.checkKeyHashes(path+".key_hashes", a, keyOwner)
 	}
 }
 
-// parent walks up from the account, so that a cycle, which would leave the
-// fair shares undefined, shows as a hierarchy that is too deep.
-func (c *checker) parent(path string, a *Account, parents map[string]string) {
+// checkParent follows the parents up from the account. A cycle, which would
+// leave the fair shares undefined, is rejected as a hierarchy that is too deep.
+func (c *validator) checkParent(path string, a *Account, parents map[string]string) {
 	depth := 1
 	for parent := a.Parent; parent != ""; parent = parents[parent] {
 		if _, known := parents[parent]; !known {
-			c.refuse(path, parent, "empty, or the name of an account in the document")
+			c.reject(path, parent, "empty, or the name of an account in the document")
 			return
 		}
 		depth++
 		if depth > MaxAccountDepth {
-			c.refuse(path, a.Parent, fmt.Sprintf("no cycle, and at most %d levels", MaxAccountDepth))
+			c.reject(path, a.Parent, fmt.Sprintf("no cycle, and at most %d levels", MaxAccountDepth))
 			return
 		}
 	}
 }
 
-func (c *checker) keyHashes(path string, a *Account, owner map[string]string) {
-	c.within(path, uint64(len(a.KeyHashes)), 0, MaxKeyHashes)
+func (c *validator) checkKeyHashes(path string, a *Account, owner map[string]string) {
+	c.checkRange(path, uint64(len(a.KeyHashes)), 0, MaxKeyHashes)
 	for i, hash := range a.KeyHashes {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		if !hashPattern.MatchString(hash) {
-			c.refuse(at, hash, allowedHash)
+			c.reject(at, hash, allowedHash)
 			continue
 		}
 		if other, taken := owner[hash]; taken {
-			c.refuse(at, hash, "a key that is not already a key of "+other)
+			c.reject(at, hash, "a key that is not already a key of "+other)
 		}
 		owner[hash] = a.Name
 	}
 }
 
-func (c *checker) site(s *Site) {
-	c.within("site.power_cap_milliwatts", s.PowerCapMilliwatts, 1, MaxPowerCapMilliwatts)
-	c.within("site.domains", uint64(len(s.Domains)), 1, MaxDomains)
+func (c *validator) checkSite(s *Site) {
+	c.checkRange("site.power_cap_milliwatts", s.PowerCapMilliwatts, 1, MaxPowerCapMilliwatts)
+	c.checkRange("site.domains", uint64(len(s.Domains)), 1, MaxDomains)
 	var sum uint64
 	for domain, part := range s.Domains {
 		path := fmt.Sprintf("site.domains[%s]", domain)
-		c.name(path, domain)
-		c.within(path, part, 1, MaxPowerCapMilliwatts)
+		c.checkName(path, domain)
+		c.checkRange(path, part, 1, MaxPowerCapMilliwatts)
 		sum += min(part, MaxPowerCapMilliwatts)
 	}
 	if sum > s.PowerCapMilliwatts {
 		allowed := fmt.Sprintf("parts that sum to at most the cap of %d", s.PowerCapMilliwatts)
-		c.refuse("site.domains", sum, allowed)
+		c.reject("site.domains", sum, allowed)
 	}
 }
--- a/internal/version/publication/publication.go
+++ b/internal/version/publication/publication.go
@@ -1,10 +1,12 @@
-// Package publication puts documents in force: it publishes them under one
-// growing revision, keeps the last ones, and goes back to one of them by
-// publishing it again.
+// Package publication publishes configuration documents under increasing
+// revisions, keeps the most recent ones, and rolls back by publishing an older
+// one again.
 //
-// A publication is a compare-and-set of the revision that its author started
-// from, and carries a change id. An answer that was lost is settled by looking
-// for the change id; two operators who race see whose change came first.
+// A publication is a compare-and-set against the revision that its author
+// edited, and carries a change id. If the store's reply is lost, the publisher
+// looks for the change id to find out whether the write took effect. If two
+// operators publish at the same time, the second gets an error that names the
+// change of the first.
 package publication
 
 import (
@@ -20,26 +22,28 @@
 
 const logPrefix = "publication: "
 
-// Change is one document to be published.
+// Change is a document to publish.
 type Change struct {
-	// ID names the change. Publishing the same change again, after an answer
-	// was lost, finds that it is already in force.
+	// ID identifies the change. A retry with the same ID, after a lost reply,
+	// finds the earlier publication and does not publish again.
 	ID     string
 	Author string
-	// Base is the revision that the author started from; 0 for the first.
+	// Base is the revision that the author edited; 0 for the first publication.
 	BaseRevision uint64
 	Document     *document.Document
 }
 
-// Receipt says under which revision a change is published.
+// Receipt describes a successful publication.
 type Receipt struct {
 	Summary
-	// Earlier says that the change had been published by an earlier attempt,
-	// or that its answer was lost and reading back showed it.
+	// Earlier means that an earlier attempt had published the change, or that
+	// the store's reply was lost and reading back showed that the write took
+	// effect.
 	Earlier bool
 }
 
-// ConflictError says that another change came first. Nothing was published.
+// ConflictError reports that another change was published first. Nothing was
+// published.
 type ConflictError struct {
 	BaseRevision    uint64  // the revision that the author started from
 	Conflicting     Summary // the change that followed it
@@ -51,8 +55,8 @@
 		e.BaseRevision, e.Conflicting.ChangeID, e.Conflicting.Author, e.Conflicting.Revision, e.CurrentRevision)
 }
 
-// ChangeReusedError says that a change id was used before, for a document that
-// differs. Nothing was published.
+// ChangeReusedError reports that the change id was used before for a different
+// document. Nothing was published.
 type ChangeReusedError struct {
 	Earlier Summary
 }
@@ -62,40 +66,42 @@
 		e.Earlier.ChangeID, e.Earlier.Revision, e.Earlier.Author)
 }
 
-// MissingFieldError says that a change lacks its id or author.
+// MissingFieldError reports a change without an id, author or document.
 type MissingFieldError struct {
 	Field string
 }
 
-func (e *MissingFieldError) Error() string { return "not published: a change needs its " + e.Field }
+func (e *MissingFieldError) Error() string { return "not published: the change has no " + e.Field }
 
-// NoRevisionError says that a revision is not kept, or never was.
+// NoRevisionError reports a revision that is no longer kept or never existed.
 type NoRevisionError struct {
 	Revision uint64
 	Newest   uint64
 }
 
 func (e *NoRevisionError) Error() string {
-	return fmt.Sprintf("revision %d is not kept; the newest is %d and %d before it are", e.Revision, e.Newest, HistoryLength)
+	return fmt.Sprintf("revision %d does not exist or is no longer kept: the newest is %d, and the %d before it are kept", e.Revision, e.Newest, HistoryLength)
 }
 
-// Publisher publishes documents and reads what was published.
+// Publisher publishes documents and reads published revisions.
 type Publisher struct {
 	store Store
 	now   func() time.Time
 }
 
-// New returns a publisher that stamps documents by the given clock.
+// New returns a publisher. The now function gives the publication times.
 func New(store Store, now func() time.Time) *Publisher {
 	return &Publisher{store: store, now: now}
 }
 
-// Publish puts a document in force, whole or not at all.
+// Publish puts a document in force as a whole, or returns an error. After a
+// store error the document may nevertheless be in force; retrying with the same
+// change id is safe.
 func (p *Publisher) Publish(ctx context.Context, change Change) (Receipt, error) {
-	if err := check(change); err != nil {
+	if err := validateChange(change); err != nil {
 		return Receipt{}, err
 	}
-	head, version, err := p.headSince(ctx, change.BaseRevision)
+	head, version, err := p.headAtLeast(ctx, change.BaseRevision)
 	if err != nil {
 		return Receipt{}, err
 	}
@@ -104,7 +110,7 @@
 		return receipt, err
 	}
 	if head.revision() != change.BaseRevision {
-		return Receipt{}, conflict(change.BaseRevision, head)
+		return Receipt{}, newConflict(change.BaseRevision, head)
 	}
 	if err := p.archive(ctx, head); err != nil {
 		return Receipt{}, err
@@ -112,8 +118,8 @@
 	return p.replace(ctx, head, version, next)
 }
 
-// check refuses a change that cannot be published.
-func check(change Change) error {
+// validateChange returns an error if a required field of the change is missing.
+func validateChange(change Change) error {
 	switch {
 	case change.ID == "":
 		return &MissingFieldError{Field: "id"}
@@ -125,7 +131,8 @@
 	return nil
 }
 
-// stamp returns a copy of the document under the revision after the base.
+// stamp returns a copy of the document with the revision after the base, and
+// the id, author and time of the change.
 func (p *Publisher) stamp(change Change) *document.Document {
 	next := *change.Document
 	next.Revision = change.BaseRevision + 1
@@ -135,12 +142,12 @@
 	return &next
 }
 
-// alreadyPublished finds the change among those that the head knows.
+// alreadyPublished looks for the change among the recent ones in the head.
 func alreadyPublished(head *Head, next *document.Document) (receipt Receipt, done bool, err error) {
 	if head == nil {
 		return Receipt{}, false, nil
 	}
-	earlier := head.published(next.ChangeID)
+	earlier := head.findChange(next.ChangeID)
 	if earlier == nil {
 		return Receipt{}, false, nil
 	}
@@ -150,46 +157,50 @@
 	return Receipt{Summary: *earlier, Earlier: true}, true, nil
 }
 
-func conflict(base uint64, head *Head) error {
-	return &ConflictError{BaseRevision: base, Conflicting: head.after(base), CurrentRevision: head.revision()}
+func newConflict(base uint64, head *Head) error {
+	return &ConflictError{BaseRevision: base, Conflicting: head.publicationAfter(base), CurrentRevision: head.revision()}
 }
 
-// archive keeps the revision in force before it is replaced. Done after it, a
-// publisher that dies in between would lose the revision to go back to.
+// archive writes the revision in force to its history slot. This happens before
+// the head is replaced: in the other order, a publisher that crashed in between
+// would lose the revision that a rollback needs.
 func (p *Publisher) archive(ctx context.Context, head *Head) error {
 	if head == nil {
 		return nil
 	}
-	key := slot(head.revision())
+	key := historySlotKey(head.revision())
 	held, err := p.store.Get(ctx, key, 0)
 	if err != nil {
 		return err
 	}
-	if kept := decodeKept(held.Value); kept != nil && kept.Revision >= head.revision() {
+	if kept := decodeArchived(held.Value); kept != nil && kept.Revision >= head.revision() {
 		return nil
 	}
 	text, err := json.Marshal(head.Document)
 	if err != nil {
 		return err
 	}
-	mine := func(value []byte) bool {
-		kept := decodeKept(value)
+	isArchived := func(value []byte) bool {
+		kept := decodeArchived(value)
 		return kept != nil && kept.Revision >= head.revision()
 	}
-	outcome, err := p.store.CompareAndSet(ctx, key, text, held.Version, mine)
+	outcome, err := p.store.CompareAndSet(ctx, key, text, held.Version, isArchived)
 	if err != nil {
 		return err
 	}
-	if !outcome.Swapped && !mine(outcome.Current.Value) {
-		return &DamagedError{Key: key, Cause: fmt.Errorf("changed while revision %d was being kept", head.revision())}
+	if !outcome.Swapped && !isArchived(outcome.Current.Value) {
+		return &DamagedError{Key: key, Cause: fmt.Errorf("overwritten while revision %d was being archived", head.revision())}
 	}
 	return nil
 }
 
-func slot(revision uint64) string { return fmt.Sprintf(historyKey, revision%HistoryLength) }
+func historySlotKey(revision uint64) string {
+	return fmt.Sprintf(historyKeyFormat, revision%HistoryLength)
+}
 
-// decodeKept reads a kept revision; nil when there is none.
-func decodeKept(value []byte) *document.Document {
+// decodeArchived decodes an archived revision. It returns nil if the value is
+// missing or invalid.
+func decodeArchived(value []byte) *document.Document {
 	doc, err := document.Parse(value)
 	if err != nil {
 		return nil
@@ -197,7 +208,7 @@
 	return doc
 }
 
-// replace puts the next document in the place of the head.
+// replace writes a head with the next document, if the head is unchanged.
 func (p *Publisher) replace(ctx context.Context, head *Head, version uint64, next *document.Document) (Receipt, error) {
 	summary := summaryOf(next)
 	successor := &Head{Document: next, Recent: []Summary{summary}}
@@ -210,34 +221,36 @@
 		return Receipt{}, err
 	}
 	if _, err := DecodeHead(value); err != nil {
-		return Receipt{}, refusal(err)
+		return Receipt{}, documentError(err)
 	}
-	mine := func(value []byte) bool {
+	isOwnWrite := func(value []byte) bool {
 		found, err := DecodeHead(value)
-		return err == nil && found.published(next.ChangeID) != nil
+		return err == nil && found.findChange(next.ChangeID) != nil
 	}
-	outcome, err := p.store.CompareAndSet(ctx, HeadKey, value, version, mine)
+	outcome, err := p.store.CompareAndSet(ctx, HeadKey, value, version, isOwnWrite)
 	if err != nil {
 		return Receipt{}, err
 	}
 	if !outcome.Swapped {
-		return p.lost(outcome.Current.Value, next)
+		return p.explainConflict(outcome.Current.Value, next)
 	}
 	klog.Infof(logPrefix+"revision %d: change %s by %s", next.Revision, next.ChangeID, next.Author)
 	return Receipt{Summary: summary, Earlier: outcome.ReadBack}, nil
 }
 
-// refusal takes the reason of a document out of the head that was to hold it.
-func refusal(err error) error {
+// documentError returns the cause inside a *DamagedError: the new head could not
+// be decoded because its document is invalid.
+func documentError(err error) error {
 	if damaged, ok := err.(*DamagedError); ok {
 		return damaged.Cause
 	}
 	return err
 }
 
-// lost explains a compare-and-set that another publication won: perhaps
-// another attempt at the same change.
-func (p *Publisher) lost(value []byte, next *document.Document) (Receipt, error) {
+// explainConflict returns the result of a compare-and-set that failed because
+// another publication was written first, which may be another attempt at the
+// same change.
+func (p *Publisher) explainConflict(value []byte, next *document.Document) (Receipt, error) {
 	head, err := DecodeHead(value)
 	if err != nil {
 		return Receipt{}, err
@@ -245,12 +258,13 @@
 	if receipt, done, err := alreadyPublished(head, next); done {
 		return receipt, err
 	}
-	return Receipt{}, conflict(next.Revision-1, head)
+	return Receipt{}, newConflict(next.Revision-1, head)
 }
 
-// head reads the head, or nil when nothing was ever published.
-func (p *Publisher) head(ctx context.Context, floor uint64) (*Head, uint64, error) {
-	found, err := p.store.Get(ctx, HeadKey, floor)
+// head reads the head and its store version; the head is nil if nothing was
+// ever published.
+func (p *Publisher) head(ctx context.Context, minVersion uint64) (*Head, uint64, error) {
+	found, err := p.store.Get(ctx, HeadKey, minVersion)
 	if err != nil || found.Version == 0 {
 		return nil, 0, err
 	}
@@ -258,10 +272,10 @@
 	return head, found.Version, err
 }
 
-// headSince reads a head that has reached the base. A head from before it is a
-// stale read, which would blame a conflict on a change that the author knew; or
-// the base does not exist.
-func (p *Publisher) headSince(ctx context.Context, base uint64) (*Head, uint64, error) {
+// headAtLeast reads a head whose revision is at least base. An older head means
+// either a stale read, which is repeated, since it would report a conflict with
+// a change that the author has seen; or that the base revision does not exist.
+func (p *Publisher) headAtLeast(ctx context.Context, base uint64) (*Head, uint64, error) {
 	head, version, err := p.head(ctx, 0)
 	if err != nil || head.revision() >= base {
 		return head, version, err
@@ -273,8 +287,7 @@
 	return newer, newerVersion, nil
 }
 
-// Current returns the document in force in the store, or nil when nothing was
-// ever published.
+// Current returns the document in force, or nil if nothing was ever published.
 func (p *Publisher) Current(ctx context.Context) (*document.Document, error) {
 	head, _, err := p.head(ctx, 0)
 	if err != nil || head == nil {
@@ -283,7 +296,7 @@
 	return head.Document, nil
 }
 
-// History lists the publications that are kept, newest first.
+// History lists the recent publications, newest first.
 func (p *Publisher) History(ctx context.Context) ([]Summary, error) {
 	head, _, err := p.head(ctx, 0)
 	if err != nil || head == nil {
@@ -292,7 +305,7 @@
 	return head.Recent, nil
 }
 
-// Revision returns the document of a revision that is kept.
+// Revision returns the document of a kept revision.
 func (p *Publisher) Revision(ctx context.Context, revision uint64) (*document.Document, error) {
 	head, _, err := p.head(ctx, 0)
 	if err != nil {
@@ -301,18 +314,18 @@
 	if revision == head.revision() && head != nil {
 		return head.Document, nil
 	}
-	held, err := p.store.Get(ctx, slot(revision), 0)
+	held, err := p.store.Get(ctx, historySlotKey(revision), 0)
 	if err != nil {
 		return nil, err
 	}
-	kept := decodeKept(held.Value)
+	kept := decodeArchived(held.Value)
 	if kept == nil || kept.Revision != revision {
 		return nil, &NoRevisionError{Revision: revision, Newest: head.revision()}
 	}
 	return kept, nil
 }
 
-// Diff lists what changed from one kept revision to another.
+// Diff lists the fields that differ between two kept revisions.
 func (p *Publisher) Diff(ctx context.Context, from, to uint64) ([]document.Difference, error) {
 	older, err := p.Revision(ctx, from)
 	if err != nil {
@@ -325,8 +338,8 @@
 	return document.Diff(older, newer), nil
 }
 
-// Rollback publishes a kept revision again, as a new one. The change's Document
-// is left out.
+// Rollback publishes the document of a kept revision as a new revision.
+// change.Document is ignored.
 func (p *Publisher) Rollback(ctx context.Context, revision uint64, change Change) (Receipt, error) {
 	kept, err := p.Revision(ctx, revision)
 	if err != nil {
--- a/internal/version/publication/publication_test.go
+++ b/internal/version/publication/publication_test.go
@@ -35,8 +35,8 @@
 	return doc
 }
 
-// withCap is the sample document under another power cap.
-func withCap(t *testing.T, milliwatts uint64) *document.Document {
+// sampleWithCap returns the sample document with the given power cap.
+func sampleWithCap(t *testing.T, milliwatts uint64) *document.Document {
 	doc := sample(t)
 	doc.Site.PowerCapMilliwatts = milliwatts
 	return doc
@@ -46,8 +46,8 @@
 	return publication.Change{ID: id, Author: "author-of-" + id, BaseRevision: base, Document: doc}
 }
 
-// bubble runs a test on a virtual clock.
-func bubble(t *testing.T, test func(t *testing.T, service *standin.Platform, p *publication.Publisher)) {
+// withVirtualClock runs a test in a synctest bubble, with a stand-in platform.
+func withVirtualClock(t *testing.T, test func(t *testing.T, service *standin.Platform, p *publication.Publisher)) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.New(standin.Options{})
 		test(t, service, newPublisher(service))
@@ -69,9 +69,9 @@
 )
 
 func TestHistoryDiffAndRollback(t *testing.T) {
-	bubble(t, func(t *testing.T, _ *standin.Platform, p *publication.Publisher) {
-		mustPublish(t, p, change("one", 0, withCap(t, capOne)))
-		mustPublish(t, p, change("two", 1, withCap(t, capTwo)))
+	withVirtualClock(t, func(t *testing.T, _ *standin.Platform, p *publication.Publisher) {
+		mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
+		mustPublish(t, p, change("two", 1, sampleWithCap(t, capTwo)))
 		differences, err := p.Diff(t.Context(), 1, 2)
 		want := document.Difference{Path: "site.power_cap_milliwatts", Old: "14000000", New: "14000001"}
 		if err != nil || len(differences) != 1 || differences[0] != want {
@@ -93,10 +93,10 @@
 }
 
 func TestHistoryIsBounded(t *testing.T) {
-	bubble(t, func(t *testing.T, _ *standin.Platform, p *publication.Publisher) {
+	withVirtualClock(t, func(t *testing.T, _ *standin.Platform, p *publication.Publisher) {
 		const revisions = publication.HistoryLength + 5
 		for base := range uint64(revisions) {
-			mustPublish(t, p, change(fmt.Sprint("c", base), base, withCap(t, capOne+base)))
+			mustPublish(t, p, change(fmt.Sprint("c", base), base, sampleWithCap(t, capOne+base)))
 		}
 		oldest, err := p.Revision(t.Context(), revisions-publication.HistoryLength)
 		if err != nil || oldest.Revision != revisions-publication.HistoryLength {
@@ -109,16 +109,16 @@
 	})
 }
 
-// Symptom: one operator's change vanishes without a word. Sequence: two
-// operators start from one revision and both publish. Cause: the second write
-// replaces a document that its author never saw.
-func TestRacingOperatorsLearnOfEachOther(t *testing.T) {
-	bubble(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
-		mustPublish(t, p, change("one", 0, withCap(t, capOne)))
+// Guards against an operator's change being silently overwritten: two operators
+// edit the same revision and publish at the same time, and the second write would
+// replace a document that its author has not seen.
+func TestConcurrentPublicationsConflict(t *testing.T) {
+	withVirtualClock(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
+		mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
 		errs := make(chan error, 2)
 		for _, id := range []string{"left", "right"} {
 			racer := newPublisher(service)
-			doc := withCap(t, capTwo)
+			doc := sampleWithCap(t, capTwo)
 			go func() {
 				_, err := racer.Publish(t.Context(), change(id, 1, doc))
 				errs <- err
@@ -126,7 +126,7 @@
 		}
 		first, second := <-errs, <-errs
 		if (first == nil) == (second == nil) {
-			t.Fatalf("one must win: %v, %v", first, second)
+			t.Fatalf("errors %v, %v: want exactly one publication to succeed", first, second)
 		}
 		now, err := p.Current(t.Context())
 		if err != nil {
@@ -142,37 +142,35 @@
 	})
 }
 
-// Symptom: "publish failed", the operator tries again and gets a conflict with
-// their own change. Sequence: the write takes effect, its answer is lost, and
-// another operator publishes before the first reads back or tries again.
-// Cause: a change that is looked for only in the revision in force.
-func TestLostAnswerIsFoundUnderALaterRevision(t *testing.T) {
-	bubble(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
+// Guards against a conflict of a retry with its own change: the write takes
+// effect, its reply is lost, and another operator publishes before the first
+// reads back or retries. The change must be looked for in earlier revisions too,
+// not only in the one in force.
+func TestChangeIsFoundAfterALaterPublication(t *testing.T) {
+	withVirtualClock(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
 		service.SetFaults(standin.Faults{LostAnswers: 1})
-		receipt := mustPublish(t, p, change("one", 0, withCap(t, capOne)))
+		receipt := mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
 		if !receipt.Earlier || receipt.Revision != 1 {
-			t.Errorf("receipt %+v, want revision 1 by reading back", receipt)
+			t.Errorf("receipt %+v, want revision 1, found by reading back", receipt)
 		}
-		mustPublish(t, p, change("two", 1, withCap(t, capTwo)))
-		again := mustPublish(t, p, change("one", 0, withCap(t, capOne)))
+		mustPublish(t, p, change("two", 1, sampleWithCap(t, capTwo)))
+		again := mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
 		if !again.Earlier || again.Revision != 1 {
 			t.Errorf("publishing again: %+v, want revision 1 of the earlier attempt", again)
 		}
 		var reused *publication.ChangeReusedError
-		if _, err := p.Publish(t.Context(), change("one", 2, withCap(t, capTwo))); !errors.As(err, &reused) {
+		if _, err := p.Publish(t.Context(), change("one", 2, sampleWithCap(t, capTwo))); !errors.As(err, &reused) {
 			t.Errorf("another document under the same id: %v, want a ChangeReusedError", err)
 		}
 	})
 }
 
-// Symptom: a publication is refused for a conflict with a change that its
-// author had seen. Sequence: the author reads revision 2; publishing reads the
-// head from an old replica, which is at 1. Cause: a stale read taken for the
-// truth.
+// Guards against a false conflict after a stale read: the author edits revision
+// 2, but the publisher reads the head from a replica that is still at revision 1.
 func TestStaleHeadIsReadAgain(t *testing.T) {
-	bubble(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
-		mustPublish(t, p, change("one", 0, withCap(t, capOne)))
-		mustPublish(t, p, change("two", 1, withCap(t, capTwo)))
+	withVirtualClock(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
+		mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
+		mustPublish(t, p, change("two", 1, sampleWithCap(t, capTwo)))
 		service.SetFaults(standin.Faults{StaleRead: true})
 		var unknown *publication.NoRevisionError
 		if _, err := p.Publish(t.Context(), change("three", 2, sample(t))); !errors.As(err, &unknown) {
@@ -185,16 +183,16 @@
 	})
 }
 
-func TestInvalidDocumentIsRefusedWhole(t *testing.T) {
-	bubble(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
-		doc := withCap(t, 1) // less than its domains' parts
+func TestInvalidDocumentIsNotWritten(t *testing.T) {
+	withVirtualClock(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
+		doc := sampleWithCap(t, 1) // below the sum of the domains' parts
 		_, err := p.Publish(t.Context(), change("one", 0, doc))
 		var invalid *document.InvalidError
 		if !errors.As(err, &invalid) || invalid.Fields[0].Path != "site.domains" {
 			t.Errorf("error %v, want an InvalidError at site.domains", err)
 		}
 		if n := service.Calls()[standin.MethodCompareAndSet]; n != 0 {
-			t.Errorf("%d writes for a document that was refused", n)
+			t.Errorf("%d writes of an invalid document, want 0", n)
 		}
 	})
 }
--- a/internal/version/publication/store.go
+++ b/internal/version/publication/store.go
@@ -10,62 +10,67 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// Keys of the store.
+// Keys in the store.
 const (
 	// HeadKey holds the revision in force.
 	HeadKey = "pumiceyard/configuration/head"
-	// historyKey holds past revisions, in slots that are used in turn.
-	historyKey = "pumiceyard/configuration/history/%d"
+	// historyKeyFormat is the key of a history slot. Past revisions are stored
+	// in HistoryLength slots that are reused in turn.
+	historyKeyFormat = "pumiceyard/configuration/history/%d"
 	// HistoryLength is how many past revisions are kept.
 	HistoryLength = 32
 )
 
-// Stored is what a key holds.
+// Stored is the value of a key with its version.
 type Stored struct {
 	Value   []byte
 	Version uint64 // 0 when the key does not exist
 }
 
-// Outcome is how a compare-and-set ended.
+// Outcome is the result of a compare-and-set.
 type Outcome struct {
 	Swapped  bool
-	ReadBack bool   // an answer was lost and reading back settled it
-	Current  Stored // after a conflict, the other's value
+	ReadBack bool   // the reply was lost; reading the key showed that the write took effect
+	Current  Stored // after a conflict, the value that was found
 }
 
-// Store is the key-value service. It settles lost answers by reading back.
+// Store is the key-value store. If a reply to a write is lost, the store reads
+// the key to find out whether the write took effect.
 type Store interface {
-	// Get reads a key, at the floor's version or a later one.
-	Get(ctx context.Context, key string, floor uint64) (Stored, error)
-	// CompareAndSet writes a key if it is at the expected version. Mine tells
-	// whether a value that was read back shows that this write took effect.
-	CompareAndSet(ctx context.Context, key string, value []byte, expected uint64, mine func([]byte) bool) (Outcome, error)
+	// Get reads a key at minVersion or a later version.
+	Get(ctx context.Context, key string, minVersion uint64) (Stored, error)
+	// CompareAndSet writes a key if it is at the expected version. isOwnWrite
+	// reports whether a value read after a lost reply shows that this write
+	// took effect.
+	CompareAndSet(ctx context.Context, key string, value []byte, expected uint64, isOwnWrite func([]byte) bool) (Outcome, error)
 }
 
-// Summary names one publication.
+// Summary describes one publication.
 type Summary struct {
 	Revision            uint64 `json:"revision"`
 	ChangeID            string `json:"change_id"`
 	Author              string `json:"author"`
 	PublishedUnixMillis int64  `json:"published_unix_millis"`
-	// Digest is the hex SHA-256 of the document without its stamp.
+	// Digest is the hex SHA-256 of the document without its revision, change
+	// id, author and publication time.
 	Digest string `json:"digest"`
 }
 
-// Head is the value of HeadKey: the document in force, and the summaries of it
-// and of the revisions before it, newest first.
+// Head is the value of HeadKey: the document in force, and the summaries of
+// this and earlier publications, newest first.
 type Head struct {
 	Document *document.Document
 	Recent   []Summary
 }
 
-// headForm is a head as it is stored.
-type headForm struct {
+// storedHead is the JSON form of a Head.
+type storedHead struct {
 	Document json.RawMessage `json:"document"`
 	Recent   []Summary       `json:"recent"`
 }
 
-// DamagedError says that a stored value cannot be read. It is left in place.
+// DamagedError reports a stored value that cannot be decoded. The value is left
+// in place.
 type DamagedError struct {
 	Key   string
 	Cause error
@@ -75,9 +80,9 @@
 
 func (e *DamagedError) Unwrap() error { return e.Cause }
 
-// DecodeHead reads a stored head and validates its document.
+// DecodeHead decodes a stored head and validates its document.
 func DecodeHead(value []byte) (*Head, error) {
-	var form headForm
+	var form storedHead
 	if err := json.Unmarshal(value, &form); err != nil {
 		return nil, &DamagedError{Key: HeadKey, Cause: err}
 	}
@@ -97,12 +102,12 @@
 		reason := fmt.Sprintf("%d bytes long; at most %d allowed", len(text), document.MaxEncodedBytes)
 		return nil, &document.SyntaxError{Reason: reason}
 	}
-	return json.Marshal(headForm{Document: text, Recent: h.Recent})
+	return json.Marshal(storedHead{Document: text, Recent: h.Recent})
 }
 
-// published returns the summary of a change, or nil when the change is not
-// among those that the head still knows.
-func (h *Head) published(changeID string) *Summary {
+// findChange returns the summary of a change, or nil if the change is not among
+// the recent ones.
+func (h *Head) findChange(changeID string) *Summary {
 	for i := range h.Recent {
 		if h.Recent[i].ChangeID == changeID {
 			return &h.Recent[i]
@@ -111,9 +116,9 @@
 	return nil
 }
 
-// after is the summary of the publication that followed a revision, or of the
-// newest one when that is no longer known.
-func (h *Head) after(revision uint64) Summary {
+// publicationAfter returns the summary of the publication that followed a
+// revision, or of the newest one if that is no longer listed.
+func (h *Head) publicationAfter(revision uint64) Summary {
 	for _, summary := range h.Recent {
 		if summary.Revision == revision+1 {
 			return summary
@@ -134,7 +139,7 @@
 	content.Revision, content.ChangeID, content.Author, content.PublishedUnixMillis = 0, "", "", 0
 	text, err := json.Marshal(content)
 	if err != nil {
-		panic("publication: a document that cannot be encoded: " + err.Error())
+		panic("publication: cannot encode a document: " + err.Error())
 	}
 	sum := sha256.Sum256(text)
 	return Summary{
