--- a/internal/tool/logstory/logstory.go
+++ b/internal/tool/logstory/logstory.go
@@ -1,5 +1,5 @@
-// Package logstory tells what became of a submission from the logs of entry VMs, without
-// a live site.
+// Package logstory reconstructs the course of one submission from the log files of entry
+// VMs. It needs no running site.
 package logstory
 
 import (
@@ -15,51 +15,51 @@
 
 // line is one log line about a submission.
 type line struct {
-	vm     string // the file's name
-	stamp  string // month, day and time of day
-	what   string
-	detail string
+	vm        string // the file's name
+	timestamp string // month, day and time of day
+	message   string
+	detail    string
 }
 
-// Head is the pattern of what stands before the message of a line: severity, date and time
-// (the one group), thread, place.
+// LinePrefixPattern matches the klog header before the message of a line: severity, date and
+// time (its only group), thread and source position.
 const LinePrefixPattern = `[IWE](\d{4} \d{2}:\d{2}:\d{2}\.\d+)\s+\d+ \S+\] `
 
 var klogLine = regexp.MustCompile(`^` + LinePrefixPattern + `"([^"]*)" ?(.*)$`)
 
-const lineMost = 1 << 20 // bytes
+const maxLineBytes = 1 << 20 // bytes
 
-// NewScanner reads a log by its lines.
+// NewScanner returns a scanner over the lines of a log.
 func NewScanner(in io.Reader) *bufio.Scanner {
 	s := bufio.NewScanner(in)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	return s
 }
 
-// Log is one VM's log.
+// Log is the log of one entry VM. The file name without its extension is shown as the VM's name.
 type Log struct {
 	Name   string
 	Reader io.Reader
 }
 
-// Tell writes the lines of all logs that name a submission, in the order of their times
-// of day, and says what is missing. It reports whether any line was found.
+// WriteTimeline writes the lines of all logs that name a submission, sorted by date and time,
+// followed by the expected events that no line records. It reports whether any line was found.
 func WriteTimeline(id string, logs []Log, out io.Writer) (found bool, err error) {
 	var all []line
 	for _, l := range logs {
-		lines, err := read(id, l)
+		lines, err := readLog(id, l)
 		if err != nil {
 			return false, fmt.Errorf("%s: %w", l.Name, err)
 		}
 		all = append(all, lines...)
 	}
-	slices.SortStableFunc(all, func(a, b line) int { return cmp.Compare(a.stamp, b.stamp) })
+	slices.SortStableFunc(all, func(a, b line) int { return cmp.Compare(a.timestamp, b.timestamp) })
 	for _, l := range all {
-		if _, err := fmt.Fprintf(out, "%s  %-20s %s  %s\n", l.stamp, l.vm, strings.TrimPrefix(l.what, "kept: "), l.detail); err != nil {
+		if _, err := fmt.Fprintf(out, "%s  %-20s %s  %s\n", l.timestamp, l.vm, strings.TrimPrefix(l.message, "kept: "), l.detail); err != nil {
 			return false, err
 		}
 	}
-	for _, m := range missing(all) {
+	for _, m := range missingEvents(all) {
 		if _, err := fmt.Fprintln(out, m); err != nil {
 			return false, err
 		}
@@ -67,7 +67,7 @@
 	return len(all) > 0, nil
 }
 
-func read(id string, l Log) ([]line, error) {
+func readLog(id string, l Log) ([]line, error) {
 	var out []line
 	s := NewScanner(l.Reader)
 	mark := `id="` + id + `"`
@@ -79,33 +79,33 @@
 		}
 		m := klogLine.FindStringSubmatch(text)
 		if m == nil {
-			continue // not a line of a decision
+			continue // not a structured log line
 		}
-		out = append(out, line{vm: name, stamp: m[1], what: m[2], detail: strings.TrimSpace(strings.Replace(m[3], mark, "", 1))})
+		out = append(out, line{vm: name, timestamp: m[1], message: m[2], detail: strings.TrimSpace(strings.Replace(m[3], mark, "", 1))})
 	}
 	return out, s.Err()
 }
 
-// missing says which parts of a submission's life no line tells of. "taken" is how older builds log "accepted
-// transient".
-func missing(all []line) []string {
+// missingEvents describes which of acceptance, first start and end no line records. Older builds log "taken" in place
+// of "accepted transient".
+func missingEvents(all []line) []string {
 	has := func(whats ...string) bool {
 		return slices.ContainsFunc(all, func(l line) bool {
-			return slices.Contains(whats, strings.TrimPrefix(l.what, "kept: "))
+			return slices.Contains(whats, strings.TrimPrefix(l.message, "kept: "))
 		})
 	}
 	var out []string
 	if len(all) == 0 {
-		return []string{"no log names it: it came to a VM whose log is not here, or never came"}
+		return []string{"no log line names it: the log of the VM that received it is not given, or it was never received"}
 	}
 	if !has("accepted", "accepted before", "accepted transient", "taken", "refused") {
-		out = append(out, "missing: the VM that took it")
+		out = append(out, "missing: its acceptance; the log of the VM that accepted it is not given")
 	}
 	if has("accepted", "accepted transient", "taken") && !has("start", "refused", "abandoned") {
-		out = append(out, "missing: its first start; a holder's log is not here, or it never had room")
+		out = append(out, "missing: its first start; a shard holder's log is not given, or it never got capacity")
 	}
 	if !has("answered", "ended", "refused", "given up", "abandoned", "cancelled") {
-		out = append(out, "missing: its end; its home or holder died, or it goes on")
+		out = append(out, "missing: its end; its home VM or the shard holder crashed, or it has not ended yet")
 	}
 	return out
 }
--- a/internal/tool/logstory/logstory_test.go
+++ b/internal/tool/logstory/logstory_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const home = `I0907 19:39:01.100000    9274 transient.go:69] "kept: taken" id="a1" queue="q" shard="hall/0"
+const homeLog = `I0907 19:39:01.100000    9274 transient.go:69] "kept: taken" id="a1" queue="q" shard="hall/0"
 I0907 19:39:01.200000    9274 transient.go:69] "kept: taken" id="b2" queue="q" shard="hall/0"
 not a line of the log with id="a1"
 I0907 19:39:01.500000    9274 transient.go:188] "kept: answered" id="a1" state="done"
@@ -15,18 +15,18 @@
 // which may run beside it.
 var acceptedMessages = []string{"accepted transient", "taken"}
 
-// homeWith returns the log of the home VM with one of acceptedMessages.
-func homeWith(message string) *strings.Reader {
-	return strings.NewReader(strings.ReplaceAll(home, `"kept: taken"`, `"kept: `+message+`"`))
+// homeLogWith returns the log of the home VM with one of acceptedMessages.
+func homeLogWith(message string) *strings.Reader {
+	return strings.NewReader(strings.ReplaceAll(homeLog, `"kept: taken"`, `"kept: `+message+`"`))
 }
 
-const holder = `I0907 19:39:01.102000    9275 engine.go:138] "kept: start" id="a1" step=0 index=0 run=1 worker="w1"
+const holderLog = `I0907 19:39:01.102000    9275 engine.go:138] "kept: start" id="a1" step=0 index=0 run=1 worker="w1"
 `
 
-func TestStoryIsToldAcrossVMsInOrder(t *testing.T) {
+func TestLinesOfAllVMsAreMergedByTime(t *testing.T) {
 	for _, message := range acceptedMessages {
 		var out strings.Builder
-		found, err := WriteTimeline("a1", []Log{{"logs/vm1.log", homeWith(message)}, {"vm2.log", strings.NewReader(holder)}}, &out)
+		found, err := WriteTimeline("a1", []Log{{"logs/vm1.log", homeLogWith(message)}, {"vm2.log", strings.NewReader(holderLog)}}, &out)
 		if err != nil || !found {
 			t.Fatal(message, found, err)
 		}
@@ -44,17 +44,17 @@
 	}
 }
 
-func TestWhatIsMissingIsSaid(t *testing.T) {
+func TestMissingEventsAreReported(t *testing.T) {
 	for _, message := range acceptedMessages {
-		for id, want := range map[string]string{"b2": "its first start", "none": "no log names it"} {
+		for id, want := range map[string]string{"b2": "its first start", "none": "no log line names it"} {
 			var out strings.Builder
-			if _, err := WriteTimeline(id, []Log{{"vm1.log", homeWith(message)}}, &out); err != nil {
+			if _, err := WriteTimeline(id, []Log{{"vm1.log", homeLogWith(message)}}, &out); err != nil {
 				t.Fatal(err)
 			}
 			if !strings.Contains(out.String(), want) {
 				t.Errorf("%s, %s: %s", message, id, out.String())
 			}
-			if strings.Contains(out.String(), "the VM that took it") {
+			if strings.Contains(out.String(), "its acceptance") {
 				t.Errorf("%s is not read: %s", message, out.String())
 			}
 		}
--- a/internal/tool/losses/losses.go
+++ b/internal/tool/losses/losses.go
@@ -1,9 +1,9 @@
-// Package losses says, from the logs of entry VMs, which submissions were not served within
-// their objective, and why.
+// Package losses counts, from the logs of entry VMs, the submissions that were not answered
+// within their latency objective, by cause.
 //
 // It reads the lines "accepted transient" (older builds log it as "taken"), "start", "answered", "refused",
-// "given up" and "abandoned" and follows each hand-in of a submission through them. A caller that hands a submission in
-// again begins a new hand-in: what was lost by the first is counted once, under its cause.
+// "given up" and "abandoned", and follows each attempt at a submission through them. If a caller submits again after
+// the end of an attempt, a new attempt begins; each attempt is counted once, under its own cause.
 package losses
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/pumiceyard/pumiceyard/internal/tool/logstory"
 )
 
-// Cause is why a hand-in was not served within its objective.
+// Cause is why an attempt was not answered within its objective.
 type Cause string
 
-// The causes, in the order in which a hand-in is tried against them.
+// The causes. A late answer gets the first that applies of RunLostOrFailed, WaitedForCapacity and SlowRun.
 const (
 	InTime            Cause = "in time"
 	RefusedAtOnce     Cause = "refused at once"
@@ -37,42 +37,43 @@
 	SlowRun           Cause = "a run took long"
 )
 
-// soonWithin is up to when a refusal counts as given at once: half of the refusals should
-// come within it.
-const soonWithin = 20 * time.Millisecond
+// immediateRefusalLimit is the time after acceptance up to which a refusal counts as RefusedAtOnce: half of
+// all refusals should be given within it.
+const immediateRefusalLimit = 20 * time.Millisecond
 
-// waitShare is the share of its time beyond which a late hand-in is said to have waited.
-const waitShare = 0.25
+// minWaitShare is the share of a late attempt's total time that must have passed before its last start
+// for the cause to be WaitedForCapacity.
+const minWaitShare = 0.25
 
-// Row counts the hand-ins of one phase, queue and cause.
+// Row identifies the attempts that are counted together.
 type Row struct {
-	Phase  time.Duration // since the first line
+	Phase  time.Duration // start of the phase, since the first line
 	Queue  string
 	Cause  Cause
-	Reason string // as the log gives it
+	Reason string // as logged
 }
 
-// Account is what the logs tell of all hand-ins.
+// Report holds the number of attempts by phase, queue, cause and reason.
 type Report struct {
-	PhaseLength   time.Duration // length of a phase
+	PhaseLength   time.Duration
 	Counts        map[Row]int
 	TotalAttempts int
 }
 
-// handIn is one hand-in of a submission, as far as it was read.
-type handIn struct {
-	queue     string
-	at        time.Time
-	objective time.Duration
-	lastStart time.Duration // since the hand-in
-	reran     bool
+// attempt is an attempt at a submission whose end has not been read yet.
+type attempt struct {
+	queue      string
+	acceptedAt time.Time
+	objective  time.Duration
+	lastStart  time.Duration // since acceptance
+	wasRerun   bool
 }
 
 // event is one line of a log.
 type event struct {
-	at     time.Time
-	what   string
-	fields map[string]string
+	at      time.Time
+	message string
+	fields  map[string]string
 }
 
 var (
@@ -80,11 +81,11 @@
 	fieldText = regexp.MustCompile(`(\w+)=(?:"((?:[^"\\]|\\.)*)"|(\S+))`)
 )
 
-const stamp = "0102 15:04:05.000000"
+const timeLayout = "0102 15:04:05.000000"
 
-// Read takes the logs of all entry VMs and sorts what happened to the hand-ins into causes.
-// Times are compared between VMs: their clocks should agree to some milliseconds.
-func Read(logs []io.Reader, every time.Duration) (*Report, error) {
+// Read reads the logs of all entry VMs and counts the attempts by cause. It compares times
+// of different VMs, so their clocks should agree to within a few milliseconds.
+func Read(logs []io.Reader, phaseLength time.Duration) (*Report, error) {
 	var all []event
 	for _, l := range logs {
 		events, err := readLog(l)
@@ -94,12 +95,12 @@
 		all = append(all, events...)
 	}
 	slices.SortStableFunc(all, func(a, b event) int { return a.at.Compare(b.at) })
-	account := &Report{PhaseLength: every, Counts: make(map[Row]int)}
+	report := &Report{PhaseLength: phaseLength, Counts: make(map[Row]int)}
 	if len(all) == 0 {
-		return account, nil
+		return report, nil
 	}
-	account.follow(all)
-	return account, nil
+	report.countAttempts(all)
+	return report, nil
 }
 
 func readLog(in io.Reader) ([]event, error) {
@@ -110,11 +111,11 @@
 		if m == nil {
 			continue // not a line about a submission
 		}
-		at, err := time.Parse(stamp, m[1])
+		at, err := time.Parse(timeLayout, m[1])
 		if err != nil {
-			return nil, fmt.Errorf("time of a line: %w", err)
+			return nil, fmt.Errorf("invalid time in a log line: %w", err)
 		}
-		ev := event{at: at, what: m[2], fields: make(map[string]string)}
+		ev := event{at: at, message: m[2], fields: make(map[string]string)}
 		for _, f := range fieldText.FindAllStringSubmatch(m[3], -1) {
 			ev.fields[f[1]] = cmp.Or(f[2], f[3])
 		}
@@ -123,33 +124,33 @@
 	return out, s.Err()
 }
 
-func (a *Report) follow(all []event) {
+func (a *Report) countAttempts(all []event) {
 	first := all[0].at
-	open := make(map[string]*handIn)
-	end := func(h *handIn, cause Cause, why string) {
+	open := make(map[string]*attempt)
+	end := func(att *attempt, cause Cause, reason string) {
 		a.TotalAttempts++
-		a.Counts[Row{Phase: h.at.Sub(first).Truncate(max(a.PhaseLength, 1)), Queue: h.queue, Cause: cause, Reason: why}]++
+		a.Counts[Row{Phase: att.acceptedAt.Sub(first).Truncate(max(a.PhaseLength, 1)), Queue: att.queue, Cause: cause, Reason: reason}]++
 	}
 	for _, ev := range all {
 		id := ev.fields["id"]
-		h := open[id]
+		att := open[id]
 		switch {
-		case (ev.what == "accepted transient" || ev.what == "taken") && h == nil:
-			open[id] = &handIn{queue: ev.fields["queue"], at: ev.at, objective: duration(ev.fields["objective"])}
+		case (ev.message == "accepted transient" || ev.message == "taken") && att == nil:
+			open[id] = &attempt{queue: ev.fields["queue"], acceptedAt: ev.at, objective: duration(ev.fields["objective"])}
 			continue
-		case ev.what == "refused" && h == nil:
-			end(&handIn{queue: ev.fields["queue"], at: ev.at}, RefusedAtOnce, ev.fields["why"])
+		case ev.message == "refused" && att == nil:
+			end(&attempt{queue: ev.fields["queue"], acceptedAt: ev.at}, RefusedAtOnce, ev.fields["why"])
 			continue
-		case h == nil:
-			continue // its beginning is not in these logs
+		case att == nil:
+			continue // its acceptance is not in these logs
 		}
-		if ev.what == "start" {
-			h.lastStart = ev.at.Sub(h.at)
-			h.reran = h.reran || ev.fields["run"] != "1"
+		if ev.message == "start" {
+			att.lastStart = ev.at.Sub(att.acceptedAt)
+			att.wasRerun = att.wasRerun || ev.fields["run"] != "1"
 			continue
 		}
-		if cause, why, ended := h.cause(ev); ended {
-			end(h, cause, why)
+		if cause, reason, ended := att.classifyEnd(ev); ended {
+			end(att, cause, reason)
 			delete(open, id)
 		}
 	}
@@ -158,12 +159,12 @@
 	}
 }
 
-// cause judges the line that ends a hand-in.
-func (h *handIn) cause(ev event) (cause Cause, why string, ended bool) {
+// classifyEnd returns the cause and reason of an event that ends the attempt.
+func (att *attempt) classifyEnd(ev event) (cause Cause, reason string, ended bool) {
 	after := duration(ev.fields["after"])
-	switch ev.what {
+	switch ev.message {
 	case "refused":
-		if after <= soonWithin {
+		if after <= immediateRefusalLimit {
 			return RefusedAtOnce, ev.fields["why"], true
 		}
 		return RefusedAfterWait, ev.fields["why"], true
@@ -172,27 +173,28 @@
 	case "abandoned":
 		return CallerGone, "", true
 	case "answered":
-		return h.late(after), "", true
+		return att.classifyAnswer(after), "", true
 	default:
 		return "", "", false
 	}
 }
 
-// late says why an answer came after the objective, or that it did not.
-func (h *handIn) late(after time.Duration) Cause {
+// classifyAnswer returns InTime, or the cause of an answer after the objective.
+func (att *attempt) classifyAnswer(after time.Duration) Cause {
 	switch {
-	case h.objective == 0 || after <= h.objective:
+	case att.objective == 0 || after <= att.objective:
 		return InTime
-	case h.reran:
+	case att.wasRerun:
 		return RunLostOrFailed
-	case float64(h.lastStart) > waitShare*float64(after):
+	case float64(att.lastStart) > minWaitShare*float64(after):
 		return WaitedForCapacity
 	default:
 		return SlowRun
 	}
 }
 
-// duration reads a duration; 0 if a line has none, as those of other releases.
+// duration parses a duration. It returns 0 if the text is empty or invalid: lines of other
+// releases lack the field.
 func duration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -201,8 +203,8 @@
 	return d
 }
 
-// Write prints one line for each cause with the hand-ins of each queue, the most frequent
-// first, for the whole time or for each phase.
+// Write prints a table with one line for each cause and reason, the most frequent first, and one
+// column for each queue. With phases, the lines are given for each phase separately.
 func (a *Report) Write(out io.Writer, phases bool) error {
 	queues := make(map[string]bool)
 	lines := make(map[Row]map[string]int)
@@ -220,7 +222,7 @@
 	names := slices.Sorted(maps.Keys(queues))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "from\tcause\twhy\tall\tshare\t%s\n", strings.Join(names, "\t"))
-	for _, key := range sorted(lines) {
+	for _, key := range sortedRows(lines) {
 		cells := []string{key.Phase.String(), string(key.Cause), key.Reason, strconv.Itoa(sum(lines[key])),
 			fmt.Sprintf("%.4f", float64(sum(lines[key]))/float64(max(a.TotalAttempts, 1)))}
 		for _, q := range names {
@@ -231,7 +233,7 @@
 	return w.Flush()
 }
 
-func sorted(lines map[Row]map[string]int) []Row {
+func sortedRows(lines map[Row]map[string]int) []Row {
 	return slices.SortedFunc(maps.Keys(lines), func(a, b Row) int {
 		return cmp.Or(
 			cmp.Compare(a.Phase, b.Phase),
--- a/internal/tool/losses/losses_test.go
+++ b/internal/tool/losses/losses_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const logged = `I0605 19:37:51.000000    1 x.go:1] "kept: taken" id="a" queue="q" objective="100ms"
+const sampleLog = `I0605 19:37:51.000000    1 x.go:1] "kept: taken" id="a" queue="q" objective="100ms"
 I0605 19:37:51.001000    1 x.go:1] "kept: start" id="a" run=1
 I0605 19:37:51.050000    1 x.go:1] "kept: answered" id="a" queue="q" after="50ms"
 I0605 19:37:51.000000    1 x.go:1] "kept: taken" id="b" queue="q" objective="100ms"
@@ -23,11 +23,11 @@
 I0605 19:37:54.000000    1 x.go:1] "kept: shard taken" shard="a/0"
 `
 
-func TestEachHandInHasOneCause(t *testing.T) {
-	before, after, _ := strings.Cut(logged, "1] \"kept: taken\" id=\"c\"")
+func TestEachAttemptHasOneCause(t *testing.T) {
+	before, after, _ := strings.Cut(sampleLog, "1] \"kept: taken\" id=\"c\"")
 	for build, log := range map[string]string{
-		"old": logged,
-		"new": strings.ReplaceAll(logged, `"kept: taken"`, `"kept: accepted transient"`),
+		"old": sampleLog,
+		"new": strings.ReplaceAll(sampleLog, `"kept: taken"`, `"kept: accepted transient"`),
 		// VMs of an older build beside new ones.
 		"both": before + "1] \"kept: accepted transient\" id=\"c\"" + after,
 	} {
@@ -50,7 +50,7 @@
 		{Phase: 2 * time.Second, Queue: "r", Cause: NoEndLogged}:                                      1,
 	}
 	if len(a.Counts) != len(want) || a.TotalAttempts != 6 {
-		t.Errorf("%d hand-ins: %v", a.TotalAttempts, a.Counts)
+		t.Errorf("%d attempts: %v", a.TotalAttempts, a.Counts)
 	}
 	for row, n := range want {
 		if a.Counts[row] != n {
@@ -60,7 +60,7 @@
 }
 
 func TestTableNamesQueuesAndShares(t *testing.T) {
-	a, err := Read([]io.Reader{strings.NewReader(logged)}, 2*time.Second)
+	a, err := Read([]io.Reader{strings.NewReader(sampleLog)}, 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
