--- a/internal/tool/evacuations/evacuations.go
+++ b/internal/tool/evacuations/evacuations.go
@@ -1,5 +1,6 @@
-// Package evacuations asks, for an operator, that nothing starts in a failure domain. The request
-// is a key in the platform's store, which the entry VMs watch; it holds until it is taken away.
+// Package evacuations lets an operator evacuate a failure domain: no task starts there any more.
+// The request is a key in the platform's store, which the entry VMs watch; it holds until the key
+// is deleted.
 package evacuations
 
 import (
@@ -14,29 +15,31 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/store/kvcall"
 )
 
-// Requests reads and writes operators' requests in a store.
+// Requests reads and writes evacuation requests in a store.
 type Requests struct{ Store store.Store }
 
-// At reaches the requests in the store at host:port.
+// NewRequests returns the requests in the store at the given host:port.
 func NewRequests(address string) Requests {
 	return Requests{Store: &kvcall.Client{Calls: &relay.HTTP{Address: address, Client: http.DefaultClient}}}
 }
 
-// NameError says that a text cannot name a failure domain.
+// NameError reports a text that cannot be the name of a failure domain.
 type NameError struct{ Domain string }
 
-func (e *NameError) Error() string { return fmt.Sprintf("%q names no failure domain", e.Domain) }
+func (e *NameError) Error() string {
+	return fmt.Sprintf("%q is not a valid name of a failure domain", e.Domain)
+}
 
-func key(domain string) (string, error) {
+func evacuationKey(domain string) (string, error) {
 	if domain == "" || strings.Contains(domain, "/") {
 		return "", &NameError{Domain: domain}
 	}
 	return daemon.EvacuationPrefix + domain, nil
 }
 
-// Evacuate asks that nothing starts in a domain. Asked twice it is one request.
+// Evacuate requests that no task starts in a domain. It is idempotent.
 func (r Requests) Evacuate(ctx context.Context, domain string) error {
-	k, err := key(domain)
+	k, err := evacuationKey(domain)
 	if err != nil {
 		return err
 	}
@@ -44,9 +47,10 @@
 	return err
 }
 
-// Return gives a domain back to use. It is no error if it was not evacuated.
+// CancelEvacuation allows tasks to start in a domain again. It does nothing if the domain is
+// not evacuated.
 func (r Requests) CancelEvacuation(ctx context.Context, domain string) error {
-	k, err := key(domain)
+	k, err := evacuationKey(domain)
 	if err != nil {
 		return err
 	}
@@ -54,7 +58,7 @@
 	return err
 }
 
-// List returns the evacuated domains, in order.
+// List returns the evacuated domains in the order of their keys.
 func (r Requests) List(ctx context.Context) ([]string, error) {
 	var out []string
 	after := ""
--- a/internal/tool/evacuations/evacuations_test.go
+++ b/internal/tool/evacuations/evacuations_test.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/kvstore"
 )
 
-func TestRequestsHoldUntilTheyAreTakenAway(t *testing.T) {
+func TestEvacuationHoldsUntilCancelled(t *testing.T) {
 	r := Requests{Store: kvstore.New()}
 	ctx := t.Context()
 	for _, domain := range []string{"b", "a", "a"} {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestTextThatNamesNoDomainIsRefused(t *testing.T) {
+func TestInvalidDomainNameIsRejected(t *testing.T) {
 	r := Requests{Store: kvstore.New()}
 	for _, domain := range []string{"", "a/b"} {
 		var wrong *NameError
--- a/internal/tool/top/sample.go
+++ b/internal/tool/top/sample.go
@@ -1,6 +1,6 @@
-// Package top shows what the entry VMs of a site do while it changes: who holds which
-// shard, how much room the workers have, what waits, and how much the store is used. It
-// reads the VMs' metrics addresses and asks nothing else of them.
+// Package top shows the present state of a site's entry VMs at regular intervals: the holder
+// of each shard, the capacity of its workers, the queued work, and the rate of store calls. It
+// reads only the VMs' metrics endpoints.
 package top
 
 import (
@@ -14,34 +14,34 @@
 	"github.com/prometheus/common/model"
 )
 
-// Sample is what an entry VM said of itself.
+// Sample holds the metrics of one entry VM at one time.
 type Sample struct {
 	EntryVM              string
 	At                   time.Time
-	Shards               map[string]Shard // that it holds
+	Shards               map[string]Shard // those that the VM holds, by name
 	Queues               map[string]Queue
-	OpenSubmissions      float64  // submissions at their home here
+	OpenSubmissions      float64  // submissions that this VM accepted and that have not ended
 	StoreCalls           float64  // since it started
-	UnansweredStoreCalls float64  // of them
+	UnansweredStoreCalls float64  // part of StoreCalls without an answer, since it started
 	ShardTakeovers       float64  // since it started
 	PeersLost            float64  // since it started
-	Evacuated            []string // failure domains in which, as far as it knows, nothing may start
+	Evacuated            []string // failure domains that it knows to be evacuated: nothing may start there
 }
 
-// Shard is the room of a shard's workers.
+// Shard holds the capacity and queued work of a shard.
 type Shard struct {
 	Workers       float64
-	CapacityCores float64 // of all usable workers
+	CapacityCores float64 // of all usable workers together
 	FreeCores     float64
-	QueuedCores   float64 // that the tasks waiting for room take
+	QueuedCores   float64 // needed by the tasks that wait for capacity
 }
 
-// Queue counts a queue's submissions since the VM started.
+// Queue holds the numbers of a queue's submissions since the VM started.
 type Queue struct {
 	Accepted, Done, Failed, Refused float64
 }
 
-// ReadError says that a VM's metrics could not be read.
+// ReadError reports that a VM's metrics could not be read.
 type ReadError struct {
 	URL string
 	Err error
@@ -50,7 +50,7 @@
 func (e *ReadError) Error() string { return fmt.Sprintf("metrics of %s: %v", e.URL, e.Err) }
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// Read takes a sample from a metrics URL.
+// Read reads a sample from a metrics URL.
 func Read(ctx context.Context, client *http.Client, url string) (*Sample, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -69,18 +69,18 @@
 	if err != nil {
 		return nil, &ReadError{url, err}
 	}
-	return sampleOf(families, time.Now()), nil
+	return newSample(families, time.Now()), nil
 }
 
-// prefix begins the names of all metrics that are read.
-const prefix = "pumiceyard_kept_"
+// metricPrefix is the common prefix of the metrics that are read.
+const metricPrefix = "pumiceyard_kept_"
 
-func sampleOf(families map[string]*dto.MetricFamily, at time.Time) *Sample {
+func newSample(families map[string]*dto.MetricFamily, at time.Time) *Sample {
 	s := &Sample{At: at, Shards: make(map[string]Shard), Queues: make(map[string]Queue)}
 	each := func(name string, take func(value float64, labels map[string]string)) {
-		f := families[prefix+name]
+		f := families[metricPrefix+name]
 		if f == nil {
-			return // counted for the first time later
+			return // the VM exports a metric only after its first value
 		}
 		for _, m := range f.Metric {
 			labels := make(map[string]string, len(m.Label))
@@ -126,18 +126,19 @@
 	})
 	each("submissions_ended_total", func(v float64, labels map[string]string) {
 		q := s.Queues[labels["queue"]]
-		q.end(labels["outcome"], v)
+		q.addEnded(labels["outcome"], v)
 		s.Queues[labels["queue"]] = q
 	})
 	for name, sh := range s.Shards {
 		if sh.Workers == 0 {
-			delete(s.Shards, name) // it was held earlier
+			delete(s.Shards, name) // the VM no longer holds it
 		}
 	}
 	return s
 }
 
-func (q *Queue) end(outcome string, n float64) {
+// addEnded adds n submissions that ended with the given outcome.
+func (q *Queue) addEnded(outcome string, n float64) {
 	switch outcome {
 	case "done":
 		q.Done += n
--- a/internal/tool/top/show.go
+++ b/internal/tool/top/show.go
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// Options of a show.
+// Options of Run.
 type Options struct {
 	URLs     []string      // metrics addresses of the entry VMs
-	Interval time.Duration // between two pictures
-	Count    int           // pictures; 0: until the context ends
+	Interval time.Duration // between two snapshots
+	Count    int           // number of snapshots; 0: until the context ends
 	Out      io.Writer
 }
 
-// Validate says what is missing.
+// Validate returns an error if an option is missing or out of range.
 func (o *Options) Validate() error {
 	switch {
 	case len(o.URLs) == 0:
 		return errors.New("no metrics URL of an entry VM is given")
 	case o.Interval <= 0:
-		return fmt.Errorf("pictures every %v: it must be above 0", o.Interval)
+		return fmt.Errorf("refresh interval %v: must be above 0", o.Interval)
 	case o.Count < 0:
-		return fmt.Errorf("%d pictures: it must not be below 0", o.Count)
+		return fmt.Errorf("%d refreshes: must not be below 0", o.Count)
 	default:
 		return nil
 	}
 }
 
-// readWithin bounds a VM's answer, so that one that hangs does not hold up the others.
-const readWithin = 900 * time.Millisecond
+// readTimeout limits reading the metrics, so that a VM that hangs does not delay the display.
+const readTimeout = 900 * time.Millisecond
 
-// Run shows a picture of the site at each interval. A VM that does not answer is named
-// with the reason.
+// Run writes a snapshot of the site at each interval. A VM whose metrics cannot be read is
+// listed with the error.
 func Run(ctx context.Context, o Options) error {
 	if err := o.Validate(); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	defer tick.Stop()
 	for n := 0; o.Count == 0 || n < o.Count; n++ {
 		now, errs := readAll(ctx, o.URLs)
-		if err := show(o.Out, before, now, errs); err != nil {
+		if err := writeSnapshot(o.Out, before, now, errs); err != nil {
 			return err
 		}
 		maps.Copy(before, now)
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// readAll asks all VMs at once. Its results are by URL.
+// readAll reads the metrics of all VMs in parallel. It returns samples and errors by URL.
 func readAll(ctx context.Context, urls []string) (map[string]*Sample, map[string]error) {
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	samples := make(map[string]*Sample)
 	errs := make(map[string]error)
@@ -90,17 +90,17 @@
 	return samples, errs
 }
 
-// show prints the VMs, the shards and the queues. Rates are since the earlier sample of
-// the same VM, and are left out without one.
-func show(out io.Writer, before, now map[string]*Sample, errs map[string]error) error {
+// writeSnapshot prints the VMs, the shards and the queues. Rates are averages since the
+// previous sample of the same VM; without one, "-" is shown.
+func writeSnapshot(out io.Writer, before, now map[string]*Sample, errs map[string]error) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\n", time.Now().Format(time.TimeOnly))
 	fmt.Fprintln(w, "ENTRY VM\tSHARDS\tOPEN\tSTORE/S\tUNANSWERED/S\tTAKEN OVER\tPEERS LOST")
 	for _, url := range slices.Sorted(maps.Keys(now)) {
 		s := now[url]
 		fmt.Fprintf(w, "%s\t%d\t%.0f\t%s\t%s\t%.0f\t%.0f\n", s.EntryVM, len(s.Shards), s.OpenSubmissions,
-			rate(before[url], s, func(s *Sample) float64 { return s.StoreCalls }),
-			rate(before[url], s, func(s *Sample) float64 { return s.UnansweredStoreCalls }), s.ShardTakeovers, s.PeersLost)
+			vmRate(before[url], s, func(s *Sample) float64 { return s.StoreCalls }),
+			vmRate(before[url], s, func(s *Sample) float64 { return s.UnansweredStoreCalls }), s.ShardTakeovers, s.PeersLost)
 	}
 	for _, url := range slices.Sorted(maps.Keys(errs)) {
 		fmt.Fprintf(w, "no answer: %v\n", errs[url])
@@ -124,8 +124,8 @@
 	return w.Flush()
 }
 
-// evacuatedLines name the evacuated domains. One that only some VMs know of was asked for, or
-// returned, a moment ago, or the others are cut off.
+// evacuatedLines returns a line for each evacuated domain. If only some VMs know of the
+// evacuation, it was requested or cancelled a moment ago, or the other VMs are cut off.
 func evacuatedLines(now map[string]*Sample) []string {
 	knownAt := make(map[string]int)
 	for _, s := range now {
@@ -153,7 +153,7 @@
 		}
 	}
 	slices.SortFunc(rows, func(a, b shardRow) int {
-		// Two rows of one shard, for a moment: the earlier holder has not heard yet.
+		// A shard can briefly have two rows, until its former holder notices the loss.
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.holder, b.holder))
 	})
 	return rows
@@ -169,36 +169,36 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// unknown stands where there is no earlier sample to count from.
-const unknown = "-"
+// unknownRate is shown in place of a rate that is not known.
+const unknownRate = "-"
 
-// growth is how fast a count grew. It is not known without an earlier sample, or if the
-// count fell: then the VM has started again.
-func growth(before, now *Sample, count func(*Sample) float64) (perSecond float64, known bool) {
+// ratePerSecond returns the average rate of a counter between two samples. The rate is
+// unknown without an earlier sample, or if the counter decreased because the VM restarted.
+func ratePerSecond(before, now *Sample, count func(*Sample) float64) (perSecond float64, known bool) {
 	if before == nil || count(now) < count(before) {
 		return 0, false
 	}
 	return (count(now) - count(before)) / now.At.Sub(before.At).Seconds(), true
 }
 
-func rate(before, now *Sample, count func(*Sample) float64) string {
-	return perSecond(growth(before, now, count))
+func vmRate(before, now *Sample, count func(*Sample) float64) string {
+	return formatRate(ratePerSecond(before, now, count))
 }
 
-// queueRate sums a queue's rate over the VMs that were read twice.
+// queueRate returns the sum of a queue's rates over the VMs whose rate is known.
 func queueRate(before, now map[string]*Sample, name string, count func(Queue) float64) string {
 	sum, read := 0.0, false
 	for url, s := range now {
-		v, known := growth(before[url], s, func(s *Sample) float64 { return count(s.Queues[name]) })
+		v, known := ratePerSecond(before[url], s, func(s *Sample) float64 { return count(s.Queues[name]) })
 		sum += v
 		read = read || known
 	}
-	return perSecond(sum, read)
+	return formatRate(sum, read)
 }
 
-func perSecond(v float64, known bool) string {
+func formatRate(v float64, known bool) string {
 	if !known {
-		return unknown
+		return unknownRate
 	}
 	return fmt.Sprintf("%.1f", v)
 }
--- a/internal/tool/top/top_test.go
+++ b/internal/tool/top/top_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// vmMetrics are a VM's metrics at its n-th read.
+// vmMetrics returns a VM's metrics at the n-th read.
 func vmMetrics(name, shard string, n int) string {
 	return fmt.Sprintf(`# TYPE pumiceyard_kept_submissions_open gauge
 pumiceyard_kept_submissions_open{entry_vm="%[1]s"} 3
@@ -30,7 +30,7 @@
 `, name, shard, 100*n)
 }
 
-func TestSampleKeepsHeldShardsAndSumsOutcomes(t *testing.T) {
+func TestSampleOmitsFormerShardsAndSumsOutcomes(t *testing.T) {
 	vm := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, vmMetrics("a1", "a/0", 1))
 	}))
@@ -50,9 +50,9 @@
 	}
 }
 
-// Symptom: nothing is shown of a site while one VM is down. Sequence: one of two VMs does
-// not answer. The other is shown, and the first named with its reason.
-func TestVMThatDoesNotAnswerIsNamed(t *testing.T) {
+// Guards against an empty display while one VM is down: of two VMs one answers with an error.
+// The other must be shown, and the first listed with its error.
+func TestUnreachableVMIsReportedWithReason(t *testing.T) {
 	reads := 0
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		reads++
@@ -74,14 +74,14 @@
 	}
 }
 
-func TestRateOfAVMThatStartedAgainIsNotShown(t *testing.T) {
+func TestRateIsUnknownAfterVMRestart(t *testing.T) {
 	calls := func(s *Sample) float64 { return s.StoreCalls }
 	began := time.Now()
 	before := &Sample{At: began, StoreCalls: 500}
-	if r := rate(before, &Sample{At: began.Add(time.Second), StoreCalls: 20}, calls); r != unknown {
-		t.Errorf("rate %s of a count that fell", r)
+	if r := vmRate(before, &Sample{At: began.Add(time.Second), StoreCalls: 20}, calls); r != unknownRate {
+		t.Errorf("rate %s of a counter that decreased, want none", r)
 	}
-	if r := rate(before, &Sample{At: began.Add(2 * time.Second), StoreCalls: 600}, calls); r != "50.0" {
+	if r := vmRate(before, &Sample{At: began.Add(2 * time.Second), StoreCalls: 600}, calls); r != "50.0" {
 		t.Errorf("rate %s, want 50.0", r)
 	}
 }
@@ -93,20 +93,20 @@
 	}
 	for _, bad := range []Options{{Interval: time.Second}, {URLs: good.URLs}, {URLs: good.URLs, Interval: 1, Count: -1}} {
 		if bad.Validate() == nil {
-			t.Errorf("%+v passed", bad)
+			t.Errorf("invalid options %+v were accepted", bad)
 		}
 	}
 }
 
-// Symptom: an operator takes a domain for emptied while some VMs still start work there. Sequence:
-// one of two VMs has heard of the evacuation. Both are counted.
-func TestEvacuationIsShownWithWhoKnowsOfIt(t *testing.T) {
+// Guards against an operator believing that a domain is evacuated while some VMs still start work
+// there: only one of two VMs knows of the evacuation, and the display must say so.
+func TestEvacuationIsShownWithNumberOfInformedVMs(t *testing.T) {
 	now := map[string]*Sample{
 		"u1": {EntryVM: "a1", Evacuated: []string{"a"}},
 		"u2": {EntryVM: "b1"},
 	}
 	var out bytes.Buffer
-	if err := show(&out, nil, now, nil); err != nil {
+	if err := writeSnapshot(&out, nil, now, nil); err != nil {
 		t.Fatal(err)
 	}
 	if want := "evacuated: a, known at 1 of 2 VMs"; !strings.Contains(out.String(), want) {
