--- a/internal/tool/top/sample.go
+++ b/internal/tool/top/sample.go
@@ -20,7 +20,7 @@
 	At                   time.Time
 	Shards               map[string]Shard // those that the VM holds, by name
 	Queues               map[string]Queue
-	OpenSubmissions      float64  // submissions that this VM accepted and that have not ended
+	OpenSubmissions      float64  // submissions that the VM tracks: those it accepted or was asked about
 	StoreCalls           float64  // since it started
 	UnansweredStoreCalls float64  // part of StoreCalls without an answer, since it started
 	ShardTakeovers       float64  // since it started
