--- a/internal/tool/soak/faults.go
+++ b/internal/tool/soak/faults.go
@@ -10,104 +10,106 @@
 	"github.com/pumiceyard/pumiceyard/internal/kept/daemon"
 )
 
-// inject makes faults, one after the other and overlapping, until ctx ends.
-func (s *soak) inject(ctx context.Context) {
-	var under sync.WaitGroup
-	defer under.Wait()
+// injectFaults starts a random fault at random intervals until ctx ends. Faults may overlap.
+func (s *soak) injectFaults(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
 	for ctx.Err() == nil {
-		s.faults++
-		fault := s.draw()
-		under.Go(fault)
+		s.faultCount++
+		fault := s.randomFault()
+		running.Go(fault)
 		select {
 		case <-ctx.Done():
-		case <-time.After(faultPause + time.Duration(s.rand.IntN(600))*time.Millisecond):
+		case <-time.After(minFaultInterval + time.Duration(s.rand.IntN(600))*time.Millisecond):
 		}
 	}
 }
 
-// draw picks a fault; the seed decides which and how long.
-func (s *soak) draw() func() {
+// randomFault returns a fault to inject. The seed determines its kind, target and duration.
+func (s *soak) randomFault() func() {
 	p := s.vms[s.rand.IntN(len(s.vms))]
-	w := s.workers[s.rand.IntN(len(s.workers))]
-	d := time.Duration(s.rand.Int64N(int64(faultMost)))
+	w := s.workerProxies[s.rand.IntN(len(s.workerProxies))]
+	d := time.Duration(s.rand.Int64N(int64(maxFaultDuration)))
 	domain := domains[s.rand.IntN(len(domains))]
 	choices := []func(){
 		func() { s.restart(p, syscall.SIGKILL) },
 		func() { s.restart(p, syscall.SIGTERM) },
 		func() { s.pause(p, d) },
 		func() { p.signal(syscall.SIGHUP) },
-		func() { during(d, p.store, func(x *proxy) { x.toTarget, x.toCaller = true, true }) },
-		func() { during(d, p.store, func(x *proxy) { x.toCaller = true }) },
-		func() { during(d, p.store, func(x *proxy) { x.delay = 120 * time.Millisecond }) },
-		func() { during(d, p.store, func(x *proxy) { x.refuse = true }) },
-		func() { p.store.reset() },
-		func() { during(d, p.peer, func(x *proxy) { x.toTarget, x.toCaller = true, true }) },
-		func() { during(d, p.peer, func(x *proxy) { x.toCaller = true }) },
-		func() { p.peer.reset() },
-		func() { during(d, w, func(x *proxy) { x.toTarget, x.toCaller = true, true }) },
-		func() { during(d, w, func(x *proxy) { x.toCaller = true }) },
-		func() { w.reset() },
-		func() { s.storeOut(d) },
+		func() { applyFor(d, p.storeProxy, func(x *proxy) { x.dropToTarget, x.dropToCaller = true, true }) },
+		func() { applyFor(d, p.storeProxy, func(x *proxy) { x.dropToCaller = true }) },
+		func() { applyFor(d, p.storeProxy, func(x *proxy) { x.delay = 120 * time.Millisecond }) },
+		func() { applyFor(d, p.storeProxy, func(x *proxy) { x.resetNew = true }) },
+		func() { p.storeProxy.resetConnections() },
+		func() { applyFor(d, p.peerProxy, func(x *proxy) { x.dropToTarget, x.dropToCaller = true, true }) },
+		func() { applyFor(d, p.peerProxy, func(x *proxy) { x.dropToCaller = true }) },
+		func() { p.peerProxy.resetConnections() },
+		func() { applyFor(d, w, func(x *proxy) { x.dropToTarget, x.dropToCaller = true, true }) },
+		func() { applyFor(d, w, func(x *proxy) { x.dropToCaller = true }) },
+		func() { w.resetConnections() },
+		func() { s.silenceStore(d) },
 		func() { s.evacuate(domain, d) },
 	}
 	return choices[s.rand.IntN(len(choices))]
 }
 
-func during(d time.Duration, p *proxy, fault func(*proxy)) {
-	p.set(fault)
+// applyFor sets a fault of a proxy for the given time.
+func applyFor(d time.Duration, p *proxy, fault func(*proxy)) {
+	p.setFault(fault)
 	time.Sleep(d)
-	p.heal()
+	p.clearFaults()
 }
 
-// storeOut silences the store for all VMs.
-func (s *soak) storeOut(d time.Duration) {
+// silenceStore drops all replies of the store to all VMs.
+func (s *soak) silenceStore(d time.Duration) {
 	for _, p := range s.vms {
-		p.store.set(func(x *proxy) { x.toCaller = true })
+		p.storeProxy.setFault(func(x *proxy) { x.dropToCaller = true })
 	}
 	time.Sleep(d)
 	for _, p := range s.vms {
-		p.store.heal()
+		p.storeProxy.clearFaults()
 	}
 }
 
-// evacuate has nothing start in a domain for some time.
+// evacuate evacuates a failure domain for the given time.
 func (s *soak) evacuate(domain string, d time.Duration) {
 	s.site.Store.Put(daemon.EvacuationPrefix+domain, []byte("{}"))
 	time.Sleep(d)
 	s.site.Store.Delete(daemon.EvacuationPrefix + domain)
 }
 
-// pause stops a process and lets it go on.
+// pause suspends a process for the given time.
 func (s *soak) pause(p *process, d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.signal(syscall.SIGCONT)
 }
 
-// restart ends a process and starts it again.
+// restart ends a process with the signal and starts a new one.
 func (s *soak) restart(p *process, sig syscall.Signal) {
-	life := p.life()
+	exited := p.exitChannel()
 	p.signal(sig)
 	p.signal(syscall.SIGCONT)
-	<-life
-	time.Sleep(restartPause)
-	p.starting.Lock()
-	defer p.starting.Unlock()
-	if p.life() != life {
-		return // another fault has started it meanwhile
+	<-exited
+	time.Sleep(restartDelay)
+	p.startMu.Lock()
+	defer p.startMu.Unlock()
+	if p.exitChannel() != exited {
+		return // another fault has restarted it in the meantime
 	}
 	if err := p.run(s.opt.Daemon); err != nil {
-		fmt.Fprintf(s.opt.Out, "%s does not start: %v\n", p.name, err)
+		fmt.Fprintf(s.opt.Out, "%s failed to start: %v\n", p.name, err)
 	}
 }
 
-func (s *soak) heal() {
+// clearFaults resumes all processes and ends the faults of all proxies.
+func (s *soak) clearFaults() {
 	for _, p := range s.vms {
 		p.signal(syscall.SIGCONT)
-		p.store.heal()
-		p.peer.heal()
+		p.storeProxy.clearFaults()
+		p.peerProxy.clearFaults()
 	}
-	for _, w := range s.workers {
-		w.heal()
+	for _, w := range s.workerProxies {
+		w.clearFaults()
 	}
 }
--- a/internal/tool/soak/process.go
+++ b/internal/tool/soak/process.go
@@ -7,28 +7,28 @@
 	"syscall"
 )
 
-// process is one entry VM as a process of its own.
+// process is an entry VM that runs as a separate process.
 type process struct {
-	name     string
-	settings string // file
-	callers  string // URL
-	peer     *proxy
-	store    *proxy
-	logPath  string
+	name         string
+	settingsPath string
+	callerURL    string
+	peerProxy    *proxy
+	storeProxy   *proxy
+	logPath      string
 
-	starting sync.Mutex // held while a new process is started
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	exited   chan struct{}
+	startMu sync.Mutex // held while a new process is started
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
 }
 
-// run starts the VM's process.
+// run starts a process of the VM.
 func (p *process) run(binary string) error {
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(binary, "kept", "--settings", p.settings)
+	cmd := exec.Command(binary, "kept", "--settings", p.settingsPath)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		_ = log.Close()
@@ -36,7 +36,7 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // a killed process has an error, which says nothing
+		_ = cmd.Wait() // a killed process always returns an error
 		_ = log.Close()
 		close(exited)
 	}()
@@ -54,8 +54,8 @@
 	}
 }
 
-// life is closed when the present process has ended.
-func (p *process) life() chan struct{} {
+// exitChannel returns a channel that is closed when the current process has ended.
+func (p *process) exitChannel() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
--- a/internal/tool/soak/proxy.go
+++ b/internal/tool/soak/proxy.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// proxy passes connections on to a target, until it is told to treat them badly.
+// proxy forwards TCP connections to a target, with faults that can be set at any time.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu                 sync.Mutex
-	delay              time.Duration // of each chunk
-	toTarget, toCaller bool          // silenced: bytes that way are swallowed
-	refuse             bool          // new connections are reset
-	conns              map[*pair]struct{}
+	mu                         sync.Mutex
+	delay                      time.Duration // of each chunk that is read
+	dropToTarget, dropToCaller bool          // bytes in this direction are dropped
+	resetNew                   bool          // reset new connections
+	conns                      map[*connPair]struct{}
 }
 
-type pair struct{ caller, target net.Conn }
+type connPair struct{ caller, target net.Conn }
 
 func newProxy(target string) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, conns: make(map[*pair]struct{})}
+	p := &proxy{listener: l, target: target, conns: make(map[*connPair]struct{})}
 	go p.run()
 	return p, nil
 }
@@ -34,7 +34,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.reset()
+	p.resetConnections()
 }
 
 func (p *proxy) run() {
@@ -44,9 +44,9 @@
 			return
 		}
 		p.mu.Lock()
-		refuse := p.refuse
+		resetNew := p.resetNew
 		p.mu.Unlock()
-		if refuse {
+		if resetNew {
 			abort(c)
 			continue
 		}
@@ -62,40 +62,40 @@
 	_ = c.Close()
 }
 
-const dialWithin = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
 func (p *proxy) serve(c net.Conn) {
-	t, err := net.DialTimeout("tcp", p.target, dialWithin)
+	t, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
 		abort(c)
 		return
 	}
-	pr := &pair{caller: c, target: t}
+	pr := &connPair{caller: c, target: t}
 	p.mu.Lock()
 	p.conns[pr] = struct{}{}
 	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.pass(t, c, true) })
-	ways.Go(func() { p.pass(c, t, false) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(t, c, true) })
+	directions.Go(func() { p.forward(c, t, false) })
+	directions.Wait()
 	p.mu.Lock()
 	delete(p.conns, pr)
 	p.mu.Unlock()
 }
 
-// pass copies one way and ends both connections when one ends.
-func (p *proxy) pass(to, from net.Conn, toTarget bool) {
+// forward copies bytes in one direction and ends both connections when one ends.
+func (p *proxy) forward(to, from net.Conn, toTarget bool) {
 	defer abort(to)
 	defer abort(from)
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			delay, swallow := p.treatment(toTarget)
+			delay, drop := p.activeFaults(toTarget)
 			if delay > 0 {
 				time.Sleep(delay)
 			}
-			if !swallow {
+			if !drop {
 				if _, err := to.Write(buffer[:n]); err != nil {
 					return
 				}
@@ -107,19 +107,20 @@
 	}
 }
 
-func (p *proxy) treatment(toTarget bool) (delay time.Duration, swallow bool) {
+// activeFaults returns the delay and whether bytes in the given direction are dropped.
+func (p *proxy) activeFaults(toTarget bool) (delay time.Duration, drop bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if toTarget {
-		return p.delay, p.toTarget
+		return p.delay, p.dropToTarget
 	}
-	return p.delay, p.toCaller
+	return p.delay, p.dropToCaller
 }
 
-// reset ends all connections.
-func (p *proxy) reset() {
+// resetConnections ends all connections.
+func (p *proxy) resetConnections() {
 	p.mu.Lock()
-	var all []*pair
+	var all []*connPair
 	for pr := range p.conns {
 		all = append(all, pr)
 	}
@@ -130,19 +131,20 @@
 	}
 }
 
-func (p *proxy) set(change func(*proxy)) {
+func (p *proxy) setFault(change func(*proxy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
 }
 
-// heal ends all faults. Connections that swallowed bytes cannot be used any more.
-func (p *proxy) heal() {
+// clearFaults ends all faults. It resets the connections if bytes were dropped, since they can no
+// longer be used.
+func (p *proxy) clearFaults() {
 	p.mu.Lock()
-	swallowed := p.toTarget || p.toCaller
-	p.delay, p.toTarget, p.toCaller, p.refuse = 0, false, false, false
+	dropped := p.dropToTarget || p.dropToCaller
+	p.delay, p.dropToTarget, p.dropToCaller, p.resetNew = 0, false, false, false
 	p.mu.Unlock()
-	if swallowed {
-		p.reset()
+	if dropped {
+		p.resetConnections()
 	}
 }
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -1,10 +1,10 @@
-// Package soak runs real entry VMs as separate processes, injects faults from outside
-// them, and checks the promises by what callers and workers see.
+// Package soak runs entry VMs as separate processes, injects faults from outside, and checks
+// the guarantees from what callers and workers observe.
 //
-// Faults: connections between the VMs, to the store and to workers are delayed, reset,
-// silenced or cut one way by loopback proxies; processes are paused, killed, stopped and
-// started again by signals. Signals and faults come in series and overlap. The store
-// and the workers are stand-ins in the soak's own process, which records what runs.
+// Loopback proxies delay, reset or silence the connections between the VMs, to the store and
+// to the workers, in one or both directions. Signals pause, kill and stop the processes, which
+// are then restarted. Faults follow each other at random intervals and may overlap. The store
+// and the workers are stand-ins in the soak's own process, which records every run of a task.
 package soak
 
 import (
@@ -33,58 +33,58 @@
 type Options struct {
 	Daemon   string // path of pumiceyardd
 	Seed     uint64
-	Duration time.Duration // of the faults; the recovery takes some seconds more
+	Duration time.Duration // how long faults are injected; the recovery takes some seconds more
 	VMs      int
 	LogDir   string // directory for the VMs' logs
 	Out      io.Writer
 }
 
-// Times of a soak.
+// Timing of a soak.
 const (
-	readyWithin  = 15 * time.Second
-	healedWithin = 20 * time.Second // for all accepted work to end after the faults
-	faultMost    = 2500 * time.Millisecond
-	faultPause   = 400 * time.Millisecond
-	submitPause  = 25 * time.Millisecond
-	restartPause = 300 * time.Millisecond
-	endedSlack   = time.Second // a start so long after the end was shown is a second one
+	readyTimeout      = 15 * time.Second
+	recoveryTimeout   = 20 * time.Second // for all accepted work to end after the faults
+	maxFaultDuration  = 2500 * time.Millisecond
+	minFaultInterval  = 400 * time.Millisecond
+	minSubmitInterval = 25 * time.Millisecond
+	restartDelay      = 300 * time.Millisecond
+	lateStartWait     = time.Second // wait after the end of all submissions, so that a late second start is seen
 )
 
 var domains = []string{"hall-a", "hall-b"}
 
 type soak struct {
-	opt     Options
-	rand    *rand.Rand
-	site    *keptsite.Site
-	vms     []*process
-	workers []*proxy
-	began   time.Time
+	opt           Options
+	rand          *rand.Rand
+	site          *keptsite.Site
+	vms           []*process
+	workerProxies []*proxy
+	startedAt     time.Time
 
-	mu      sync.Mutex
-	taken   map[string]time.Time // kept submissions that were accepted
-	refused []string             // submissions whose only attempt was refused as not run
-	counts  map[string]int
-	faults  int
+	mu         sync.Mutex
+	acceptedAt map[string]time.Time // by key of the accepted stored submissions
+	refused    []string             // keys of the submissions whose only attempt was refused as not run
+	outcomes   map[string]int
+	faultCount int
 }
 
-// Broken is a promise that the soak saw broken.
+// Violation is a guarantee that did not hold in a soak.
 type Violation struct {
 	Seed      uint64
 	Guarantee string
 }
 
 func (b *Violation) Error() string {
-	return fmt.Sprintf("seed %d: broken promise: %s", b.Seed, b.Guarantee)
+	return fmt.Sprintf("seed %d: guarantee violated: %s", b.Seed, b.Guarantee)
 }
 
-// Run runs one soak and returns what it found broken.
+// Run runs one soak. It returns a *Violation if a guarantee did not hold.
 func Run(ctx context.Context, opt Options) error {
 	s := &soak{
-		opt:    opt,
-		rand:   rand.New(rand.NewPCG(opt.Seed, 1)),
-		began:  time.Now(),
-		taken:  make(map[string]time.Time),
-		counts: make(map[string]int),
+		opt:        opt,
+		rand:       rand.New(rand.NewPCG(opt.Seed, 1)),
+		startedAt:  time.Now(),
+		acceptedAt: make(map[string]time.Time),
+		outcomes:   make(map[string]int),
 	}
 	defer s.stop()
 	if err := s.start(ctx); err != nil {
@@ -92,23 +92,23 @@
 	}
 	working, stop := context.WithTimeout(ctx, opt.Duration)
 	defer stop()
-	var duties sync.WaitGroup
+	var submitters sync.WaitGroup
 	for i := range 3 {
-		duties.Go(func() { s.submitAll(working, i) })
+		submitters.Go(func() { s.submitAll(working, i) })
 	}
-	s.inject(working)
-	duties.Wait()
-	s.heal()
-	err := s.judge(ctx)
-	fmt.Fprintf(opt.Out, "seed %d: %d faults, %v, %.1f s: %v\n", opt.Seed, s.faults, s.counts, time.Since(s.began).Seconds(), verdict(err))
+	s.injectFaults(working)
+	submitters.Wait()
+	s.clearFaults()
+	err := s.checkGuarantees(ctx)
+	fmt.Fprintf(opt.Out, "seed %d: %d faults, %v, %.1f s: %v\n", opt.Seed, s.faultCount, s.outcomes, time.Since(s.startedAt).Seconds(), resultText(err))
 	return err
 }
 
-func verdict(err error) string {
+func resultText(err error) string {
 	if err != nil {
 		return err.Error()
 	}
-	return "all promises kept"
+	return "all guarantees held"
 }
 
 func (s *soak) start(ctx context.Context) error {
@@ -117,7 +117,7 @@
 		if err != nil {
 			return "", err
 		}
-		s.workers = append(s.workers, p)
+		s.workerProxies = append(s.workerProxies, p)
 		return p.address(), nil
 	})
 	if err != nil {
@@ -165,38 +165,38 @@
 		return err
 	}
 	p := &process{
-		name:     name,
-		settings: filepath.Join(s.opt.LogDir, fmt.Sprintf("%d-%s.json", s.opt.Seed, name)),
-		logPath:  filepath.Join(s.opt.LogDir, fmt.Sprintf("%d-%s.log", s.opt.Seed, name)),
-		callers:  "http://" + callers,
-		peer:     peer,
-		store:    store,
+		name:         name,
+		settingsPath: filepath.Join(s.opt.LogDir, fmt.Sprintf("%d-%s.json", s.opt.Seed, name)),
+		logPath:      filepath.Join(s.opt.LogDir, fmt.Sprintf("%d-%s.log", s.opt.Seed, name)),
+		callerURL:    "http://" + callers,
+		peerProxy:    peer,
+		storeProxy:   store,
 	}
 	s.vms = append(s.vms, p)
-	if err := os.WriteFile(p.settings, b, 0o600); err != nil {
+	if err := os.WriteFile(p.settingsPath, b, 0o600); err != nil {
 		return err
 	}
 	return p.run(s.opt.Daemon)
 }
 
-var errNotReady = errors.New("soak: the VMs did not become ready")
+var errNotReady = errors.New("soak: not all VMs completed a test submission in time")
 
-// awaitReady waits until a transient submission is answered at each VM.
+// awaitReady waits until each VM has completed a transient submission.
 func (s *soak) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i, p := range s.vms {
-		k, err := client.NewKeptClient(p.callers)
+		k, err := client.NewKeptClient(p.callerURL)
 		if err != nil {
 			return err
 		}
-		w := work(fmt.Sprintf("ready-%d", i), 1, 20, true)
+		w := newWork(fmt.Sprintf("ready-%d", i), 1, 20, true)
 		for ctx.Err() == nil {
 			state, err := k.Submit(ctx, w)
 			if err == nil && state == client.StateDone {
 				break
 			}
-			time.Sleep(submitPause)
+			time.Sleep(minSubmitInterval)
 		}
 	}
 	if ctx.Err() != nil {
@@ -205,16 +205,16 @@
 	return nil
 }
 
-func work(key string, tasks uint32, millis int, transient bool) client.Work {
-	return workOf(key, tasks, millis, transient, fmt.Sprintf(`{"run_millis":%d,"cpu_milli":2000}`, millis))
+func newWork(key string, tasks uint32, millis int, transient bool) client.Work {
+	return newWorkWithSpec(key, tasks, millis, transient, fmt.Sprintf(`{"run_millis":%d,"cpu_milli":2000}`, millis))
 }
 
-// crashing is work whose tasks crash their workers.
-func crashing(key string, millis int) client.Work {
-	return workOf(key, 1, millis, false, fmt.Sprintf(`{"run_millis":%d,"cpu_milli":2000,"crash":true}`, millis))
+// newCrashingWork returns work whose task crashes its workers.
+func newCrashingWork(key string, millis int) client.Work {
+	return newWorkWithSpec(key, 1, millis, false, fmt.Sprintf(`{"run_millis":%d,"cpu_milli":2000,"crash":true}`, millis))
 }
 
-func workOf(key string, tasks uint32, millis int, transient bool, spec string) client.Work {
+func newWorkWithSpec(key string, tasks uint32, millis int, transient bool, spec string) client.Work {
 	return client.Work{
 		Queue:     "crew-assignment",
 		Key:       key,
@@ -224,24 +224,24 @@
 	}
 }
 
-// submitAll hands work in at all VMs in turn, over connections that stay open.
+// submitAll submits work to randomly chosen VMs until ctx ends, then waits for the answers.
 func (s *soak) submitAll(ctx context.Context, caller int) {
 	r := rand.New(rand.NewPCG(s.opt.Seed, uint64(100+caller)))
-	var under sync.WaitGroup
-	defer under.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	for n := 0; ctx.Err() == nil; n++ {
 		key := fmt.Sprintf("s%d-c%d-%d", s.opt.Seed, caller, n)
-		w := work(key, 1+r.Uint32N(4), 20+r.IntN(400), r.IntN(2) == 0)
+		w := newWork(key, 1+r.Uint32N(4), 20+r.IntN(400), r.IntN(2) == 0)
 		if r.IntN(crashingEvery) == 0 {
-			w = crashing(crashingPrefix+key, r.IntN(100))
+			w = newCrashingWork(crashingPrefix+key, r.IntN(100))
 		}
 		at := s.vms[r.IntN(len(s.vms))]
-		under.Go(func() { s.submit(at, w) })
-		time.Sleep(submitPause + time.Duration(r.IntN(40))*time.Millisecond)
+		running.Go(func() { s.submit(at, w) })
+		time.Sleep(minSubmitInterval + time.Duration(r.IntN(40))*time.Millisecond)
 	}
 }
 
-const attemptWithin = 6 * time.Second
+const attemptTimeout = 6 * time.Second
 
 // One submission in crashingEvery has a task that crashes its workers; its key begins with crashingPrefix.
 const (
@@ -249,42 +249,43 @@
 	crashingPrefix = "crashing-"
 )
 
-// submit makes one attempt and keeps what was promised.
+// submit makes one attempt and records the outcome.
 func (s *soak) submit(at *process, w client.Work) {
-	ctx, cancel := context.WithTimeout(context.Background(), attemptWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
-	state, err := client.SubmitOnce(ctx, at.callers, w)
+	state, err := client.SubmitOnce(ctx, at.callerURL, w)
 	var notRun *client.NotRunError
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case errors.As(err, &notRun):
-		s.counts["refused"]++
+		s.outcomes["refused"]++
 		s.refused = append(s.refused, w.Key)
 	case err != nil:
-		s.counts["unknown"]++
+		s.outcomes["unknown"]++
 	case w.Transient:
-		s.counts["transient "+string(state)]++
+		s.outcomes["transient "+string(state)]++
 	default:
-		s.counts["taken"]++
-		s.taken[w.Key] = time.Now()
+		s.outcomes["taken"]++
+		s.acceptedAt[w.Key] = time.Now()
 	}
 }
 
-// judge waits for the end of all that was accepted, and checks what ran.
-func (s *soak) judge(ctx context.Context) error {
+// checkGuarantees waits until all accepted submissions have ended, and checks their results and
+// the recorded runs of their tasks.
+func (s *soak) checkGuarantees(ctx context.Context) error {
 	var all []string
 	for _, p := range s.vms {
-		all = append(all, p.callers)
+		all = append(all, p.callerURL)
 	}
 	k, err := client.NewKeptClient(all...)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, healedWithin)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	failed := make(map[string]bool)
-	for _, key := range s.accepted() {
+	for _, key := range s.acceptedKeys() {
 		state, err := k.Wait(ctx, key)
 		want := client.StateDone
 		if strings.HasPrefix(key, crashingPrefix) || s.mayHaveFailed(key, state) {
@@ -292,62 +293,62 @@
 			failed[key] = true
 		}
 		if err != nil || state != want {
-			return s.broken("the accepted submission %s ends as %s: it is %s (%v)", key, want, state, err)
+			return s.violation("accepted submission %s must end as %s: its state is %s (%v)", key, want, state, err)
 		}
 	}
 	if n := s.site.Fleet.MaxStartsAfterCrashLimit(); n > runhost.MaxStartsAfterCrashLimit {
-		return s.broken("a task that crashes its workers is given up: it was started %d times after %d crashes", n, runhost.CrashLimit)
+		return s.violation("a task that crashes its workers must be given up: one was started %d times after %d crashes", n, runhost.CrashLimit)
 	}
-	time.Sleep(endedSlack)
+	time.Sleep(lateStartWait)
 	if faults := s.site.Fleet.Violations(); len(faults) > 0 {
-		return s.broken("no task runs twice at once: %s", faults[0])
+		return s.violation("no task may run twice at the same time: %s", faults[0])
 	}
 	for _, key := range s.refused {
 		if n := s.site.Fleet.StartsOf(key); n > 0 {
-			return s.broken("a refusal is true: %s has run %d times", key, n)
+			return s.violation("a submission refused as not run must never start: tasks of %s were started %d times", key, n)
 		}
 	}
-	for _, key := range s.accepted() {
+	for _, key := range s.acceptedKeys() {
 		if !failed[key] && !s.site.Fleet.AllCompleted(key) {
-			return s.broken("each task of an accepted submission completes: %s", key)
+			return s.violation("each task of an accepted submission must complete: %s has tasks that did not", key)
 		}
 	}
 	return nil
 }
 
-// mayHaveFailed reports whether a submission may be shown as failed though its tasks do not crash: two
-// workers have crashed under them.
+// mayHaveFailed reports whether a failed state is allowed for a submission whose tasks do not crash
+// their workers: at least two workers have crashed while running them.
 func (s *soak) mayHaveFailed(key string, state client.State) bool {
 	return state == client.StateFailed && s.site.Fleet.Crashes(submission.ID(key)) > 1
 }
 
-func (s *soak) accepted() []string {
+func (s *soak) acceptedKeys() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for key := range s.taken {
+	for key := range s.acceptedAt {
 		out = append(out, key)
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (s *soak) broken(format string, args ...any) error {
+func (s *soak) violation(format string, args ...any) error {
 	return &Violation{Seed: s.opt.Seed, Guarantee: fmt.Sprintf(format, args...)}
 }
 
-// stop ends the processes that the soak started.
+// stop kills the VMs' processes and closes the proxies and stand-ins.
 func (s *soak) stop() {
 	for _, p := range s.vms {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
-		if life := p.life(); life != nil {
-			<-life
+		if exited := p.exitChannel(); exited != nil {
+			<-exited
 		}
-		p.store.close()
-		p.peer.close()
+		p.storeProxy.close()
+		p.peerProxy.close()
 	}
-	for _, w := range s.workers {
+	for _, w := range s.workerProxies {
 		w.close()
 	}
 	if s.site != nil {
