--- a/internal/connection/caller/decode.go
+++ b/internal/connection/caller/decode.go
@@ -20,11 +20,11 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return reason.BodyTooLarge, fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit)
+		return reason.BodyTooLarge, fmt.Sprintf("the body is over %d bytes", tooLarge.Limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return reason.BodyTooSlow, fmt.Sprintf("the body did not arrive within %s", s.settings.BodyTimeout)
+		return reason.BodyTooSlow, fmt.Sprintf("the body did not come within %s", s.settings.BodyTimeout)
 	case err != nil:
-		return reason.MalformedRequest, "the body is incomplete"
+		return reason.MalformedRequest, "the body ended early"
 	}
 	return parse(text, into)
 }
@@ -50,10 +50,10 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return reason.MalformedRequest, "the body is not valid JSON for this request: " + err.Error()
+		return reason.MalformedRequest, "not the JSON that is expected here: " + err.Error()
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return reason.MalformedRequest, "unexpected data after the JSON value"
+		return reason.MalformedRequest, "something follows the JSON value"
 	}
 	return "", ""
 }
@@ -66,11 +66,11 @@
 	case len(b.Tasks) == 0:
 		return reason.MalformedRequest, "tasks is empty"
 	case len(b.Tasks) > s.MaxTasks:
-		return reason.TooManyTasks, fmt.Sprintf("%d tasks exceed the maximum of %d", len(b.Tasks), s.MaxTasks)
+		return reason.TooManyTasks, fmt.Sprintf("%d tasks, at most %d are allowed", len(b.Tasks), s.MaxTasks)
 	}
 	for i, task := range b.Tasks {
 		if nestingDepth(task) > s.MaxDepth {
-			return reason.MalformedRequest, fmt.Sprintf("task %d is nested more than %d levels deep", i, s.MaxDepth)
+			return reason.MalformedRequest, fmt.Sprintf("task %d nests more than %d levels", i, s.MaxDepth)
 		}
 	}
 	return "", ""
--- a/internal/connection/caller/idempotency.go
+++ b/internal/connection/caller/idempotency.go
@@ -21,7 +21,7 @@
 // earlier request with the key ran.
 func (s *Server) submitWithKey(w http.ResponseWriter, r *http.Request, account, key string, body *SubmitBody) {
 	if len(key) > maxKeyBytes {
-		refuseAs(w, body.refusedOutcome(r), reason.MalformedRequest, fmt.Sprintf("%s is longer than %d bytes", idempotencyHeader, maxKeyBytes))
+		refuseAs(w, body.refusedOutcome(r), reason.MalformedRequest, fmt.Sprintf("%s is over %d bytes", idempotencyHeader, maxKeyBytes))
 		return
 	}
 	_, token := s.router.Mint(account)
@@ -39,7 +39,7 @@
 	}
 	t, err := s.router.Parse(bound, account)
 	if err != nil {
-		refuse(w, r, err.Code, "the ticket that the idempotency key is bound to is refused: "+err.Detail)
+		refuse(w, r, err.Code, "the ticket that the key is bound to: "+err.Detail)
 		return
 	}
 	// If the key is bound to another ticket, an earlier request with this key may
--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -85,7 +85,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		doc := s.configuration()
 		if doc == nil {
-			refuse(w, r, reason.NoConfiguration, "this entry VM has not received a configuration revision yet")
+			refuse(w, r, reason.NoConfiguration, "no configuration revision is known yet")
 			return
 		}
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -95,7 +95,7 @@
 		}
 		account := doc.AccountOfKey(key)
 		if account == nil {
-			refuse(w, r, reason.WrongKey, "the bearer token is not the key of any client account")
+			refuse(w, r, reason.WrongKey, "the key belongs to no client account")
 			return
 		}
 		next(w, r, account.Name)
@@ -111,7 +111,7 @@
 // refuseAs answers a request that had no effect, with a given outcome.
 func refuseAs(w http.ResponseWriter, outcome reason.Outcome, code reason.Code, detail string) {
 	if outcome == reason.Unknown {
-		detail += "; this request ran nothing, but an earlier request with the same ticket or key may have"
+		detail += "; this request ran nothing, an earlier one under the same ticket or key may have"
 	}
 	writeProblem(w, Problem{
 		Status:  statusOf(code, outcome),
@@ -152,7 +152,7 @@
 		return
 	}
 	if s.router.Leaving() {
-		refuse(w, r, reason.Draining, "this entry VM is shutting down; send the request to another one")
+		refuse(w, r, reason.Draining, "the entry VM is stopping: ask another one")
 		return
 	}
 	out := Tickets{Tickets: make([]IssuedTicket, 0, body.Count)}
@@ -173,7 +173,7 @@
 	}
 	t := s.configuration().Template(body.Template)
 	if t == nil {
-		refuseAs(w, body.refusedOutcome(r), reason.UnknownTemplate, "there is no template of this name")
+		refuseAs(w, body.refusedOutcome(r), reason.UnknownTemplate, "no template has that name")
 		return
 	}
 	if key := r.Header.Get(idempotencyHeader); key != "" {
@@ -181,7 +181,7 @@
 		return
 	}
 	if !t.Idempotent {
-		refuse(w, r, reason.TicketRequired, "the template is not idempotent: submit with PUT and a ticket, or send an "+idempotencyHeader)
+		refuse(w, r, reason.TicketRequired, "the template is not idempotent: PUT it under a ticket, or send an "+idempotencyHeader)
 		return
 	}
 	tk, token := s.router.Mint(account)
@@ -259,7 +259,7 @@
 			Status:  http.StatusNotFound,
 			Outcome: reason.Unknown,
 			Reason:  reason.NoSuchSubmission,
-			Detail:  "no reachable entry VM is running this submission",
+			Detail:  "no entry VM that can be reached drives this submission",
 			Ticket:  token,
 		})
 		return
--- a/internal/connection/operator/server.go
+++ b/internal/connection/operator/server.go
@@ -73,7 +73,7 @@
 		_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			writeProblem(w, malformedRequest("the body is larger than %d bytes, arrived too slowly or is incomplete", maxBodyBytes))
+			writeProblem(w, malformedRequest("the body is over %d bytes, came too slowly or ended early", maxBodyBytes))
 			return
 		}
 		_ = control.SetReadDeadline(time.Time{})
@@ -163,7 +163,7 @@
 	if !r.URL.Query().Has("revision") {
 		doc, err := s.publisher.Current(r.Context())
 		if err == nil && doc == nil {
-			return nil, &Problem{Reason: NoRevision, Detail: "no configuration has been published yet"}
+			return nil, &Problem{Reason: NoRevision, Detail: "nothing was published yet"}
 		}
 		return doc, err
 	}
@@ -197,7 +197,7 @@
 	text := r.URL.Query().Get(name)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, malformedRequest("%s is %q, want a revision number", name, text)
+		return 0, malformedRequest("%s is %q, allowed is a revision number", name, text)
 	}
 	return n, nil
 }
@@ -231,10 +231,10 @@
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return malformedRequest("the body is not valid JSON for this request: %v", err)
+		return malformedRequest("not the JSON that is expected here: %v", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return malformedRequest("unexpected data after the JSON value")
+		return malformedRequest("something follows the JSON value")
 	}
 	return nil
 }
--- a/internal/connection/peer/client.go
+++ b/internal/connection/peer/client.go
@@ -76,7 +76,7 @@
 // Close closes all connections.
 func (c *Calls) Close() { c.pool.Close() }
 
-var errNoAnswer = errors.New("the home entry VM ended the call without an answer")
+var errNoAnswer = errors.New("the home ended the call without an answer")
 
 // Submit forwards a submission to its home and waits for the final answer. It
 // returns an error if no heartbeat arrives within the silence time-out. The home may
--- a/internal/connection/peer/server.go
+++ b/internal/connection/peer/server.go
@@ -68,7 +68,7 @@
 func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get(tokenHeader)), []byte(s.token)) != 1 {
-			http.Error(w, "the peer token does not match this entry VM's settings", http.StatusUnauthorized)
+			http.Error(w, "peer token does not match the settings", http.StatusUnauthorized)
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -85,11 +85,11 @@
 	}
 	hello := first.GetHello()
 	if hello == nil || (hello.PeerIncarnation != 0 && hello.PeerIncarnation != s.self.Incarnation) {
-		return connect.NewError(connect.CodeFailedPrecondition, errors.New("this entry VM has another incarnation than the requested one"))
+		return connect.NewError(connect.CodeFailedPrecondition, errors.New("not the incarnation that was asked for"))
 	}
 	session := &session{out: ring.New[*pb.RunResponse](s.settings.QueueSize)}
 	if !s.owner.Join(session) {
-		return connect.NewError(connect.CodeUnavailable, errors.New("this entry VM accepts no new sessions"))
+		return connect.NewError(connect.CodeUnavailable, errors.New("not taking sessions"))
 	}
 	defer s.owner.Leave(session)
 	if err := conn.Send(&pb.RunResponse{Advert: session.advertForHome(s.owner.Advert(), true)}); err != nil {
@@ -142,7 +142,7 @@
 			continue
 		case <-heartbeats.C:
 			if time.Since(lastReceived) > s.settings.SilenceTimeout {
-				return connect.NewError(connect.CodeDeadlineExceeded, errors.New("the home entry VM has sent no message within the silence time-out"))
+				return connect.NewError(connect.CodeDeadlineExceeded, errors.New("home is silent"))
 			}
 			beat++
 			m = &pb.RunResponse{Beat: beat}
--- a/internal/connection/runhost/runhost.go
+++ b/internal/connection/runhost/runhost.go
@@ -123,14 +123,14 @@
 // worker.Client.
 type Server struct {
 	info   worker.Info
-	worker worker.Client
+	client worker.Client
 	http   *http.Server
 }
 
 // NewServer returns a server that passes requests to client. Info describes the
 // worker, apart from its id.
 func NewServer(info worker.Info, client worker.Client) *Server {
-	s := &Server{info: info, worker: client}
+	s := &Server{info: info, client: client}
 	mux := http.NewServeMux()
 	mux.Handle(pumiceyardv1connect.NewRunHostServiceHandler(s, wire.HandlerOptions()...))
 	s.http = wire.NewServer(mux, nil)
@@ -162,7 +162,7 @@
 // StartRun implements RunHostServiceHandler.
 func (s *Server) StartRun(ctx context.Context, req *connect.Request[pb.StartRunRequest]) (*connect.Response[pb.RunReply], error) {
 	m := req.Msg
-	return runReply(s.worker.Start(ctx, s.addressedWorker(m.Worker), worker.Start{
+	return runReply(s.client.Start(ctx, s.addressedWorker(m.Worker), worker.Start{
 		Task:       taskRef(m.Task),
 		Run:        m.Run,
 		Spec:       m.Spec,
@@ -175,13 +175,13 @@
 // StopRun implements RunHostServiceHandler.
 func (s *Server) StopRun(ctx context.Context, req *connect.Request[pb.StopRunRequest]) (*connect.Response[pb.RunReply], error) {
 	m := req.Msg
-	return runReply(s.worker.Stop(ctx, s.addressedWorker(m.Worker), worker.Stop{Task: taskRef(m.Task), Run: m.Run, Token: m.Token}))
+	return runReply(s.client.Stop(ctx, s.addressedWorker(m.Worker), worker.Stop{Task: taskRef(m.Task), Run: m.Run, Token: m.Token}))
 }
 
 // HoldRuns implements RunHostServiceHandler.
 func (s *Server) HoldRuns(ctx context.Context, req *connect.Request[pb.HoldRunsRequest]) (*connect.Response[pb.HoldRunsResponse], error) {
 	m := req.Msg
-	l, r := s.worker.Hold(ctx, s.addressedWorker(m.Worker), worker.Hold{
+	l, r := s.client.Hold(ctx, s.addressedWorker(m.Worker), worker.Hold{
 		Token:    m.Token,
 		AckedEnd: m.Seen,
 		Deadline: time.Duration(m.DeadlineNs),
--- a/internal/connection/secure/secure.go
+++ b/internal/connection/secure/secure.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pair, err := tls.X509KeyPair(cert, key)
+	certificate, err := tls.X509KeyPair(cert, key)
 	if err != nil {
 		return nil, &FileError{Key, f.Key, fmt.Sprintf("%s, here of %s", allowedKey, f.Cert), err}
 	}
@@ -101,7 +101,7 @@
 	if !pool.AppendCertsFromPEM(ca) {
 		return nil, &FileError{CA, f.CA, allowedCA, errNoCA}
 	}
-	return &Credentials{certificate: pair, ca: pool}, nil
+	return &Credentials{certificate: certificate, ca: pool}, nil
 }
 
 // readFile reads one of the files; its path must be set. Devices and pipes are
--- a/internal/connection/wire/http.go
+++ b/internal/connection/wire/http.go
@@ -97,10 +97,10 @@
 func (c *Client) CloseAll() {
 	c.mu.Lock()
 	c.closed = true
-	open := c.openConns
+	openConns := c.openConns
 	c.openConns = nil
 	c.mu.Unlock()
-	for conn := range open {
+	for conn := range openConns {
 		_ = conn.Close()
 	}
 	c.CloseIdleConnections()
