--- a/internal/kept/shard/place.go
+++ b/internal/kept/shard/place.go
@@ -27,7 +27,7 @@
 }
 
 // sweepInterval is how often all submissions are checked for retries and time-outs that are due. The
-// shortest of these is 40 ms.
+// shortest fixed interval among these is stopRetryInterval.
 const sweepInterval = 5 * time.Millisecond
 
 // sweep carries out the retries and time-outs that are due.
@@ -228,7 +228,8 @@
 }
 
 // rejectIfWaitTooLong rejects a transient submission that has not begun once the policy says that waiting
-// longer is of no use. Its caller learns at once that it has not run.
+// longer is of no use. Its caller learns at once that it has not run. For a submission that is divided over
+// several shards, the home VM may recall all parts together.
 func (s *Shard) rejectIfWaitTooLong(now time.Duration, j *job) {
 	if !j.rec.Transient || j.rec.Partial || j.state.Final() || j.hasBegun() {
 		return
