--- a/internal/connection/caller/server.go
+++ b/internal/connection/caller/server.go
@@ -141,6 +141,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// issueTickets handles POST /v1/tickets.
 func (s *Server) issueTickets(w http.ResponseWriter, r *http.Request, account string) {
 	var body TicketsBody
 	if code, detail := s.decode(w, r, &body); code != "" {
@@ -189,6 +190,7 @@
 	s.submitAndAnswer(w, r, body, tk, token)
 }
 
+// submit handles PUT of a submission under a ticket.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, account string) {
 	token := mux.Vars(r)["ticket"]
 	t, err := s.router.Parse(token, account)
@@ -230,6 +232,8 @@
 	s.writeAnswer(w, token, s.awaitAnswer(w, r, func() *job.Answer { return s.router.Submit(r.Context(), req) }))
 }
 
+// attach handles GET of a submission: it waits for the answer, at most for
+// AttachTimeout, and responds with 204 if there is none by then.
 func (s *Server) attach(w http.ResponseWriter, r *http.Request, account string) {
 	token := mux.Vars(r)["ticket"]
 	t, err := s.router.Parse(token, account)
@@ -247,6 +251,8 @@
 	s.writeAnswer(w, token, a)
 }
 
+// cancel handles DELETE of a submission. A 202 says that the cancellation was
+// passed on, not that the submission has ended.
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request, account string) {
 	token := mux.Vars(r)["ticket"]
 	t, err := s.router.Parse(token, account)
@@ -327,6 +333,7 @@
 	return append(b, quoted...)
 }
 
+// timeline handles GET of a submission's timeline.
 func (s *Server) timeline(w http.ResponseWriter, r *http.Request, account string) {
 	t, err := s.router.Parse(mux.Vars(r)["ticket"], account)
 	if err != nil {
--- a/internal/connection/caller/write.go
+++ b/internal/connection/caller/write.go
@@ -44,6 +44,7 @@
 	return w.ResponseWriter.Write(b)
 }
 
+// startDeadline sets the write deadline unless it is set already.
 func (w *deadlineWriter) startDeadline() {
 	if w.started {
 		return
--- a/internal/connection/operator/server.go
+++ b/internal/connection/operator/server.go
@@ -151,6 +151,7 @@
 	return p
 }
 
+// explain handles GET /v1/explain/{ticket}.
 func (s *Server) explain(r *http.Request) (any, error) {
 	t, err := s.vm.ParseTicket(mux.Vars(r)["ticket"])
 	if err != nil {
@@ -159,6 +160,7 @@
 	return caller.NewTimeline(t.ID, s.vm.Collect(r.Context(), t.ID)), nil
 }
 
+// configuration handles GET /v1/configuration.
 func (s *Server) configuration(r *http.Request) (any, error) {
 	if !r.URL.Query().Has("revision") {
 		doc, err := s.publisher.Current(r.Context())
--- a/internal/connection/peer/link.go
+++ b/internal/connection/peer/link.go
@@ -77,6 +77,7 @@
 	<-l.done
 }
 
+// run opens one connection after the other until ctx ends.
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
 	for ctx.Err() == nil {
--- a/internal/connection/runhost/runhost.go
+++ b/internal/connection/runhost/runhost.go
@@ -37,6 +37,7 @@
 // Close closes all connections of the client.
 func (c *Client) Close() { c.pool.Close() }
 
+// noAnswer is the reply to a call that failed.
 var noAnswer = worker.Reply{Verdict: worker.NoAnswer}
 
 // call makes one call. If it is not answered, call closes its connection and returns
@@ -150,6 +151,7 @@
 	return info
 }
 
+// errNoAnswer is returned to a caller if the simulated worker gives no answer.
 var errNoAnswer = connect.NewError(connect.CodeUnavailable, context.DeadlineExceeded)
 
 func runReply(r worker.Reply) (*connect.Response[pb.RunReply], error) {
--- a/internal/connection/upstream/link.go
+++ b/internal/connection/upstream/link.go
@@ -85,6 +85,7 @@
 	<-l.done
 }
 
+// run tries to hold the lease until ctx ends or the link is released.
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
 	for ctx.Err() == nil && !l.release.Load() {
--- a/internal/connection/wire/http.go
+++ b/internal/connection/wire/http.go
@@ -19,7 +19,7 @@
 	frameBytes        = 256 << 10
 )
 
-// unencrypted returns HTTP/1 and HTTP/2, the latter with and without TLS.
+// serverProtocols returns HTTP/1 and HTTP/2, the latter with and without TLS.
 func serverProtocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -90,7 +90,7 @@
 	return &trackedConn{Conn: conn, client: c}, nil
 }
 
-// Leave closes all connections, including those with requests in flight, and makes
+// CloseAll closes all connections, including those with requests in flight, and makes
 // further dials fail. Cancelling the context of a stream is not enough: the transport
 // notices it only after its next write, and on a dead connection a write may block
 // for minutes. The reader of the cancelled stream would wait as long.
--- a/internal/connection/wire/pool.go
+++ b/internal/connection/wire/pool.go
@@ -35,7 +35,7 @@
 	return c
 }
 
-// Leave closes the connection of a client that did not answer and removes the client
+// Discard closes the connection of a client that did not answer and removes the client
 // from the pool. A dead connection may stay open indefinitely while a new one would
 // work, so the next call must not reuse it.
 func (p *Pool[S]) Discard(address string, c *Pooled[S]) {
--- a/internal/process/entry/fleet_test.go
+++ b/internal/process/entry/fleet_test.go
@@ -70,7 +70,7 @@
 	}}
 }
 
-// Report and Took make the rig a holder.Session.
+// Report and AddTaken make the rig a holder.Session.
 func (r *rig) Report(m *pb.RunResponse) {
 	for _, group := range m.Results {
 		r.results = append(r.results, group.Results...)
--- a/internal/process/entry/peers.go
+++ b/internal/process/entry/peers.go
@@ -347,7 +347,7 @@
 // name is this entry VM's, as home and as owner.
 func (l *localSession) name() string { return l.vm.settings.Name }
 
-// Took implements holder.Session.
+// AddTaken implements holder.Session.
 func (l *localSession) AddTaken(tasks int) { l.taken.add(tasks) }
 
 func (l *localSession) send(m *pb.RunRequest) bool {
--- a/internal/process/holder/doc.go
+++ b/internal/process/holder/doc.go
@@ -69,7 +69,7 @@
 type Session interface {
 	// Report queues results for the home and does not block.
 	Report(m *pb.RunResponse)
-	// Took counts tasks of an offer that show in the advert from now on.
+	// AddTaken counts tasks of an offer that show in the advert from now on.
 	AddTaken(tasks int)
 }
 
