--- a/internal/process/entry/control.go
+++ b/internal/process/entry/control.go
@@ -104,7 +104,7 @@
 	return false
 }
 
-// Exchanged implements peer.Control.
+// HandleExchange implements peer.Control.
 func (c controlled) HandleExchange(m *pb.ExchangeRequest) {
 	from := distribution.Peer{ID: m.EntryVm, Domain: m.Domain}
 	for _, message := range m.Messages {
