--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -39,10 +39,10 @@
 const (
 	unassigned taskState = iota // never started, free to hand out
 	assigned                    // handed out, no news
-	uncertain                   // its batch is being sealed
+	sealing                     // its batch is being sealed
 	running                     // known to run on a worker, followed there
-	done
-	ended // failed, stopped or unknown
+	completed
+	endedWithoutOutput // failed, stopped or unknown
 )
 
 type task struct {
@@ -53,35 +53,35 @@
 
 // batch is a set of tasks handed out together.
 type batch struct {
-	owner   string
-	workers []string // where its tasks may start
-	gen     ticket.Generation
-	live    int      // tasks of it that are assigned or uncertain
-	pending []string // workers whose seal is awaited
-	gone    bool     // a worker can not be asked any more
+	owner       string
+	workers     []string // where its tasks may start
+	gen         ticket.Generation
+	unresolved  int      // tasks of it that are assigned or uncertain
+	pending     []string // workers whose seal is awaited
+	unreachable bool     // a worker can not be asked any more
 }
 
 // Job is the state of one submission. It is not safe for concurrent use.
 type Job struct {
-	spec    Spec
-	self    uint64 // incarnation of this driver
-	gen     ticket.Generation
-	fences  map[string]ticket.Generation // highest seal asked, by worker
-	tasks   []task
-	batches []batch
-	counts  [ended + 1]int
-	started bool // at least one task is known to have started
+	spec           Spec
+	self           uint64 // incarnation of this driver
+	gen            ticket.Generation
+	requestedSeals map[string]ticket.Generation // highest seal asked, by worker
+	tasks          []task
+	batches        []batch
+	counts         [endedWithoutOutput + 1]int
+	started        bool // at least one task is known to have started
 	// followed are the workers on which tasks were found running.
-	followed []string
-	ending   *Answer
-	settle   time.Time
-	closing  int // candidates tried for closing
-	answer   *Answer
+	followed       []string
+	pendingEnd     *Answer
+	settleDeadline time.Time
+	closeAttempts  int // candidates tried for closing
+	answer         *Answer
 	// superseded is the author of a higher generation, 0 while there is none.
-	superseded uint64
-	cursor     int // lowest index that may be unassigned
+	superseded     uint64
+	nextUnassigned int // lowest index that may be unassigned
 	// returned: a task that was handed out came back since the last raise.
-	returned bool
+	hasReturnedTask bool
 }
 
 // Actions is what the caller has to carry out after an event.
@@ -141,12 +141,12 @@
 		above = j.gen
 	}
 	j.gen = above.Next(j.self)
-	j.closing = 0
+	j.closeAttempts = 0
 	b := int32(len(j.batches))
-	j.batches = append(j.batches, batch{workers: candidates, gone: incomplete})
+	j.batches = append(j.batches, batch{workers: candidates, unreachable: incomplete})
 	for i := range j.tasks {
-		if s := j.tasks[i].state; s == unassigned || s == assigned || s == uncertain {
-			j.move(uint32(i), assigned, b)
+		if s := j.tasks[i].state; s == unassigned || s == assigned || s == sealing {
+			j.setState(uint32(i), assigned, b)
 		}
 	}
 	j.sealBatch(b, &a)
@@ -161,14 +161,16 @@
 
 // Unassigned is the number of tasks that may be handed out now.
 func (j *Job) Unassigned() int {
-	if j.answer != nil || j.ending != nil {
+	if j.answer != nil || j.pendingEnd != nil {
 		return 0
 	}
 	return j.counts[unassigned]
 }
 
 // Remaining is the number of tasks that have not ended.
-func (j *Job) Remaining() int { return len(j.tasks) - j.counts[done] - j.counts[ended] }
+func (j *Job) Remaining() int {
+	return len(j.tasks) - j.counts[completed] - j.counts[endedWithoutOutput]
+}
 
 // Superseded is the incarnation that drives the submission instead, or 0.
 func (j *Job) Superseded() uint64 { return j.superseded }
@@ -182,37 +184,37 @@
 	if limit <= 0 || len(workers) == 0 {
 		return nil
 	}
-	if j.returned {
-		j.raise()
+	if j.hasReturnedTask {
+		j.raiseGeneration()
 	}
 	b := int32(len(j.batches))
 	j.batches = append(j.batches, batch{owner: owner, workers: workers, gen: j.gen})
 	out := make([]uint32, 0, limit)
-	for ; len(out) < limit; j.cursor++ {
-		if j.tasks[j.cursor].state != unassigned {
+	for ; len(out) < limit; j.nextUnassigned++ {
+		if j.tasks[j.nextUnassigned].state != unassigned {
 			continue
 		}
-		j.move(uint32(j.cursor), assigned, b)
-		out = append(out, uint32(j.cursor))
+		j.setState(uint32(j.nextUnassigned), assigned, b)
+		out = append(out, uint32(j.nextUnassigned))
 	}
 	return out
 }
 
 // move changes a task's state and keeps the counts.
-func (j *Job) move(index uint32, to taskState, b int32) {
+func (j *Job) setState(index uint32, to taskState, b int32) {
 	t := &j.tasks[index]
-	if t.state == assigned || t.state == uncertain {
-		j.batches[t.batch].live--
+	if t.state == assigned || t.state == sealing {
+		j.batches[t.batch].unresolved--
 	}
 	j.counts[t.state]--
 	t.state = to
 	j.counts[to]++
 	t.batch = b
-	if to == assigned || to == uncertain {
-		j.batches[b].live++
+	if to == assigned || to == sealing {
+		j.batches[b].unresolved++
 	}
 	if to == unassigned {
-		j.cursor = min(j.cursor, int(index))
+		j.nextUnassigned = min(j.nextUnassigned, int(index))
 	}
 }
 
@@ -221,14 +223,14 @@
 // make a partial answer look complete.
 func (j *Job) TaskDone(index uint32, output []byte) Actions {
 	var a Actions
-	if !j.open(index) {
+	if !j.isOpen(index) {
 		return a
 	}
 	j.started = true
 	j.tasks[index].output = output
-	j.move(index, done, 0)
-	j.settleBatches(&a)
-	j.conclude(&a)
+	j.setState(index, completed, 0)
+	j.resolveBatches(&a)
+	j.answerIfKnown(&a)
 	return a
 }
 
@@ -236,48 +238,48 @@
 // not started twice, so no other try can make the answer complete.
 func (j *Job) TaskFailed(index uint32, code reason.Code, detail string) Actions {
 	var a Actions
-	if !j.open(index) {
+	if !j.isOpen(index) {
 		return a
 	}
 	j.started = true
-	j.move(index, ended, 0)
-	j.finish(&a, Answer{Outcome: reason.Failed, Reason: code, Detail: detail, FailedTask: index})
+	j.setState(index, endedWithoutOutput, 0)
+	j.finishWithFailure(&a, Answer{Outcome: reason.Failed, Reason: code, Detail: detail, FailedTask: index})
 	return a
 }
 
 // open reports whether news of a task can still change anything.
-func (j *Job) open(index uint32) bool {
+func (j *Job) isOpen(index uint32) bool {
 	if j.answer != nil || int(index) >= len(j.tasks) {
 		return false
 	}
-	return j.tasks[index].state < done
+	return j.tasks[index].state < completed
 }
 
 // TaskNotStarted takes an owner's word that a task was not started under the given
 // generation and never will be. Word on an older hand-out is dropped.
 func (j *Job) TaskNotStarted(owner string, gen ticket.Generation, index uint32, code reason.Code, worker string) Actions {
 	var a Actions
-	if !j.open(index) || !j.handedOut(owner, gen, index) {
+	if !j.isOpen(index) || !j.isAssigned(owner, gen, index) {
 		return a
 	}
 	t := &j.tasks[index]
-	foreign := code == reason.Sealed && !gen.Less(j.fences[worker])
+	foreign := code == reason.Sealed && !gen.Less(j.requestedSeals[worker])
 	if (foreign || code == reason.DuplicateTask) && worker != "" {
 		// The worker refused a generation this driver did not seal off, or has
 		// a record this driver does not know: another entry VM drives the
 		// submission. Handing the task out again would fight it; the worker's
 		// answer to a seal under the present generation tells.
-		j.doubt(index, worker, &a)
+		j.sealTask(index, worker, &a)
 		return a
 	}
-	j.move(index, unassigned, t.batch)
-	j.returned = true
-	j.conclude(&a)
+	j.setState(index, unassigned, t.batch)
+	j.hasReturnedTask = true
+	j.answerIfKnown(&a)
 	return a
 }
 
-// handedOut reports whether the task is assigned to owner under gen.
-func (j *Job) handedOut(owner string, gen ticket.Generation, index uint32) bool {
+// isAssigned reports whether the task is assigned to owner under gen.
+func (j *Job) isAssigned(owner string, gen ticket.Generation, index uint32) bool {
 	t := &j.tasks[index]
 	if t.state != assigned {
 		return false
@@ -291,36 +293,36 @@
 func (j *Job) StartsUnanswered(owner string, gen ticket.Generation, indexes []uint32, worker string) Actions {
 	var a Actions
 	for _, index := range indexes {
-		if j.open(index) && j.handedOut(owner, gen, index) {
-			j.doubt(index, worker, &a)
+		if j.isOpen(index) && j.isAssigned(owner, gen, index) {
+			j.sealTask(index, worker, &a)
 		}
 	}
 	return a
 }
 
 // raise makes later hand-outs and seals use a new generation.
-func (j *Job) raise() {
+func (j *Job) raiseGeneration() {
 	j.gen = j.gen.Raised()
-	j.returned = false
+	j.hasReturnedTask = false
 }
 
 // doubt moves one task into a batch that is sealed at one worker, above the
 // generation that the task was handed out under: a seal under the same one
 // would still let a late start of it through. It joins the batch whose seal was
 // asked last, when that is above.
-func (j *Job) doubt(index uint32, worker string, a *Actions) {
+func (j *Job) sealTask(index uint32, worker string, a *Actions) {
 	under := j.batches[j.tasks[index].batch].gen
 	for b := range j.batches {
 		at := &j.batches[b]
 		if under.Less(at.gen) && at.gen == j.gen && len(at.pending) == 1 && at.pending[0] == worker && len(at.workers) == 1 {
-			j.move(index, uncertain, int32(b))
+			j.setState(index, sealing, int32(b))
 			return
 		}
 	}
-	j.raise()
+	j.raiseGeneration()
 	j.batches = append(j.batches, batch{workers: []string{worker}, gen: j.gen})
 	b := int32(len(j.batches) - 1)
-	j.move(index, uncertain, b)
+	j.setState(index, sealing, b)
 	j.sealBatch(b, a)
 }
 
@@ -335,11 +337,11 @@
 	raised := false
 	for b := range j.batches {
 		at := &j.batches[b]
-		if at.owner != owner || at.live == 0 || len(at.pending) > 0 {
+		if at.owner != owner || at.unresolved == 0 || len(at.pending) > 0 {
 			continue
 		}
 		if !raised {
-			j.raise()
+			j.raiseGeneration()
 			raised = true
 		}
 		at.owner = ""
@@ -350,11 +352,11 @@
 
 // fence notes that a worker is asked to refuse generations below the present
 // one, so that such a refusal is told from one that another driver asked for.
-func (j *Job) fence(worker string) {
-	if j.fences == nil {
-		j.fences = make(map[string]ticket.Generation)
+func (j *Job) recordSeal(worker string) {
+	if j.requestedSeals == nil {
+		j.requestedSeals = make(map[string]ticket.Generation)
 	}
-	j.fences[worker] = j.gen
+	j.requestedSeals[worker] = j.gen
 }
 
 // sealBatch turns a batch uncertain and asks its workers.
@@ -365,15 +367,15 @@
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.batch == b && t.state == assigned {
-			j.move(uint32(i), uncertain, b)
+			j.setState(uint32(i), sealing, b)
 		}
 	}
 	for _, w := range at.workers {
-		j.fence(w)
+		j.recordSeal(w)
 		a.Seal = append(a.Seal, Seal{Worker: w, Gen: j.gen})
 	}
 	if len(at.workers) == 0 {
-		j.settleBatches(a)
-		j.conclude(a)
+		j.resolveBatches(a)
+		j.answerIfKnown(a)
 	}
 }
--- a/internal/request/job/seal.go
+++ b/internal/request/job/seal.go
@@ -49,16 +49,16 @@
 		return a
 	}
 	if !r.Sealed && j.gen.Less(r.HighestGen) && r.HighestGen.Author != j.self {
-		j.yield(&a, r.HighestGen)
+		j.yieldTo(&a, r.HighestGen)
 		return a
 	}
-	if r.Closed != "" && j.ending == nil {
-		j.takeClosed(&a, r)
+	if r.Closed != "" && j.pendingEnd == nil {
+		j.repeatClosedAnswer(&a, r)
 		return a
 	}
 	follow := Follow{Worker: r.Worker}
 	for _, rec := range r.Records {
-		j.adopt(&a, &follow, rec)
+		j.applyRecord(&a, &follow, rec)
 		if j.answer != nil {
 			return a
 		}
@@ -66,9 +66,9 @@
 	if len(follow.Indexes) > 0 {
 		a.Follow = append(a.Follow, follow)
 	}
-	j.answered(r.Worker, r.RequestedGen, false)
-	j.settleBatches(&a)
-	j.conclude(&a)
+	j.sealAnswered(r.Worker, r.RequestedGen, false)
+	j.resolveBatches(&a)
+	j.answerIfKnown(&a)
 	return a
 }
 
@@ -79,9 +79,9 @@
 	if j.answer != nil {
 		return a
 	}
-	j.answered(worker, asked, true)
-	j.settleBatches(&a)
-	j.conclude(&a)
+	j.sealAnswered(worker, asked, true)
+	j.resolveBatches(&a)
+	j.answerIfKnown(&a)
 	return a
 }
 
@@ -90,8 +90,8 @@
 func (j *Job) FollowedWorkerLost(worker string, indexes []uint32) Actions {
 	var a Actions
 	for _, index := range indexes {
-		if j.open(index) && j.tasks[index].state == running {
-			j.finish(&a, Answer{
+		if j.isOpen(index) && j.tasks[index].state == running {
+			j.finishWithFailure(&a, Answer{
 				Outcome:    reason.Unknown,
 				Reason:     reason.WorkerGone,
 				Detail:     "worker " + worker + " is gone and had started the task",
@@ -104,7 +104,7 @@
 }
 
 // yield ends this driver: another one holds a higher generation.
-func (j *Job) yield(a *Actions, higher ticket.Generation) {
+func (j *Job) yieldTo(a *Actions, higher ticket.Generation) {
 	j.superseded = higher.Author
 	j.answer = &Answer{
 		Outcome:  reason.Unknown,
@@ -117,8 +117,8 @@
 	j.release()
 }
 
-// takeClosed repeats the end that an earlier driver recorded.
-func (j *Job) takeClosed(a *Actions, r SealReply) {
+// repeatClosedAnswer repeats the end that an earlier driver recorded.
+func (j *Job) repeatClosedAnswer(a *Actions, r SealReply) {
 	outcome := reason.Failed
 	if r.Closed == closedNotRun {
 		outcome = reason.NotRun
@@ -130,15 +130,15 @@
 const closedNotRun reason.Code = "closed_not_run"
 
 // adopt takes over one record of a worker.
-func (j *Job) adopt(a *Actions, follow *Follow, rec Record) {
-	if !j.open(rec.Index) {
+func (j *Job) applyRecord(a *Actions, follow *Follow, rec Record) {
+	if !j.isOpen(rec.Index) {
 		return
 	}
 	j.started = true
 	switch rec.State {
 	case RecordRunning:
 		if j.tasks[rec.Index].state != running {
-			j.move(rec.Index, running, 0)
+			j.setState(rec.Index, running, 0)
 			if !slices.Contains(j.followed, follow.Worker) {
 				j.followed = append(j.followed, follow.Worker)
 			}
@@ -146,23 +146,23 @@
 		}
 	case RecordDone:
 		j.tasks[rec.Index].output = rec.Output
-		j.move(rec.Index, done, 0)
+		j.setState(rec.Index, completed, 0)
 	case RecordFailed:
-		j.move(rec.Index, ended, 0)
-		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.TaskFailed, Detail: rec.Failure, FailedTask: rec.Index})
+		j.setState(rec.Index, endedWithoutOutput, 0)
+		j.finishWithFailure(a, Answer{Outcome: reason.Failed, Reason: reason.TaskFailed, Detail: rec.Failure, FailedTask: rec.Index})
 	case RecordStopped:
-		j.move(rec.Index, ended, 0)
-		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.Stopped, Detail: rec.Failure, FailedTask: rec.Index})
+		j.setState(rec.Index, endedWithoutOutput, 0)
+		j.finishWithFailure(a, Answer{Outcome: reason.Failed, Reason: reason.Stopped, Detail: rec.Failure, FailedTask: rec.Index})
 	case RecordDiscarded:
-		j.move(rec.Index, ended, 0)
-		j.finish(a, Answer{Outcome: reason.Failed, Reason: reason.AnswerDiscarded, Detail: "the task ran, its output is no longer kept", FailedTask: rec.Index})
+		j.setState(rec.Index, endedWithoutOutput, 0)
+		j.finishWithFailure(a, Answer{Outcome: reason.Failed, Reason: reason.AnswerDiscarded, Detail: "the task ran, its output is no longer kept", FailedTask: rec.Index})
 	}
 }
 
 // answered strikes a worker off the batches that wait for its seal. An answer
 // to a seal under an older generation does not count: starts sent in between
 // may have been accepted after it.
-func (j *Job) answered(worker string, asked ticket.Generation, gone bool) {
+func (j *Job) sealAnswered(worker string, asked ticket.Generation, gone bool) {
 	for b := range j.batches {
 		at := &j.batches[b]
 		i := slices.Index(at.pending, worker)
@@ -170,27 +170,27 @@
 			continue
 		}
 		at.pending = slices.Delete(at.pending, i, i+1)
-		at.gone = at.gone || gone
+		at.unreachable = at.unreachable || gone
 	}
 }
 
-// settleBatches decides the tasks of batches whose workers have all answered:
+// resolveBatches decides the tasks of batches whose workers have all answered:
 // what no worker knows has not started, unless a worker could not be asked.
-func (j *Job) settleBatches(a *Actions) {
-	if j.counts[uncertain] == 0 || j.answer != nil {
+func (j *Job) resolveBatches(a *Actions) {
+	if j.counts[sealing] == 0 || j.answer != nil {
 		return
 	}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.state != uncertain {
+		if t.state != sealing {
 			continue
 		}
 		b := &j.batches[t.batch]
 		if len(b.pending) > 0 {
 			continue
 		}
-		if b.gone {
-			j.finish(a, Answer{
+		if b.unreachable {
+			j.finishWithFailure(a, Answer{
 				Outcome:    reason.Unknown,
 				Reason:     reason.WorkerGone,
 				Detail:     "a worker that may have started the task is gone",
@@ -198,7 +198,7 @@
 			})
 			return
 		}
-		j.move(uint32(i), unassigned, t.batch)
+		j.setState(uint32(i), unassigned, t.batch)
 	}
 }
 
@@ -212,17 +212,17 @@
 // none has started, else Failed.
 func (j *Job) GiveUp(now time.Time, code reason.Code, detail string, retryAfter time.Duration) Actions {
 	var a Actions
-	if j.answer != nil || j.ending != nil {
+	if j.answer != nil || j.pendingEnd != nil {
 		return a
 	}
-	j.ending = &Answer{Outcome: reason.Failed, Reason: code, Detail: detail, RetryAfter: retryAfter}
-	j.settle = now.Add(j.spec.SettleTimeout)
+	j.pendingEnd = &Answer{Outcome: reason.Failed, Reason: code, Detail: detail, RetryAfter: retryAfter}
+	j.settleDeadline = now.Add(j.spec.SettleTimeout)
 	if j.started {
-		j.finish(&a, *j.ending)
+		j.finishWithFailure(&a, *j.pendingEnd)
 		return a
 	}
-	a.Withdraw = j.owners()
-	j.conclude(&a)
+	a.Withdraw = j.ownersToWithdraw()
+	j.answerIfKnown(&a)
 	return a
 }
 
@@ -231,9 +231,9 @@
 	var a Actions
 	switch {
 	case j.answer != nil:
-	case j.ending != nil && !now.Before(j.settle):
-		j.finish(&a, *j.ending)
-	case j.ending == nil && !now.Before(j.spec.Deadline):
+	case j.pendingEnd != nil && !now.Before(j.settleDeadline):
+		j.finishWithFailure(&a, *j.pendingEnd)
+	case j.pendingEnd == nil && !now.Before(j.spec.Deadline):
 		return j.GiveUp(now, reason.DeadlineExceeded, "the deadline passed", 0)
 	}
 	return a
@@ -241,18 +241,18 @@
 
 // Due is when Tick has to be called next.
 func (j *Job) NextTick() time.Time {
-	if j.ending != nil {
-		return j.settle
+	if j.pendingEnd != nil {
+		return j.settleDeadline
 	}
 	return j.spec.Deadline
 }
 
 // owners lists those that hold tasks which may not have started.
-func (j *Job) owners() []string {
+func (j *Job) ownersToWithdraw() []string {
 	var out []string
 	for b := range j.batches {
 		at := &j.batches[b]
-		if at.live > 0 && at.owner != "" && !slices.Contains(out, at.owner) {
+		if at.unresolved > 0 && at.owner != "" && !slices.Contains(out, at.owner) {
 			out = append(out, at.owner)
 		}
 	}
@@ -260,53 +260,53 @@
 }
 
 // conclude answers when everything is known.
-func (j *Job) conclude(a *Actions) {
+func (j *Job) answerIfKnown(a *Actions) {
 	if j.answer != nil {
 		return
 	}
-	if j.counts[done] == len(j.tasks) {
+	if j.counts[completed] == len(j.tasks) {
 		j.complete(a)
 		return
 	}
-	if j.ending == nil {
+	if j.pendingEnd == nil {
 		return
 	}
 	if j.started {
-		j.finish(a, *j.ending)
+		j.finishWithFailure(a, *j.pendingEnd)
 		return
 	}
-	if j.counts[unassigned] == len(j.tasks) && j.closing == 0 {
-		j.close(a)
+	if j.counts[unassigned] == len(j.tasks) && j.closeAttempts == 0 {
+		j.recordNotRun(a)
 	}
 }
 
 // close records the end at the next candidate. One is enough, since a
 // recovering entry VM has to ask them all.
-func (j *Job) close(a *Actions) {
-	if j.closing >= len(j.spec.CloseCandidates) {
-		end := *j.ending
+func (j *Job) recordNotRun(a *Actions) {
+	if j.closeAttempts >= len(j.spec.CloseCandidates) {
+		end := *j.pendingEnd
 		end.Outcome = reason.Unknown
 		end.Detail += "; no candidate could be reached to record that nothing ran"
 		j.setAnswer(a, end)
 		return
 	}
-	j.fence(j.spec.CloseCandidates[j.closing])
-	a.Seal = append(a.Seal, Seal{Worker: j.spec.CloseCandidates[j.closing], Gen: j.gen, Closed: closedNotRun})
-	j.closing++
+	j.recordSeal(j.spec.CloseCandidates[j.closeAttempts])
+	a.Seal = append(a.Seal, Seal{Worker: j.spec.CloseCandidates[j.closeAttempts], Gen: j.gen, Closed: closedNotRun})
+	j.closeAttempts++
 }
 
 // awaits reports whether a closing seal of the given generation is awaited. Since
 // an earlier one the job may have taken over: then other tasks may have started.
-func (j *Job) awaits(asked ticket.Generation) bool {
-	return j.answer == nil && j.closing > 0 && asked == j.gen
+func (j *Job) awaitsClose(asked ticket.Generation) bool {
+	return j.answer == nil && j.closeAttempts > 0 && asked == j.gen
 }
 
 // CloseFailed takes the news that a candidate could not be asked to record the
 // end. The next one is tried.
 func (j *Job) CloseFailed(asked ticket.Generation) Actions {
 	var a Actions
-	if j.awaits(asked) {
-		j.close(&a)
+	if j.awaitsClose(asked) {
+		j.recordNotRun(&a)
 	}
 	return a
 }
@@ -314,14 +314,14 @@
 // Closed takes a candidate's answer to a closing seal.
 func (j *Job) HandleCloseReply(r SealReply) Actions {
 	var a Actions
-	if !j.awaits(r.RequestedGen) {
+	if !j.awaitsClose(r.RequestedGen) {
 		return a
 	}
 	if !r.Sealed {
-		j.yield(&a, r.HighestGen)
+		j.yieldTo(&a, r.HighestGen)
 		return a
 	}
-	end := *j.ending
+	end := *j.pendingEnd
 	end.Outcome = reason.NotRun
 	if len(r.Records) > 0 {
 		end.Outcome = reason.Failed
@@ -341,16 +341,16 @@
 // finish answers with a failure after something may have run: what has not
 // started is taken back, what runs is stopped, and the end is recorded so that
 // an entry VM that recovers the submission does not take it up again.
-func (j *Job) finish(a *Actions, ans Answer) {
+func (j *Job) finishWithFailure(a *Actions, ans Answer) {
 	if j.answer != nil {
 		return
 	}
-	if j.ending != nil && ans.Reason == reason.Stopped {
+	if j.pendingEnd != nil && ans.Reason == reason.Stopped {
 		// The task was stopped because the job had been given up; that is what
 		// the caller has to be told.
-		ans = *j.ending
+		ans = *j.pendingEnd
 	}
-	a.Withdraw = j.owners()
+	a.Withdraw = j.ownersToWithdraw()
 	a.Stop = j.followed
 	if len(j.spec.CloseCandidates) > 0 {
 		a.Seal = append(a.Seal, Seal{Worker: j.spec.CloseCandidates[0], Gen: j.gen, Closed: ans.Reason})
@@ -384,5 +384,5 @@
 	j.spec.Inputs = nil
 	j.tasks = nil
 	j.batches = nil
-	j.fences = nil
+	j.requestedSeals = nil
 }
