--- a/internal/request/job/job_test.go
+++ b/internal/request/job/job_test.go
@@ -26,7 +26,7 @@
 // lives, loses the answer of another task, raises its generation and hands the
 // first task out as well. Cause: the raised generation was above the recovering
 // entry VM's, so workers that this one had sealed accepted the home's start.
-func TestRaisingNeverPassesARecovery(t *testing.T) {
+func TestRaisedGenerationStaysBelowRecovery(t *testing.T) {
 	home := New(testSpec(4), 9)
 	recovery, _ := Recover(testSpec(4), 5, []string{"w1", "w2"}, false, ticket.Generation{})
 	for range 3 {
@@ -45,7 +45,7 @@
 // Symptom: a task runs on two workers. Sequence: an owner's "not started" is
 // delivered twice; the task is handed to the same owner again in between. Cause:
 // both hand-outs had one generation, so the copy passed for word on the second.
-func TestDoubledRefusalDoesNotFreeTheNextHandOut(t *testing.T) {
+func TestDuplicateRefusalDoesNotFreeReassignedTask(t *testing.T) {
 	j := New(testSpec(1), 9)
 	j.Assign("owner", []string{"w1"}, 1)
 	first := j.Generation()
@@ -64,7 +64,7 @@
 // one's; the worker is asked, knows nothing yet, and the start arrives after
 // that. Cause: the seal was asked under the generation of the hand-out itself,
 // which lets its start pass.
-func TestDoubtIsSealedAboveTheHandOut(t *testing.T) {
+func TestSealIsAboveGenerationOfAssignment(t *testing.T) {
 	for _, code := range []reason.Code{reason.Sealed, reason.DuplicateTask} {
 		j, a := Recover(testSpec(1), 5, []string{"w1"}, false, ticket.Generation{})
 		j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: a.Seal[0].Gen, Sealed: true, HighestGen: a.Seal[0].Gen})
@@ -82,7 +82,7 @@
 // the caller cancels at the home, whose closing is refused on w1; the home takes
 // over and asks all candidates; w2 can not be asked. Cause: the answer of w2 was
 // taken for a failed closing, and the next candidate's closing for the proof.
-func TestClosingEndsWithATakeOver(t *testing.T) {
+func TestTakeOverCancelsRecordingOfNotRun(t *testing.T) {
 	j := New(testSpec(1), 9)
 	a := j.Cancel(start)
 	closing := a.Seal[0]
@@ -103,7 +103,7 @@
 // Symptom: a cancelled submission ends as failed although nothing ran. Sequence:
 // as above, with every candidate answering. Cause: a closing that was overtaken
 // was not begun again.
-func TestClosingIsRepeatedAfterATakeOver(t *testing.T) {
+func TestNotRunIsRecordedAgainAfterTakeOver(t *testing.T) {
 	j := New(testSpec(1), 9)
 	j.Cancel(start)
 	takeover := j.TakeOver(ticket.Generation{Counter: 1, Author: 5}, []string{"w1"}, false)
@@ -123,7 +123,7 @@
 // generation; a refusal from w2, which it did not ask, says that a task handed
 // out before is sealed off. Cause: its own seal at w1 was taken for the reason,
 // and the task was handed out again although w2 was not asked.
-func TestOwnSealElsewhereDoesNotExplainARefusal(t *testing.T) {
+func TestRefusalByUnsealedWorkerIsInvestigated(t *testing.T) {
 	j := New(testSpec(2), 9)
 	j.Assign("owner", []string{"w1", "w2"}, 2)
 	first := j.Generation()
@@ -140,7 +140,7 @@
 // Sequence: the job is cancelled while a task runs of which the home has no news;
 // the owner has it stopped, and its end is the first news. Cause: the end of the
 // task was taken for the reason, not the cancellation that led to it.
-func TestCancellationIsTheReason(t *testing.T) {
+func TestAnswerNamesCancellationNotTaskStop(t *testing.T) {
 	j := New(testSpec(1), 9)
 	j.Assign("owner", []string{"w1"}, 1)
 	j.Cancel(start)
@@ -153,7 +153,7 @@
 // Symptom: tasks of a failed job run on. Sequence: a recovery finds one task
 // running and one failed; the job fails. Cause: no owner of this driver knows the
 // running task, so only the worker itself can be told to stop it.
-func TestFoundTasksAreStoppedWithTheJob(t *testing.T) {
+func TestTasksFoundRunningAreStoppedOnFailure(t *testing.T) {
 	j, _ := Recover(testSpec(2), 5, []string{"w1", "w2"}, false, ticket.Generation{})
 	j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: j.Generation(), Sealed: true, HighestGen: j.Generation(), Records: []Record{{Index: 0, State: RecordRunning}}})
 	a := j.HandleSealReply(SealReply{Worker: "w2", RequestedGen: j.Generation(), Sealed: true, HighestGen: j.Generation(), Records: []Record{{Index: 1, State: RecordFailed}}})
--- a/internal/request/job/property_test.go
+++ b/internal/request/job/property_test.go
@@ -22,7 +22,7 @@
 )
 
 // step applies one event, chosen by code.
-func (w *world) step(code uint32) {
+func (w *simulation) step(code uint32) {
 	op, arg := int(code%200), int(code/200)
 	v := w.vms[arg%len(w.vms)]
 	s := w.subs[arg/3%len(w.subs)]
@@ -36,9 +36,9 @@
 	case op < 125:
 		v.assign(s, o)
 	case op < 150:
-		o.place(arg)
+		o.startTask(arg)
 	case op < 165:
-		k.end(arg, arg%40 == 0)
+		k.endTask(arg, arg%40 == 0)
 	case op < 175:
 		w.submit(v, s)
 	case op < 180:
@@ -49,19 +49,19 @@
 }
 
 // fault applies one of the rarer events.
-func (w *world) fault(op, arg int, v *vm, s *submission, o *owner, k *worker) {
+func (w *simulation) fault(op, arg int, v *vm, s *submission, o *owner, k *worker) {
 	switch op {
 	case 0, 1, 2:
-		w.lose(arg)
+		w.loseMessage(arg)
 	case 3, 4, 5:
-		v.cut = !v.cut
+		v.isCutOff = !v.isCutOff
 	case 6:
-		v.start() // crash and restart under a new incarnation
+		v.restart() // crash and restart under a new incarnation
 	case 7:
 		o.crash()
 	case 8:
 		if arg%4 == 0 {
-			k.dead = true
+			k.isDead = true
 			k.restart()
 		}
 	case 9:
@@ -71,22 +71,22 @@
 	case 10, 11:
 		k.lease = nil // lapsed: its holder was paused and does not know
 	case 12, 13:
-		o.lose(k)
+		o.loseLease(k)
 	case 14, 15:
 		if ss := v.sessions[o]; ss != nil {
-			v.leave(ss)
+			v.endSession(ss)
 		}
 	case 16:
 		if e := v.jobs[s.id]; e != nil && arg%3 == 0 {
 			v.act(e, e.job.Cancel(w.now))
 		}
 	default:
-		w.pass(time.Duration(arg%60) * time.Millisecond)
+		w.advanceTime(time.Duration(arg%60) * time.Millisecond)
 	}
 }
 
 // pass lets time go on.
-func (w *world) pass(d time.Duration) {
+func (w *simulation) advanceTime(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, v := range w.vms {
 		for _, s := range w.subs {
@@ -97,39 +97,39 @@
 	}
 }
 
-const settleRounds = 60
+const maxFaultFreeRounds = 60
 
 // settle ends the faults and asks for both submissions until they have final
 // answers. Everything that is under way arrives.
-func (w *world) settle(code uint32) {
+func (w *simulation) finishWithoutFaults(code uint32) {
 	for _, v := range w.vms {
-		v.cut = false
+		v.isCutOff = false
 	}
 	for _, s := range w.subs {
-		s.final = false
+		s.hasFinalAnswer = false
 	}
-	for round := range settleRounds {
-		w.quietRound(int(code) + round)
+	for round := range maxFaultFreeRounds {
+		w.faultFreeRound(int(code) + round)
 	}
 	for _, s := range w.subs {
-		if !s.final {
-			w.violate("no final answer for %v after the faults ended", s.id)
+		if !s.hasFinalAnswer {
+			w.reportViolation("no final answer for %v after the faults ended", s.id)
 		}
 	}
 }
 
-func (w *world) quietRound(round int) {
+func (w *simulation) faultFreeRound(round int) {
 	for _, s := range w.subs {
-		if !s.final {
+		if !s.hasFinalAnswer {
 			w.submit(w.vms[round%len(w.vms)], s)
 		}
 	}
 	for _, o := range w.owners {
 		for _, k := range w.workers {
 			if o.leases[k] != nil && k.lease != o.leases[k] {
-				o.lose(k)
+				o.loseLease(k)
 			}
-			if k.lease != nil && k.lease.owner.life != k.lease.life {
+			if k.lease != nil && k.lease.owner.incarnation != k.lease.ownerIncarnation {
 				k.lease = nil
 			}
 			if k.lease == nil {
@@ -139,8 +139,8 @@
 	}
 	for _, v := range w.vms {
 		for _, o := range w.owners {
-			if ss := v.sessions[o]; ss != nil && (ss.life != o.life || ss.left) {
-				v.leave(ss)
+			if ss := v.sessions[o]; ss != nil && (ss.ownerIncarnation != o.incarnation || ss.ownerNotified) {
+				v.endSession(ss)
 			}
 			for _, s := range w.subs {
 				v.assign(s, o)
@@ -151,52 +151,52 @@
 		w.drain(round)
 		for _, o := range w.owners {
 			for len(o.queue) > 0 {
-				o.place(round)
+				o.startTask(round)
 			}
 		}
 		w.drain(round)
 		for _, k := range w.workers {
-			for len(k.order) > 0 {
-				k.end(0, false)
+			for len(k.runningTasks) > 0 {
+				k.endTask(0, false)
 			}
 		}
 	}
 	w.drain(round)
-	w.pass(20 * time.Millisecond)
+	w.advanceTime(20 * time.Millisecond)
 }
 
-// maxDrain bounds the messages of one round: more would be an endless exchange.
-const maxDrain = 5000
+// maxMessagesPerRound bounds the messages of one round: more would be an endless exchange.
+const maxMessagesPerRound = 5000
 
-func (w *world) drain(round int) {
-	for i := 0; len(w.net) > 0; i++ {
+func (w *simulation) drain(round int) {
+	for i := 0; len(w.inFlight) > 0; i++ {
 		w.deliver(round*7919+i*31, false)
-		if i > maxDrain {
-			w.violate("messages go on without end")
-			w.net = nil
+		if i > maxMessagesPerRound {
+			w.reportViolation("messages go on without end")
+			w.inFlight = nil
 		}
 	}
 }
 
 // run applies a sequence of events to a new world and reports a violation.
-func run(removed guard, codes []uint32, total *tally) error {
-	w := newWorld(removed, 2+int(codes[0]%3))
+func runSequence(removed guard, codes []uint32, total *counters) error {
+	w := newSimulation(removed, 2+int(codes[0]%3))
 	for _, s := range w.subs {
 		for _, k := range w.workers {
-			k.life(s)
+			k.ticketIncarnation(s)
 		}
 		w.submit(w.vms[0], s)
 	}
 	for _, code := range codes {
-		if w.step(code); w.violated != nil {
+		if w.step(code); w.violation != nil {
 			break
 		}
 	}
-	if w.violated == nil {
-		w.settle(codes[0])
+	if w.violation == nil {
+		w.finishWithoutFaults(codes[0])
 	}
-	total.add(w.tally)
-	return w.violated
+	total.add(w.counters)
+	return w.violation
 }
 
 func parameters(runs int) *gopter.TestParameters {
@@ -214,11 +214,11 @@
 // pauses and restarts of every part. Cause would be a driver that takes for
 // never started what another one, or a message under way, has started or starts.
 func TestNoTaskStartsTwice(t *testing.T) {
-	var total tally
+	var total counters
 	properties := gopter.NewProperties(parameters(propertyRuns * *scale))
 	properties.Property("at most one start, whole answers, true refusals, an answer in the end", prop.ForAll(
 		func(codes []uint32) (bool, error) {
-			err := run(nothing, codes, &total)
+			err := runSequence(noGuard, codes, &total)
 			return err == nil, err
 		}, sequences()))
 	properties.TestingRun(t)
@@ -235,16 +235,16 @@
 		"a worker that ignores generations":           workerGeneration,
 		"a restarted worker that takes old tickets":   workerRestart,
 		"a worker that ignores its records":           workerDuplicate,
-		"a recovery that asks one candidate":          askAll,
+		"a recovery that asks one candidate":          sealAllCandidates,
 		"a restarted home that takes its old tickets": homeIncarnation,
-		"not run without recording it at a candidate": closeFirst,
+		"not run without recording it at a candidate": recordBeforeNotRun,
 	}
 	for name, removed := range guards {
 		t.Run(name, func(t *testing.T) {
-			var total tally
+			var total counters
 			var found error
 			property := prop.ForAll(func(codes []uint32) bool {
-				found = run(removed, codes, &total)
+				found = runSequence(removed, codes, &total)
 				return found == nil
 			}, sequences())
 			if property.Check(parameters(propertyRuns)).Passed() {
--- a/internal/request/job/world_owner_test.go
+++ b/internal/request/job/world_owner_test.go
@@ -9,11 +9,11 @@
 
 // owner holds worker leases.
 type owner struct {
-	w      *world
-	name   string
-	life   int
-	queue  []offer
-	leases map[*worker]*lease
+	w           *simulation
+	name        string
+	incarnation int
+	queue       []offer
+	leases      map[*worker]*lease
 }
 
 // offer is one task that a home handed over.
@@ -27,13 +27,13 @@
 
 // lease is what an owner believes to hold.
 type lease struct {
-	owner   *owner
-	life    int
-	worker  *worker
-	inc     uint64 // of the worker: a connection ends with the process
-	epoch   uint64
-	out, in uint64 // streams
-	flights map[taskKey]offer
+	owner                *owner
+	ownerIncarnation     int
+	worker               *worker
+	workerIncarnation    uint64 // of the worker: a connection ends with the process
+	epoch                uint64
+	toWorker, fromWorker uint64 // streams
+	inFlight             map[taskKey]offer
 }
 
 type taskKey struct {
@@ -42,23 +42,23 @@
 }
 
 func (o *owner) crash() {
-	o.life++
+	o.incarnation++
 	o.queue, o.leases = nil, map[*worker]*lease{}
 }
 
 // acquire gets the lease on a worker that nobody holds.
 func (o *owner) acquire(k *worker) {
-	if k.dead || (k.lease != nil && k.lease.owner != o) {
+	if k.isDead || (k.lease != nil && k.lease.owner != o) {
 		return
 	}
-	o.lose(k)
+	o.loseLease(k)
 	k.epoch++
-	l := &lease{owner: o, life: o.life, worker: k, inc: k.inc, epoch: k.epoch, out: o.w.next(), in: o.w.next(), flights: map[taskKey]offer{}}
+	l := &lease{owner: o, ownerIncarnation: o.incarnation, worker: k, workerIncarnation: k.incarnation, epoch: k.epoch, toWorker: o.w.nextID(), fromWorker: o.w.nextID(), inFlight: map[taskKey]offer{}}
 	k.lease, o.leases[k] = l, l
 }
 
 // lose ends a lease on the owner's side: what was sent has an unknown fate.
-func (o *owner) lose(k *worker) {
+func (o *owner) loseLease(k *worker) {
 	l := o.leases[k]
 	if l == nil {
 		return
@@ -66,15 +66,15 @@
 	delete(o.leases, k)
 	for _, s := range o.w.subs {
 		for index := range s.starts {
-			if x, ok := l.flights[taskKey{s, uint32(index)}]; ok {
+			if x, ok := l.inFlight[taskKey{s, uint32(index)}]; ok {
 				o.report(x, k.name, nil, reason.LeaseLost)
 			}
 		}
 	}
 }
 
-func (o *owner) take(x offer) {
-	if x.session.life == o.life {
+func (o *owner) enqueue(x offer) {
+	if x.session.ownerIncarnation == o.incarnation {
 		o.queue = append(o.queue, x)
 	}
 }
@@ -94,21 +94,21 @@
 // report queues a result for a home.
 func (o *owner) report(x offer, worker string, r *Record, code reason.Code) {
 	v := x.session.vm
-	o.w.send(&packet{stream: x.session.in, doubles: true,
-		arrive: func() { v.result(x, worker, r, code) },
-		lost:   func() { v.leave(x.session) },
+	o.w.send(&message{stream: x.session.fromOwner, mayDuplicate: true,
+		onArrival: func() { v.handleResult(x, worker, r, code) },
+		onLoss:    func() { v.endSession(x.session) },
 	})
 }
 
 // place sends one waiting task to an allowed worker.
-func (o *owner) place(arg int) {
+func (o *owner) startTask(arg int) {
 	if len(o.queue) == 0 {
 		return
 	}
 	i := arg % len(o.queue)
 	x := o.queue[i]
 	o.queue = slices.Delete(o.queue, i, i+1)
-	if x.session.left {
+	if x.session.ownerNotified {
 		return
 	}
 	var fits []*lease
@@ -122,52 +122,52 @@
 		return
 	}
 	l, key := fits[arg%len(fits)], taskKey{x.sub, x.index}
-	if _, taken := l.flights[key]; taken {
+	if _, taken := l.inFlight[key]; taken {
 		o.report(x, l.worker.name, nil, reason.DuplicateTask)
 		return
 	}
-	l.flights[key] = x
-	o.w.tally.attempts++
-	o.w.send(&packet{stream: l.out, doubles: true, arrive: func() { l.worker.start(l, x) }, lost: func() { o.breakLease(l) }})
+	l.inFlight[key] = x
+	o.w.counters.attempts++
+	o.w.send(&message{stream: l.toWorker, mayDuplicate: true, onArrival: func() { l.worker.handleStart(l, x) }, onLoss: func() { o.breakLease(l) }})
 }
 
 // breakLease is the end of a stream to a worker, as the owner sees it.
 func (o *owner) breakLease(l *lease) {
 	if o.leases[l.worker] == l {
-		o.lose(l.worker)
+		o.loseLease(l.worker)
 	}
 }
 
 // landed frees what a task occupied and tells its home.
-func (l *lease) landed(key taskKey, r *Record, code reason.Code) {
-	x, ok := l.flights[key]
+func (l *lease) taskAnswered(key taskKey, r *Record, code reason.Code) {
+	x, ok := l.inFlight[key]
 	if !ok || l.owner.leases[l.worker] != l {
 		return
 	}
-	delete(l.flights, key)
+	delete(l.inFlight, key)
 	l.owner.report(x, l.worker.name, r, code)
 }
 
 // worker applies the rules of package standin/worker.
 type worker struct {
-	w      *world
-	name   string
-	inc    uint64
-	dead   bool
-	epoch  uint64
-	lease  *lease
-	sealed map[*submission]ticket.Generation
-	closed map[*submission]reason.Code
-	tasks  map[taskKey]*Record
-	order  []taskKey
-	waits  []func()               // follows that wait for the end of a task
-	lives  map[*submission]uint64 // incarnation when the candidates were chosen
+	w                  *simulation
+	name               string
+	incarnation        uint64
+	isDead             bool
+	epoch              uint64
+	lease              *lease
+	sealed             map[*submission]ticket.Generation
+	closed             map[*submission]reason.Code
+	tasks              map[taskKey]*Record
+	runningTasks       []taskKey
+	pendingFollows     []func()               // follows that wait for the end of a task
+	ticketIncarnations map[*submission]uint64 // incarnation when the candidates were chosen
 }
 
 // wake answers the follows that wait here.
-func (k *worker) wake() {
-	waits := k.waits
-	k.waits = nil
+func (k *worker) resumeFollows() {
+	waits := k.pendingFollows
+	k.pendingFollows = nil
 	for _, again := range waits {
 		again()
 	}
@@ -175,25 +175,25 @@
 
 // restart forgets everything but which life the tickets name.
 func (k *worker) restart() {
-	if k.lives == nil {
-		k.lives = map[*submission]uint64{}
+	if k.ticketIncarnations == nil {
+		k.ticketIncarnations = map[*submission]uint64{}
 	}
-	k.wake()
-	k.inc, k.lease, k.order = k.w.next(), nil, nil
+	k.resumeFollows()
+	k.incarnation, k.lease, k.runningTasks = k.w.nextID(), nil, nil
 	k.sealed, k.closed = map[*submission]ticket.Generation{}, map[*submission]reason.Code{}
 	k.tasks = map[taskKey]*Record{}
 }
 
 // life is the incarnation that the ticket of s was minted for.
-func (k *worker) life(s *submission) uint64 {
-	if k.lives[s] == 0 {
-		k.lives[s] = k.inc
+func (k *worker) ticketIncarnation(s *submission) uint64 {
+	if k.ticketIncarnations[s] == 0 {
+		k.ticketIncarnations[s] = k.incarnation
 	}
-	return k.lives[s]
+	return k.ticketIncarnations[s]
 }
 
-func (k *worker) start(l *lease, x offer) {
-	if k.inc != l.inc {
+func (k *worker) handleStart(l *lease, x offer) {
+	if k.incarnation != l.workerIncarnation {
 		l.owner.breakLease(l)
 		return
 	}
@@ -203,7 +203,7 @@
 		k.run(key)
 		return
 	}
-	k.w.send(&packet{stream: l.in, arrive: func() { l.landed(key, nil, code) }, lost: func() { l.owner.breakLease(l) }})
+	k.w.send(&message{stream: l.fromWorker, onArrival: func() { l.taskAnswered(key, nil, code) }, onLoss: func() { l.owner.breakLease(l) }})
 }
 
 // refusal returns why a start is not accepted, or "".
@@ -211,9 +211,9 @@
 	switch {
 	case k.tasks[taskKey{x.sub, x.index}] != nil && k.w.removed != workerDuplicate:
 		return reason.DuplicateTask
-	case k.dead || k.lease != l:
+	case k.isDead || k.lease != l:
 		return reason.StaleEpoch
-	case k.inc != k.life(x.sub) && k.w.removed != workerRestart:
+	case k.incarnation != k.ticketIncarnation(x.sub) && k.w.removed != workerRestart:
 		return reason.WorkerRestarted
 	case k.closed[x.sub] != "" || (x.gen.Less(k.sealed[x.sub]) && k.w.removed != workerGeneration):
 		return reason.Sealed
@@ -223,33 +223,33 @@
 
 func (k *worker) run(key taskKey) {
 	k.tasks[key] = &Record{Index: key.index, State: RecordRunning}
-	k.order = append(k.order, key)
-	k.w.tally.starts++
+	k.runningTasks = append(k.runningTasks, key)
+	k.w.counters.starts++
 	key.sub.starts[key.index]++
 	if key.sub.starts[key.index] > 1 {
-		k.w.tally.secondStarts++
-		k.w.violate("task %d of %v started twice, now on %s", key.index, key.sub.id, k.name)
+		k.w.counters.secondStarts++
+		k.w.reportViolation("task %d of %v started twice, now on %s", key.index, key.sub.id, k.name)
 	}
-	if key.sub.never {
-		k.w.violate("task %d of %v started after not_run", key.index, key.sub.id)
+	if key.sub.toldNotRun {
+		k.w.reportViolation("task %d of %v started after not_run", key.index, key.sub.id)
 	}
 }
 
 // end lets a running task end.
-func (k *worker) end(arg int, fails bool) {
-	if len(k.order) == 0 {
+func (k *worker) endTask(arg int, fails bool) {
+	if len(k.runningTasks) == 0 {
 		return
 	}
-	key := k.order[arg%len(k.order)]
-	k.order = slices.DeleteFunc(k.order, func(o taskKey) bool { return o == key })
+	key := k.runningTasks[arg%len(k.runningTasks)]
+	k.runningTasks = slices.DeleteFunc(k.runningTasks, func(o taskKey) bool { return o == key })
 	r := k.tasks[key]
 	r.State, r.Output = RecordDone, []byte(key.sub.output(key.index))
 	if fails {
 		r.State, r.Output, r.Failure = RecordFailed, nil, "failed"
 	}
-	k.wake()
+	k.resumeFollows()
 	if l := k.lease; l != nil {
-		k.w.send(&packet{stream: l.in, arrive: func() { l.landed(key, r, "") }, lost: func() { l.owner.breakLease(l) }})
+		k.w.send(&message{stream: l.fromWorker, onArrival: func() { l.taskAnswered(key, r, "") }, onLoss: func() { l.owner.breakLease(l) }})
 	}
 }
 
--- a/internal/request/job/world_vm_test.go
+++ b/internal/request/job/world_vm_test.go
@@ -10,12 +10,12 @@
 // vm is an entry VM as a driver of submissions: the steps of package home
 // around the job machine.
 type vm struct {
-	w        *world
-	name     string
-	inc      uint64
-	cut      bool // the others can not reach it
-	jobs     map[ticket.ID]*entry
-	sessions map[*owner]*session
+	w           *simulation
+	name        string
+	incarnation uint64
+	isCutOff    bool // the others can not reach it
+	jobs        map[ticket.ID]*entry
+	sessions    map[*owner]*session
 }
 
 type entry struct {
@@ -25,53 +25,53 @@
 
 // session is one stream between a home and an owner.
 type session struct {
-	vm      *vm
-	inc     uint64
-	owner   *owner
-	life    int // of the owner
-	out, in uint64
-	left    bool // the owner has learnt that it ended
+	vm                 *vm
+	vmIncarnation      uint64
+	owner              *owner
+	ownerIncarnation   int // of the owner
+	toOwner, fromOwner uint64
+	ownerNotified      bool // the owner has learnt that it ended
 }
 
 // start begins a new life of the VM: nothing is kept, the incarnation is new.
-func (v *vm) start() {
+func (v *vm) restart() {
 	for _, s := range v.sessions {
-		s.left = true
+		s.ownerNotified = true
 	}
-	v.inc, v.jobs, v.sessions = v.w.next(), map[ticket.ID]*entry{}, map[*owner]*session{}
+	v.incarnation, v.jobs, v.sessions = v.w.nextID(), map[ticket.ID]*entry{}, map[*owner]*session{}
 }
 
 // lives reports whether the VM of an incarnation can be reached from v.
-func (w *world) lives(v *vm, inc uint64) *vm {
+func (w *simulation) reachableVM(v *vm, inc uint64) *vm {
 	for _, o := range w.vms {
-		if o.inc == inc && (o == v || (!o.cut && !v.cut)) {
+		if o.incarnation == inc && (o == v || (!o.isCutOff && !v.isCutOff)) {
 			return o
 		}
 	}
 	return nil
 }
 
-func (w *world) isHome(v *vm, s *submission) bool {
-	return v.name == s.home && (v.inc == s.id.Incarnation || w.removed == homeIncarnation)
+func (w *simulation) isHome(v *vm, s *submission) bool {
+	return v.name == s.home && (v.incarnation == s.id.Incarnation || w.removed == homeIncarnation)
 }
 
 // submit routes a submission that reached v.
-func (w *world) submit(v *vm, s *submission) {
+func (w *simulation) submit(v *vm, s *submission) {
 	if w.isHome(v, s) {
 		v.drive(s, false)
 		return
 	}
-	target := w.lives(v, s.id.Incarnation)
-	if target != nil && s.driver != 0 && s.driver != target.inc {
-		if target = w.lives(v, s.driver); target == nil {
-			target = w.lives(v, s.id.Incarnation)
+	target := w.reachableVM(v, s.id.Incarnation)
+	if target != nil && s.driver != 0 && s.driver != target.incarnation {
+		if target = w.reachableVM(v, s.driver); target == nil {
+			target = w.reachableVM(v, s.id.Incarnation)
 		}
 	}
 	if target == nil {
 		v.drive(s, true)
 		return
 	}
-	w.send(&packet{doubles: true, arrive: func() { target.drive(s, !w.isHome(target, s)) }})
+	w.send(&message{mayDuplicate: true, onArrival: func() { target.drive(s, !w.isHome(target, s)) }})
 }
 
 // drive attaches to a submission, or takes it.
@@ -79,14 +79,14 @@
 	e := v.jobs[s.id]
 	if e != nil {
 		author := e.job.Superseded()
-		if author == 0 || v.w.lives(v, author) != nil {
+		if author == 0 || v.w.reachableVM(v, author) != nil {
 			if a := e.job.Answer(); a != nil {
-				v.w.answered(s, a)
+				v.w.checkAnswer(s, a)
 			}
 			return
 		}
 	}
-	spec := Spec{ID: s.id, Inputs: make([][]byte, tasksEach), Deadline: v.w.now.Add(deadlineIn), SettleTimeout: settleIn}
+	spec := Spec{ID: s.id, Inputs: make([][]byte, tasksPerSubmission), Deadline: v.w.now.Add(submissionTimeout), SettleTimeout: settleTimeout}
 	names := v.w.candidates()
 	spec.CloseCandidates = names[:2]
 	var used ticket.Generation
@@ -96,15 +96,15 @@
 	e = &entry{sub: s}
 	v.jobs[s.id] = e
 	if !recovery && used == (ticket.Generation{}) {
-		e.job = New(spec, v.inc)
+		e.job = New(spec, v.incarnation)
 		return
 	}
-	v.w.tally.recoveries++
-	if v.w.removed == askAll {
+	v.w.counters.recoveries++
+	if v.w.removed == sealAllCandidates {
 		names = names[:1]
 	}
 	var a Actions
-	e.job, a = Recover(spec, v.inc, names, false, used)
+	e.job, a = Recover(spec, v.incarnation, names, false, used)
 	v.act(e, a)
 }
 
@@ -119,24 +119,26 @@
 	for _, name := range a.Withdraw {
 		for o, s := range v.sessions {
 			if o.name == name {
-				v.w.send(&packet{stream: s.out, arrive: func() { s.owner.withdraw(s, e.sub) }})
+				v.w.send(&message{stream: s.toOwner, onArrival: func() { s.owner.withdraw(s, e.sub) }})
 			}
 		}
 	}
 	if a.Answer != nil {
-		v.w.answered(e.sub, a.Answer)
+		v.w.checkAnswer(e.sub, a.Answer)
 	}
 }
 
 // alive reports whether e is still what this life of the VM drives.
-func (v *vm) alive(inc uint64, e *entry) bool { return v.inc == inc && v.jobs[e.sub.id] == e }
+func (v *vm) isCurrent(inc uint64, e *entry) bool {
+	return v.incarnation == inc && v.jobs[e.sub.id] == e
+}
 
 func (v *vm) seal(e *entry, s Seal) {
-	w, inc := v.w, v.inc
+	w, inc := v.w, v.incarnation
 	k := w.worker(s.Worker)
-	life := k.life(e.sub)
+	life := k.ticketIncarnation(e.sub)
 	gone := func() {
-		if !v.alive(inc, e) {
+		if !v.isCurrent(inc, e) {
 			return
 		}
 		if s.Closed != "" {
@@ -146,29 +148,29 @@
 		v.act(e, e.job.WorkerUnreachable(s.Worker, s.Gen))
 	}
 	reply := func(r SealReply) {
-		if v.alive(inc, e) {
-			v.sealed(e, s, r)
+		if v.isCurrent(inc, e) {
+			v.handleSealReply(e, s, r)
 		}
 	}
-	if s.Closed == closedNotRun && w.removed == closeFirst {
+	if s.Closed == closedNotRun && w.removed == recordBeforeNotRun {
 		reply(SealReply{Worker: s.Worker, RequestedGen: s.Gen, Sealed: true, HighestGen: s.Gen})
 		return
 	}
-	w.send(&packet{doubles: true, lost: gone, arrive: func() {
-		if k.dead || k.inc != life {
-			w.send(&packet{arrive: gone})
+	w.send(&message{mayDuplicate: true, onLoss: gone, onArrival: func() {
+		if k.isDead || k.incarnation != life {
+			w.send(&message{onArrival: gone})
 			return
 		}
 		r := k.seal(e.sub, s)
-		w.send(&packet{doubles: true, lost: gone, arrive: func() { reply(r) }})
+		w.send(&message{mayDuplicate: true, onLoss: gone, onArrival: func() { reply(r) }})
 	}})
 }
 
 // sealed passes a seal's answer on, as package home does.
-func (v *vm) sealed(e *entry, s Seal, r SealReply) {
+func (v *vm) handleSealReply(e *entry, s Seal, r SealReply) {
 	author := r.HighestGen.Author
-	if !r.Sealed && author != v.inc && v.w.lives(v, author) == nil && e.job.Generation().Less(r.HighestGen) {
-		v.w.tally.recoveries++
+	if !r.Sealed && author != v.incarnation && v.w.reachableVM(v, author) == nil && e.job.Generation().Less(r.HighestGen) {
+		v.w.counters.recoveries++
 		v.act(e, e.job.TakeOver(r.HighestGen, v.w.candidates(), false))
 		return
 	}
@@ -180,17 +182,17 @@
 }
 
 func (v *vm) follow(e *entry, f Follow) {
-	w, inc := v.w, v.inc
+	w, inc := v.w, v.incarnation
 	k := w.worker(f.Worker)
 	gone := func() {
-		if v.alive(inc, e) {
+		if v.isCurrent(inc, e) {
 			v.act(e, e.job.FollowedWorkerLost(f.Worker, f.Indexes))
 		}
 	}
-	life := k.life(e.sub)
-	w.send(&packet{lost: func() { v.followAgain(inc, e, f) }, arrive: func() {
-		if k.dead || k.inc != life {
-			w.send(&packet{arrive: gone})
+	life := k.ticketIncarnation(e.sub)
+	w.send(&message{onLoss: func() { v.followAgain(inc, e, f) }, onArrival: func() {
+		if k.isDead || k.incarnation != life {
+			w.send(&message{onArrival: gone})
 			return
 		}
 		rest := Follow{Worker: f.Worker}
@@ -200,9 +202,9 @@
 				rest.Indexes = append(rest.Indexes, index)
 				continue
 			}
-			w.send(&packet{doubles: true, arrive: func() {
-				if v.alive(inc, e) {
-					v.ended(e, *r)
+			w.send(&message{mayDuplicate: true, onArrival: func() {
+				if v.isCurrent(inc, e) {
+					v.handleEnd(e, *r)
 				}
 			}})
 		}
@@ -210,17 +212,17 @@
 			v.followAgain(inc, e, rest)
 			return
 		}
-		k.waits = append(k.waits, func() { v.followAgain(inc, e, rest) })
+		k.pendingFollows = append(k.pendingFollows, func() { v.followAgain(inc, e, rest) })
 	}})
 }
 
 func (v *vm) followAgain(inc uint64, e *entry, f Follow) {
-	if v.alive(inc, e) && len(f.Indexes) > 0 && e.job.Answer() == nil {
+	if v.isCurrent(inc, e) && len(f.Indexes) > 0 && e.job.Answer() == nil {
 		v.follow(e, f)
 	}
 }
 
-func (v *vm) ended(e *entry, r Record) {
+func (v *vm) handleEnd(e *entry, r Record) {
 	if r.State == RecordDone {
 		v.act(e, e.job.TaskDone(r.Index, r.Output))
 		return
@@ -236,7 +238,7 @@
 	}
 	ss := v.sessions[o]
 	if ss == nil {
-		ss = &session{vm: v, inc: v.inc, owner: o, life: o.life, out: v.w.next(), in: v.w.next()}
+		ss = &session{vm: v, vmIncarnation: v.incarnation, owner: o, ownerIncarnation: o.incarnation, toOwner: v.w.nextID(), fromOwner: v.w.nextID()}
 		v.sessions[o] = ss
 	}
 	var names []string
@@ -245,21 +247,21 @@
 			names = append(names, k.name)
 		}
 	}
-	indexes := e.job.Assign(o.name, names, offerLimit)
+	indexes := e.job.Assign(o.name, names, assignLimit)
 	gen := e.job.Generation()
 	for _, index := range indexes {
 		x := offer{session: ss, sub: s, gen: gen, index: index, allowed: names}
-		v.w.send(&packet{stream: ss.out, arrive: func() { o.take(x) }, lost: func() { v.leave(ss) }})
+		v.w.send(&message{stream: ss.toOwner, onArrival: func() { o.enqueue(x) }, onLoss: func() { v.endSession(ss) }})
 	}
 }
 
 // leave ends a session on the home's side. The owner learns of it later.
-func (v *vm) leave(ss *session) {
-	if v.inc != ss.inc || v.sessions[ss.owner] != ss {
+func (v *vm) endSession(ss *session) {
+	if v.incarnation != ss.vmIncarnation || v.sessions[ss.owner] != ss {
 		return
 	}
 	delete(v.sessions, ss.owner)
-	v.w.send(&packet{arrive: func() { ss.left = true }})
+	v.w.send(&message{onArrival: func() { ss.ownerNotified = true }})
 	for _, s := range v.w.subs {
 		if e := v.jobs[s.id]; e != nil {
 			v.act(e, e.job.OwnerLost(ss.owner.name))
@@ -268,21 +270,21 @@
 }
 
 // result brings an owner's word on one task.
-func (v *vm) result(x offer, worker string, r *Record, code reason.Code) {
+func (v *vm) handleResult(x offer, worker string, r *Record, code reason.Code) {
 	e := v.jobs[x.sub.id]
 	switch {
-	case v.inc != x.session.inc || e == nil:
+	case v.incarnation != x.session.vmIncarnation || e == nil:
 	case code == reason.LeaseLost:
 		v.act(e, e.job.StartsUnanswered(x.session.owner.name, x.gen, []uint32{x.index}, worker))
 	case r != nil:
-		v.ended(e, *r)
+		v.handleEnd(e, *r)
 	default:
 		v.act(e, e.job.TaskNotStarted(x.session.owner.name, x.gen, x.index, code, worker))
 	}
 }
 
 // candidates names the workers that may run any submission: all.
-func (w *world) candidates() []string {
+func (w *simulation) candidates() []string {
 	var names []string
 	for _, k := range w.workers {
 		names = append(names, k.name)
@@ -290,7 +292,7 @@
 	return names
 }
 
-func (w *world) worker(name string) *worker {
+func (w *simulation) worker(name string) *worker {
 	i := slices.IndexFunc(w.workers, func(k *worker) bool { return k.name == name })
 	return w.workers[i]
 }
