--- a/internal/request/job/doc.go
+++ b/internal/request/job/doc.go
@@ -1,29 +1,36 @@
-// Package job is the state machine of one submission at the entry VM that
-// drives it: its home, or the entry VM that recovers it after the home is gone.
+// Package job is the state machine of one submission at its driver: the entry VM
+// that accepted it (its home), or the entry VM that recovers it when the home
+// cannot be reached.
 //
-// Contract. The caller of this package delivers events (assignments, results,
-// lost owners, answers to seals, the passing of time) and carries out the
-// actions that come back; nothing here reads a clock, sends a message or starts
-// a goroutine. The machine keeps four promises whatever the order of events,
-// and however often one of them comes:
+// Terms. Owners are the processes that hold worker leases; the driver assigns
+// tasks to owners, which start them on workers. Candidates are the workers that
+// may ever run the submission's tasks. A generation is the fencing token of the
+// starts; to seal a worker means to make it refuse starts of the submission under
+// lower generations and report the tasks that have started there.
 //
-//   - A task index is handed out again only when no earlier hand-out of it can
-//     still start: its owner said so for a task it never sent, or every worker
-//     it was allowed on has sealed its generation off and knows no record of it.
-//   - An answer is complete, with an output for each index, or it is a failure.
-//   - NotRun is answered only when no task has started and one candidate has
-//     accepted the closing of the submission. A recovering entry VM asks all
-//     candidates, so it can not miss the closing.
-//   - There is one answer. Events after it change nothing.
+// The caller of this package delivers events (assignments, results, lost owners,
+// replies to seals, the passing of time) and executes the actions that are
+// returned. The package reads no clock, sends no message and starts no goroutine.
+// It guarantees, for any order of events and for repeated events:
 //
-// A batch is a set of indexes that were handed out together, with the workers
-// they may start on. When nothing certain is known of a batch any more, each of
-// its workers is sealed under the job's next generation; the answers tell which
-// indexes started. Recovery is the same step over all candidates at once.
+//   - A task is reassigned only when no earlier assignment of it can still start:
+//     its owner reported that it never sent the start, or every worker allowed for
+//     it has been sealed above the assignment's generation and has no record of it.
+//   - An answer is complete, with an output for each task, or it is a failure.
+//   - NotRun is answered only if no task has started and one candidate has
+//     recorded that the submission is closed. A recovering entry VM asks all
+//     candidates, so it cannot miss that record.
+//   - There is one answer. Later events change nothing.
 //
-// Raising the generation never puts a job above another driver that took over:
-// only asking all candidates does. What stays outside this package, and has to
-// hold for the promises: a worker tells a record before any other refusal, and
-// refuses starts that name an earlier incarnation of it; an owner has one start
-// of a task under way to a worker, and each hand-out reaches it at most once.
+// A batch is a set of tasks that were assigned together, with the workers that
+// they may start on. When it is no longer certain which tasks of a batch have
+// started, each of its workers is sealed under the job's next generation; the
+// replies tell which tasks started. Recovery is the same step over all candidates.
+//
+// Raising its own generation never puts a job above another driver that took
+// over; only asking all candidates does. The guarantees also depend on code
+// outside this package: a worker that has a record of a task reports that before
+// any other reason for refusal, and refuses starts that name an earlier
+// incarnation of it; an owner has at most one start of a task in flight to a
+// worker, and each assignment reaches it at most once.
 package job
--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -8,57 +8,57 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Spec is what a submission asks for. It does not change.
+// Spec describes a submission. It does not change.
 type Spec struct {
 	ID              ticket.ID
 	Account         string
 	Template        string
 	Inputs          [][]byte
-	TicketExpiry    time.Time // of the ticket
+	TicketExpiry    time.Time
 	Deadline        time.Time
 	Revision        uint64   // configuration revision it was accepted under
-	CloseCandidates []string // candidates to close it at, in order of preference
+	CloseCandidates []string // candidates that may record its end, in order of preference
 	SettleTimeout   time.Duration
 }
 
-// Answer is the one final result.
+// Answer is the final result of a submission.
 type Answer struct {
 	Outcome    reason.Outcome
 	Reason     reason.Code
 	Detail     string
 	RetryAfter time.Duration
 	Outputs    [][]byte // one per task when complete, else nil
-	FailedTask uint32   // first task that failed, when one did
+	FailedTask uint32   // task that caused the failure, if any
 	Revision   uint64
-	Driver     uint64 // incarnation that drives it instead, when recovered elsewhere
+	Driver     uint64 // incarnation of the driver that took over, if any
 }
 
-// taskState is what the driver knows of one task.
+// taskState is what the driver knows about one task.
 type taskState uint8
 
 const (
-	unassigned taskState = iota // never started, free to hand out
-	assigned                    // handed out, no news
-	sealing                     // its batch is being sealed
-	running                     // known to run on a worker, followed there
+	unassigned taskState = iota // can be assigned: no start of it can take effect
+	assigned                    // assigned to an owner, no report yet
+	sealing                     // the workers of its batch are being sealed
+	running                     // known to run on a worker, whose result is awaited
 	completed
 	endedWithoutOutput // failed, stopped or unknown
 )
 
 type task struct {
 	state  taskState
-	batch  int32 // index into Job.batches, while assigned or uncertain
+	batch  int32 // index into Job.batches, while assigned or sealing
 	output []byte
 }
 
-// batch is a set of tasks handed out together.
+// batch is a set of tasks that were assigned, or are being sealed, together.
 type batch struct {
 	owner       string
 	workers     []string // where its tasks may start
 	gen         ticket.Generation
-	unresolved  int      // tasks of it that are assigned or uncertain
-	pending     []string // workers whose seal is awaited
-	unreachable bool     // a worker can not be asked any more
+	unresolved  int      // number of its tasks that are assigned or sealing
+	pending     []string // workers whose reply to a seal is awaited
+	unreachable bool     // one of its workers cannot be asked any more
 }
 
 // Job is the state of one submission. It is not safe for concurrent use.
@@ -66,48 +66,50 @@
 	spec           Spec
 	self           uint64 // incarnation of this driver
 	gen            ticket.Generation
-	requestedSeals map[string]ticket.Generation // highest seal asked, by worker
+	requestedSeals map[string]ticket.Generation // highest generation that a worker was asked to seal, by worker
 	tasks          []task
 	batches        []batch
 	counts         [endedWithoutOutput + 1]int
 	started        bool // at least one task is known to have started
-	// followed are the workers on which tasks were found running.
+	// followed are the workers that reported running tasks when they were sealed.
 	followed       []string
 	pendingEnd     *Answer
 	settleDeadline time.Time
-	closeAttempts  int // candidates tried for closing
+	closeAttempts  int // number of candidates asked to record NotRun
 	answer         *Answer
 	// superseded is the author of a higher generation, 0 while there is none.
 	superseded     uint64
 	nextUnassigned int // lowest index that may be unassigned
-	// returned: a task that was handed out came back since the last raise.
+	// hasReturnedTask is set if an owner returned a task since the generation
+	// was last raised.
 	hasReturnedTask bool
 }
 
-// Actions is what the caller has to carry out after an event.
+// Actions are what the caller has to do after an event.
 type Actions struct {
 	Seal     []Seal
 	Follow   []Follow
-	Withdraw []string // owners to take back every task that has not started
-	Stop     []string // workers on which followed tasks are to be stopped
-	Answer   *Answer  // set once
+	Withdraw []string // owners that have to return every task that has not started
+	Stop     []string // workers that have to stop the submission's tasks
+	Answer   *Answer  // set in the actions of one event only
 }
 
-// Seal asks a worker to refuse lower generations and report what started.
+// Seal asks a worker to refuse starts under lower generations and to report the
+// tasks that have started.
 type Seal struct {
 	Worker string
 	Gen    ticket.Generation
-	Closed reason.Code // not empty: also ends the submission there
+	Closed reason.Code // not empty: the worker also records that the submission has ended
 }
 
-// Follow waits at a worker for tasks that run there.
+// Follow asks a worker for the results of tasks that run there.
 type Follow struct {
 	Worker  string
 	Indexes []uint32
 }
 
-// New returns a job at its home: every task may be handed out under the home's
-// first generation.
+// New returns a job at its home. All tasks can be assigned at once, under the
+// home's first generation.
 func New(spec Spec, self uint64) *Job {
 	return newJob(spec, self, ticket.Generation{Author: self})
 }
@@ -118,20 +120,20 @@
 	return j
 }
 
-// Recover returns a job at an entry VM that is not its home, which can not be
-// reached. Nothing is handed out before every candidate was sealed: any of them
-// may run tasks of it. When incomplete is set the candidates named are not
-// known to be all of them, so nothing can be proven not to have started. Its
-// generation is above the given one, which must cover every generation that
-// this incarnation has used for the submission before.
+// Recover returns a job at an entry VM that is not its home, after the home could
+// not be reached. No task is assigned before every candidate has been sealed, since
+// any of them may run tasks. If incomplete is set, the list of candidates may lack
+// some, so it cannot be proven that a task has not started. The job's generation is
+// above the given one, which must be at least as high as every generation that this
+// incarnation has used for the submission.
 func Recover(spec Spec, self uint64, candidates []string, incomplete bool, above ticket.Generation) (*Job, Actions) {
 	j := newJob(spec, self, ticket.Generation{})
 	return j, j.TakeOver(above, candidates, incomplete)
 }
 
-// TakeOver puts this driver above another one that does not live any more. Any
-// task without an end may have been started by the other, on any candidate, so
-// all candidates are sealed before one is handed out again.
+// TakeOver raises this driver's generation above that of another driver that is
+// gone. The other may have started any unfinished task on any candidate, so all
+// candidates are sealed before a task is assigned again.
 func (j *Job) TakeOver(above ticket.Generation, candidates []string, incomplete bool) Actions {
 	var a Actions
 	if j.answer != nil {
@@ -153,13 +155,13 @@
 	return a
 }
 
-// Generation is the one that tasks are handed out under.
+// Generation returns the generation that tasks are assigned under.
 func (j *Job) Generation() ticket.Generation { return j.gen }
 
 // Answer returns the final answer, nil before there is one.
 func (j *Job) Answer() *Answer { return j.answer }
 
-// Unassigned is the number of tasks that may be handed out now.
+// Unassigned returns the number of tasks that can be assigned now.
 func (j *Job) Unassigned() int {
 	if j.answer != nil || j.pendingEnd != nil {
 		return 0
@@ -167,18 +169,18 @@
 	return j.counts[unassigned]
 }
 
-// Remaining is the number of tasks that have not ended.
+// Remaining returns the number of tasks that have not ended.
 func (j *Job) Remaining() int {
 	return len(j.tasks) - j.counts[completed] - j.counts[endedWithoutOutput]
 }
 
-// Superseded is the incarnation that drives the submission instead, or 0.
+// Superseded returns the incarnation of the driver that took over, or 0.
 func (j *Job) Superseded() uint64 { return j.superseded }
 
-// Assign hands out up to limit tasks to an owner, which may start them on the
-// given workers only. It returns their indexes. A task that came back goes out
-// again under a new generation: late word on its earlier hand-out would
-// otherwise pass for word on this one.
+// Assign assigns up to limit tasks to an owner, which may start them on the given
+// workers only, and returns their indexes. A returned task is reassigned under a
+// new generation: otherwise a late report on its earlier assignment would be taken
+// for a report on the new one.
 func (j *Job) Assign(owner string, workers []string, limit int) []uint32 {
 	limit = min(limit, j.Unassigned())
 	if limit <= 0 || len(workers) == 0 {
@@ -200,7 +202,7 @@
 	return out
 }
 
-// move changes a task's state and keeps the counts.
+// setState changes the state and batch of a task and updates the counts.
 func (j *Job) setState(index uint32, to taskState, b int32) {
 	t := &j.tasks[index]
 	if t.state == assigned || t.state == sealing {
@@ -218,9 +220,9 @@
 	}
 }
 
-// Done takes the output of a task that ran to its end, from whichever driver's
-// start. A second one for the same index is dropped: counting it again would
-// make a partial answer look complete.
+// TaskDone records the output of a task that completed, no matter which driver
+// started it. A second output for the same index is ignored: counting it again
+// would make a partial answer look complete.
 func (j *Job) TaskDone(index uint32, output []byte) Actions {
 	var a Actions
 	if !j.isOpen(index) {
@@ -234,8 +236,8 @@
 	return a
 }
 
-// Failed takes the failure of a task that ran. The job fails with it: a task is
-// not started twice, so no other try can make the answer complete.
+// TaskFailed records the failure of a task that ran. The job fails as well: a
+// task is not started twice, so the answer cannot become complete.
 func (j *Job) TaskFailed(index uint32, code reason.Code, detail string) Actions {
 	var a Actions
 	if !j.isOpen(index) {
@@ -247,7 +249,7 @@
 	return a
 }
 
-// open reports whether news of a task can still change anything.
+// isOpen reports whether a report on a task can still change anything.
 func (j *Job) isOpen(index uint32) bool {
 	if j.answer != nil || int(index) >= len(j.tasks) {
 		return false
@@ -255,20 +257,20 @@
 	return j.tasks[index].state < completed
 }
 
-// TaskNotStarted takes an owner's word that a task was not started under the given
-// generation and never will be. Word on an older hand-out is dropped.
+// TaskNotStarted handles an owner's report that a task was not started under the given
+// generation and never will be. A report on an older assignment is ignored.
 func (j *Job) TaskNotStarted(owner string, gen ticket.Generation, index uint32, code reason.Code, worker string) Actions {
 	var a Actions
 	if !j.isOpen(index) || !j.isAssigned(owner, gen, index) {
 		return a
 	}
 	t := &j.tasks[index]
-	foreign := code == reason.Sealed && !gen.Less(j.requestedSeals[worker])
-	if (foreign || code == reason.DuplicateTask) && worker != "" {
-		// The worker refused a generation this driver did not seal off, or has
-		// a record this driver does not know: another entry VM drives the
-		// submission. Handing the task out again would fight it; the worker's
-		// answer to a seal under the present generation tells.
+	sealedByOther := code == reason.Sealed && !gen.Less(j.requestedSeals[worker])
+	if (sealedByOther || code == reason.DuplicateTask) && worker != "" {
+		// The worker refused a generation that this driver has not asked it to
+		// refuse, or has a record that this driver does not know: another entry VM
+		// drives the submission. Reassigning the task would compete with it. The
+		// worker's reply to a seal under a new generation tells what started.
 		j.sealTask(index, worker, &a)
 		return a
 	}
@@ -288,8 +290,8 @@
 	return b.owner == owner && b.gen == gen
 }
 
-// Lost takes an owner's word that starts were sent to a worker and no answer
-// can be had from there. The worker is asked again, under a new generation.
+// StartsUnanswered handles an owner's report that it sent starts to a worker and
+// can get no reply. The worker is sealed under a new generation.
 func (j *Job) StartsUnanswered(owner string, gen ticket.Generation, indexes []uint32, worker string) Actions {
 	var a Actions
 	for _, index := range indexes {
@@ -300,16 +302,17 @@
 	return a
 }
 
-// raise makes later hand-outs and seals use a new generation.
+// raiseGeneration makes later assignments and seals use a new generation.
 func (j *Job) raiseGeneration() {
 	j.gen = j.gen.Raised()
 	j.hasReturnedTask = false
 }
 
-// doubt moves one task into a batch that is sealed at one worker, above the
-// generation that the task was handed out under: a seal under the same one
-// would still let a late start of it through. It joins the batch whose seal was
-// asked last, when that is above.
+// sealTask moves a task into a batch that is sealed at one worker, above the
+// generation that the task was assigned under: a seal under the same generation
+// would still let a late start of the task through. The task joins an existing
+// batch if that one awaits a seal of the same worker under the job's current
+// generation and this is above the task's.
 func (j *Job) sealTask(index uint32, worker string, a *Actions) {
 	under := j.batches[j.tasks[index].batch].gen
 	for b := range j.batches {
@@ -326,9 +329,9 @@
 	j.sealBatch(b, a)
 }
 
-// OwnerLost takes the news that an owner can not be heard any more. Whatever it
-// was given may have been started on any worker that was allowed, so all of
-// these are sealed before a task is handed out again.
+// OwnerLost handles the loss of the connection to an owner. Its tasks may have been
+// started on any worker allowed for them, so all of these workers are sealed before
+// a task is reassigned.
 func (j *Job) OwnerLost(owner string) Actions {
 	var a Actions
 	if j.answer != nil {
@@ -350,8 +353,8 @@
 	return a
 }
 
-// fence notes that a worker is asked to refuse generations below the present
-// one, so that such a refusal is told from one that another driver asked for.
+// recordSeal records that this driver asks a worker to refuse generations below the
+// current one, to distinguish such refusals from those caused by another driver.
 func (j *Job) recordSeal(worker string) {
 	if j.requestedSeals == nil {
 		j.requestedSeals = make(map[string]ticket.Generation)
@@ -359,7 +362,7 @@
 	j.requestedSeals[worker] = j.gen
 }
 
-// sealBatch turns a batch uncertain and asks its workers.
+// sealBatch seals the workers of a batch to find out which of its tasks started.
 func (j *Job) sealBatch(b int32, a *Actions) {
 	at := &j.batches[b]
 	at.gen = j.gen
--- a/internal/request/job/job_test.go
+++ b/internal/request/job/job_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-// testSpec is a submission of n tasks that may run on w1 and w2.
+// testSpec returns a submission of n tasks that may run on w1 and w2.
 func testSpec(n int) Spec {
 	return Spec{
 		ID:              ticket.ID{Incarnation: 1, Counter: 1},
@@ -21,11 +21,11 @@
 	}
 }
 
-// Symptom: a task runs on two workers. Sequence: the home can not be reached,
-// another entry VM asks all candidates and starts the task; the home, which
-// lives, loses the answer of another task, raises its generation and hands the
-// first task out as well. Cause: the raised generation was above the recovering
-// entry VM's, so workers that this one had sealed accepted the home's start.
+// Guards against a task that runs on two workers: the home is unreachable, and
+// another entry VM seals all candidates and starts the task. The home, which is still
+// alive, loses the reply to another start, raises its generation and assigns the task
+// too. If the raised generation were above the recovering entry VM's, sealed workers
+// would accept the home's start.
 func TestRaisedGenerationStaysBelowRecovery(t *testing.T) {
 	home := New(testSpec(4), 9)
 	recovery, _ := Recover(testSpec(4), 5, []string{"w1", "w2"}, false, ticket.Generation{})
@@ -42,46 +42,46 @@
 	}
 }
 
-// Symptom: a task runs on two workers. Sequence: an owner's "not started" is
-// delivered twice; the task is handed to the same owner again in between. Cause:
-// both hand-outs had one generation, so the copy passed for word on the second.
+// Guards against a task that runs on two workers: an owner's report "not started" is
+// delivered twice, and in between the task is assigned to the same owner again. If
+// both assignments had the same generation, the duplicate would count for the second.
 func TestDuplicateRefusalDoesNotFreeReassignedTask(t *testing.T) {
 	j := New(testSpec(1), 9)
 	j.Assign("owner", []string{"w1"}, 1)
 	first := j.Generation()
 	j.TaskNotStarted("owner", first, 0, reason.WorkerBusy, "w1")
 	if len(j.Assign("owner", []string{"w1"}, 1)) != 1 {
-		t.Fatal("a task that came back was not handed out again")
+		t.Fatal("a returned task was not assigned again")
 	}
 	j.TaskNotStarted("owner", first, 0, reason.WorkerBusy, "w1")
 	if j.Unassigned() != 0 {
-		t.Fatal("a doubled refusal freed a task that is handed out")
+		t.Fatal("a duplicate refusal freed an assigned task")
 	}
 }
 
-// Symptom: a task runs on two workers. Sequence: an entry VM that recovers hands
-// a task out; the refusal of an older start of it arrives in place of this
-// one's; the worker is asked, knows nothing yet, and the start arrives after
-// that. Cause: the seal was asked under the generation of the hand-out itself,
-// which lets its start pass.
+// Guards against a task that runs on two workers: a recovering entry VM assigns a
+// task, and the refusal of an older start of it arrives and is taken for the refusal
+// of the new one. The worker is sealed and has no record yet; then the new start
+// arrives. A seal under the generation of the assignment itself would let it through.
 func TestSealIsAboveGenerationOfAssignment(t *testing.T) {
 	for _, code := range []reason.Code{reason.Sealed, reason.DuplicateTask} {
 		j, a := Recover(testSpec(1), 5, []string{"w1"}, false, ticket.Generation{})
 		j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: a.Seal[0].Gen, Sealed: true, HighestGen: a.Seal[0].Gen})
 		j.Assign("owner", []string{"w1"}, 1)
-		handed := j.Generation()
-		a = j.TaskNotStarted("owner", handed, 0, code, "w1")
-		if len(a.Seal) != 1 || !handed.Less(a.Seal[0].Gen) {
-			t.Errorf("%s: seals %+v do not shut out starts under %+v", code, a.Seal, handed)
+		assignedGen := j.Generation()
+		a = j.TaskNotStarted("owner", assignedGen, 0, code, "w1")
+		if len(a.Seal) != 1 || !assignedGen.Less(a.Seal[0].Gen) {
+			t.Errorf("%s: seals %+v do not block starts under %+v", code, a.Seal, assignedGen)
 		}
 	}
 }
 
-// Symptom: "not run" for a task that ran on a worker which is gone. Sequence: the
-// home is cut off, a recovering entry VM starts the task on w2 and dies with it;
-// the caller cancels at the home, whose closing is refused on w1; the home takes
-// over and asks all candidates; w2 can not be asked. Cause: the answer of w2 was
-// taken for a failed closing, and the next candidate's closing for the proof.
+// Guards against the answer NotRun for a task that ran on a worker that is gone: the
+// home is cut off, and a recovering entry VM starts the task on w2 and crashes, as does
+// w2. The caller cancels at the home, and w1 refuses to record NotRun since it is
+// sealed higher. The home takes over and seals all candidates, and w2 is unreachable.
+// That must not count as a failed attempt to record NotRun, after which the record of
+// the next candidate would be taken for the proof.
 func TestTakeOverCancelsRecordingOfNotRun(t *testing.T) {
 	j := New(testSpec(1), 9)
 	a := j.Cancel(start)
@@ -90,7 +90,7 @@
 	takeover := j.TakeOver(higher, []string{"w1", "w2"}, false)
 	asked := takeover.Seal[0].Gen
 	if a = j.HandleCloseReply(SealReply{Worker: "w1", RequestedGen: closing.Gen, HighestGen: asked}); a.Answer != nil {
-		t.Fatalf("the late answer to an earlier closing ended the job: %+v", a.Answer)
+		t.Fatalf("a late reply to an earlier closing seal ended the job: %+v", a.Answer)
 	}
 	j.CloseFailed(closing.Gen)
 	j.WorkerUnreachable("w2", asked)
@@ -100,9 +100,9 @@
 	}
 }
 
-// Symptom: a cancelled submission ends as failed although nothing ran. Sequence:
-// as above, with every candidate answering. Cause: a closing that was overtaken
-// was not begun again.
+// Guards against a cancelled submission that ends as failed although nothing ran. The
+// events are those of the test above, but every candidate replies: recording NotRun
+// has to start again after the takeover.
 func TestNotRunIsRecordedAgainAfterTakeOver(t *testing.T) {
 	j := New(testSpec(1), 9)
 	j.Cancel(start)
@@ -110,7 +110,7 @@
 	asked := takeover.Seal[0].Gen
 	a := j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: asked, Sealed: true, HighestGen: asked})
 	if len(a.Seal) != 1 || a.Seal[0].Closed == "" {
-		t.Fatalf("actions %+v, want a closing", a)
+		t.Fatalf("actions %+v, want a closing seal", a)
 	}
 	a = j.CloseFailed(asked)
 	a = j.HandleCloseReply(SealReply{Worker: a.Seal[0].Worker, RequestedGen: asked, Sealed: true, HighestGen: asked})
@@ -119,27 +119,26 @@
 	}
 }
 
-// Symptom: a task runs on two workers. Sequence: a driver asks w1 under a new
-// generation; a refusal from w2, which it did not ask, says that a task handed
-// out before is sealed off. Cause: its own seal at w1 was taken for the reason,
-// and the task was handed out again although w2 was not asked.
+// Guards against a task that runs on two workers: a driver seals w1 under a new
+// generation, and w2, which it did not seal, refuses a task assigned before as sealed.
+// The driver must not take its seal of w1 for the reason and reassign the task, but
+// has to seal w2.
 func TestRefusalByUnsealedWorkerIsInvestigated(t *testing.T) {
 	j := New(testSpec(2), 9)
 	j.Assign("owner", []string{"w1", "w2"}, 2)
 	first := j.Generation()
 	j.StartsUnanswered("owner", first, []uint32{0}, "w1")
 	if a := j.TaskNotStarted("owner", first, 1, reason.Sealed, "w2"); len(a.Seal) != 1 || a.Seal[0].Worker != "w2" {
-		t.Fatalf("actions %+v, want w2 to be asked", a)
+		t.Fatalf("actions %+v, want a seal of w2", a)
 	}
 	if j.Unassigned() != 0 {
-		t.Fatal("the task is free to hand out")
+		t.Fatal("the task can be assigned again")
 	}
 }
 
-// Symptom: the caller of a cancelled job is told that a task was stopped.
-// Sequence: the job is cancelled while a task runs of which the home has no news;
-// the owner has it stopped, and its end is the first news. Cause: the end of the
-// task was taken for the reason, not the cancellation that led to it.
+// Guards against a wrong reason in the answer: a job is cancelled while a task runs
+// that the home has no report on. The owner stops the task, and its end is the first
+// report. The answer has to name the cancellation, not the stopped task.
 func TestAnswerNamesCancellationNotTaskStop(t *testing.T) {
 	j := New(testSpec(1), 9)
 	j.Assign("owner", []string{"w1"}, 1)
@@ -150,9 +149,9 @@
 	}
 }
 
-// Symptom: tasks of a failed job run on. Sequence: a recovery finds one task
-// running and one failed; the job fails. Cause: no owner of this driver knows the
-// running task, so only the worker itself can be told to stop it.
+// Guards against tasks of a failed job that keep running: a recovery finds one task
+// running and one failed, and the job fails. No owner of this driver knows the running
+// task, so the worker itself has to be told to stop it.
 func TestTasksFoundRunningAreStoppedOnFailure(t *testing.T) {
 	j, _ := Recover(testSpec(2), 5, []string{"w1", "w2"}, false, ticket.Generation{})
 	j.HandleSealReply(SealReply{Worker: "w1", RequestedGen: j.Generation(), Sealed: true, HighestGen: j.Generation(), Records: []Record{{Index: 0, State: RecordRunning}}})
--- a/internal/request/job/property_test.go
+++ b/internal/request/job/property_test.go
@@ -17,11 +17,11 @@
 )
 
 var (
-	scale = flag.Int("scale", 1, "times as many event sequences for the property of the job machine")
-	seed  = flag.Int64("seed", 20261203, "of the event sequences")
+	scale = flag.Int("scale", 1, "factor for the number of event sequences")
+	seed  = flag.Int64("seed", 20261203, "seed of the event sequences")
 )
 
-// step applies one event, chosen by code.
+// step applies one event, which the code determines.
 func (w *simulation) step(code uint32) {
 	op, arg := int(code%200), int(code/200)
 	v := w.vms[arg%len(w.vms)]
@@ -48,7 +48,7 @@
 	}
 }
 
-// fault applies one of the rarer events.
+// fault applies one of the rarer events, mostly faults.
 func (w *simulation) fault(op, arg int, v *vm, s *submission, o *owner, k *worker) {
 	switch op {
 	case 0, 1, 2:
@@ -69,7 +69,7 @@
 			k.restart()
 		}
 	case 10, 11:
-		k.lease = nil // lapsed: its holder was paused and does not know
+		k.lease = nil // lapsed while its owner was paused and does not know it
 	case 12, 13:
 		o.loseLease(k)
 	case 14, 15:
@@ -85,7 +85,7 @@
 	}
 }
 
-// pass lets time go on.
+// advanceTime moves the clock and ticks all jobs.
 func (w *simulation) advanceTime(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, v := range w.vms {
@@ -99,8 +99,8 @@
 
 const maxFaultFreeRounds = 60
 
-// settle ends the faults and asks for both submissions until they have final
-// answers. Everything that is under way arrives.
+// finishWithoutFaults ends the faults and submits both submissions again until they
+// have final answers. All messages in flight arrive.
 func (w *simulation) finishWithoutFaults(code uint32) {
 	for _, v := range w.vms {
 		v.isCutOff = false
@@ -165,22 +165,23 @@
 	w.advanceTime(20 * time.Millisecond)
 }
 
-// maxMessagesPerRound bounds the messages of one round: more would be an endless exchange.
+// maxMessagesPerRound limits the messages of one round: more indicate an endless exchange.
 const maxMessagesPerRound = 5000
 
 func (w *simulation) drain(round int) {
 	for i := 0; len(w.inFlight) > 0; i++ {
 		w.deliver(round*7919+i*31, false)
 		if i > maxMessagesPerRound {
-			w.reportViolation("messages go on without end")
+			w.reportViolation("more messages than expected in one round")
 			w.inFlight = nil
 		}
 	}
 }
 
-// run applies a sequence of events to a new world and reports a violation.
-func runSequence(removed guard, codes []uint32, total *counters) error {
-	w := newSimulation(removed, 2+int(codes[0]%3))
+// runSequence applies a sequence of events to a new simulation and returns the first
+// violation.
+func runSequence(disabled guard, codes []uint32, total *counters) error {
+	w := newSimulation(disabled, 2+int(codes[0]%3))
 	for _, s := range w.subs {
 		for _, k := range w.workers {
 			k.ticketIncarnation(s)
@@ -208,11 +209,12 @@
 
 func sequences() gopter.Gen { return gen.SliceOfN(propertySteps, gen.UInt32()) }
 
-// Symptom: a crew is booked twice, an order lands on a bench twice, or a caller
-// is told "not run" of what ran. Sequence: any order of starts, results, seals
-// and submissions with messages lost, late, doubled and crossed, and deaths,
-// pauses and restarts of every part. Cause would be a driver that takes for
-// never started what another one, or a message under way, has started or starts.
+// Guards against a task that runs twice, so that a crew is booked twice or an order
+// reaches a bench twice, and against the answer NotRun for a submission that ran. The
+// events are starts, results, seals and submissions in any order, with messages lost,
+// late, duplicated and reordered, and crashes, pauses and restarts of every process.
+// The failure would be a driver that takes a task for not started although another
+// driver has started it, or a start in flight still will.
 func TestNoTaskStartsTwice(t *testing.T) {
 	var total counters
 	properties := gopter.NewProperties(parameters(propertyRuns * *scale))
@@ -224,12 +226,12 @@
 	properties.TestingRun(t)
 	t.Logf("%d sequences, seed %d: %+v", propertyRuns**scale, *seed, total)
 	if total.attempts < minAttempts || total.recoveries == 0 || total.unknowns == 0 || total.notRuns == 0 {
-		t.Errorf("the sequences did not try enough: %+v", total)
+		t.Errorf("too few attempts, recoveries, unknown or not_run answers: %+v", total)
 	}
 }
 
-// Symptom: a check that passes whatever the code does. Each guard of the
-// protocol is removed from the world in turn; the same property has to notice.
+// Guards against a property that cannot fail: each rule of the protocol is disabled in
+// turn, and the property has to detect a violation.
 func TestPropertySeesRemovedGuards(t *testing.T) {
 	guards := map[string]guard{
 		"a worker that ignores generations":           workerGeneration,
@@ -239,16 +241,16 @@
 		"a restarted home that takes its old tickets": homeIncarnation,
 		"not run without recording it at a candidate": recordBeforeNotRun,
 	}
-	for name, removed := range guards {
+	for name, disabled := range guards {
 		t.Run(name, func(t *testing.T) {
 			var total counters
 			var found error
 			property := prop.ForAll(func(codes []uint32) bool {
-				found = runSequence(removed, codes, &total)
+				found = runSequence(disabled, codes, &total)
 				return found == nil
 			}, sequences())
 			if property.Check(parameters(propertyRuns)).Passed() {
-				t.Fatal("the property passes although the guard is removed")
+				t.Fatal("the property passes although the guard is disabled")
 			}
 			t.Logf("after %d attempts: %v", total.attempts, found)
 		})
--- a/internal/request/job/seal.go
+++ b/internal/request/job/seal.go
@@ -8,7 +8,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Record is what a worker knows of one task.
+// Record is a worker's record of one task that has started there.
 type Record struct {
 	Index   uint32
 	State   RecordState
@@ -20,29 +20,29 @@
 type RecordState uint8
 
 const (
-	// RecordRunning: the task occupies a slot.
+	// RecordRunning means that the task occupies a slot.
 	RecordRunning RecordState = iota
-	// RecordDone: the task ended and its output is here.
+	// RecordDone means that the task completed and the record has its output.
 	RecordDone
-	// RecordFailed: the task ran and reported an error.
+	// RecordFailed means that the task ran and reported an error.
 	RecordFailed
-	// RecordStopped: the task ran and was stopped on request.
+	// RecordStopped means that the task ran and was stopped on request.
 	RecordStopped
-	// RecordDiscarded: the task ended, its output is no longer kept.
+	// RecordDiscarded means that the task ended and its output is no longer kept.
 	RecordDiscarded
 )
 
-// SealReply is a worker's answer to a seal.
+// SealReply is a worker's reply to a seal.
 type SealReply struct {
 	Worker       string
-	RequestedGen ticket.Generation // the generation of the seal
-	Sealed       bool              // false: Highest was there first
+	RequestedGen ticket.Generation // generation of the seal
+	Sealed       bool              // false: the worker was already sealed under the higher HighestGen
 	HighestGen   ticket.Generation
 	Closed       reason.Code // not empty: an earlier driver ended the submission
 	Records      []Record
 }
 
-// Sealed takes a worker's answer.
+// HandleSealReply handles a worker's reply to a seal.
 func (j *Job) HandleSealReply(r SealReply) Actions {
 	var a Actions
 	if j.answer != nil {
@@ -72,8 +72,8 @@
 	return a
 }
 
-// Unreachable takes the news that a worker can not be asked, now or later: it
-// was restarted, or stayed silent past the bound.
+// WorkerUnreachable handles a seal that failed for good: the worker was restarted,
+// or did not reply within the time limit.
 func (j *Job) WorkerUnreachable(worker string, asked ticket.Generation) Actions {
 	var a Actions
 	if j.answer != nil {
@@ -85,8 +85,8 @@
 	return a
 }
 
-// FollowedWorkerLost takes the news that a worker on which a task ran is gone. The task
-// did start, so nothing may start it again.
+// FollowedWorkerLost handles the loss of a worker on which a task was known to run.
+// The task did start, so it must not be started again.
 func (j *Job) FollowedWorkerLost(worker string, indexes []uint32) Actions {
 	var a Actions
 	for _, index := range indexes {
@@ -103,7 +103,7 @@
 	return a
 }
 
-// yield ends this driver: another one holds a higher generation.
+// yieldTo ends this driver, since another one has a higher generation.
 func (j *Job) yieldTo(a *Actions, higher ticket.Generation) {
 	j.superseded = higher.Author
 	j.answer = &Answer{
@@ -117,7 +117,8 @@
 	j.release()
 }
 
-// repeatClosedAnswer repeats the end that an earlier driver recorded.
+// repeatClosedAnswer answers with the end that an earlier driver recorded at a
+// worker.
 func (j *Job) repeatClosedAnswer(a *Actions, r SealReply) {
 	outcome := reason.Failed
 	if r.Closed == closedNotRun {
@@ -126,10 +127,11 @@
 	j.setAnswer(a, Answer{Outcome: outcome, Reason: r.Closed, Detail: "ended earlier, read back from worker " + r.Worker})
 }
 
-// closedNotRun is recorded at a candidate when nothing ran.
+// closedNotRun is recorded at a candidate if no task has started.
 const closedNotRun reason.Code = "closed_not_run"
 
-// adopt takes over one record of a worker.
+// applyRecord updates a task from a worker's record. Running tasks are added to
+// follow.
 func (j *Job) applyRecord(a *Actions, follow *Follow, rec Record) {
 	if !j.isOpen(rec.Index) {
 		return
@@ -159,10 +161,10 @@
 	}
 }
 
-// answered strikes a worker off the batches that wait for its seal. An answer
-// to a seal under an older generation does not count: starts sent in between
-// may have been accepted after it.
-func (j *Job) sealAnswered(worker string, asked ticket.Generation, gone bool) {
+// sealAnswered removes a worker from the batches that await its reply. A reply to
+// a seal under an older generation than the batch's does not count: the worker may
+// have accepted a start after it.
+func (j *Job) sealAnswered(worker string, asked ticket.Generation, unreachable bool) {
 	for b := range j.batches {
 		at := &j.batches[b]
 		i := slices.Index(at.pending, worker)
@@ -170,12 +172,13 @@
 			continue
 		}
 		at.pending = slices.Delete(at.pending, i, i+1)
-		at.unreachable = at.unreachable || gone
+		at.unreachable = at.unreachable || unreachable
 	}
 }
 
-// resolveBatches decides the tasks of batches whose workers have all answered:
-// what no worker knows has not started, unless a worker could not be asked.
+// resolveBatches resolves the tasks of batches whose workers have all replied. A
+// task that no worker has a record of has not started and can be assigned again. If
+// a worker could not be asked, it is unknown whether the task started.
 func (j *Job) resolveBatches(a *Actions) {
 	if j.counts[sealing] == 0 || j.answer != nil {
 		return
@@ -207,9 +210,9 @@
 	return j.GiveUp(now, reason.Cancelled, "cancelled by the caller", 0)
 }
 
-// End gives the job up: no more tasks are handed out, those that have not
-// started are taken back. The answer says NotRun when it turns out in time that
-// none has started, else Failed.
+// GiveUp ends the job early: no more tasks are assigned, and owners have to return
+// those that have not started. The answer is NotRun if it is established within the
+// settle timeout that no task has started, and otherwise Failed.
 func (j *Job) GiveUp(now time.Time, code reason.Code, detail string, retryAfter time.Duration) Actions {
 	var a Actions
 	if j.answer != nil || j.pendingEnd != nil {
@@ -226,7 +229,7 @@
 	return a
 }
 
-// Tick lets time pass: the deadline, and the bound on settling an end.
+// Tick checks the deadline and the settle timeout of a job that was given up.
 func (j *Job) Tick(now time.Time) Actions {
 	var a Actions
 	switch {
@@ -239,7 +242,7 @@
 	return a
 }
 
-// Due is when Tick has to be called next.
+// NextTick returns the time at which Tick has to be called next.
 func (j *Job) NextTick() time.Time {
 	if j.pendingEnd != nil {
 		return j.settleDeadline
@@ -247,7 +250,8 @@
 	return j.spec.Deadline
 }
 
-// owners lists those that hold tasks which may not have started.
+// ownersToWithdraw returns the owners of unresolved tasks, which may not have
+// started yet.
 func (j *Job) ownersToWithdraw() []string {
 	var out []string
 	for b := range j.batches {
@@ -259,7 +263,8 @@
 	return out
 }
 
-// conclude answers when everything is known.
+// answerIfKnown sets the answer, or takes the last step towards it, once the state
+// of the tasks determines it.
 func (j *Job) answerIfKnown(a *Actions) {
 	if j.answer != nil {
 		return
@@ -280,8 +285,8 @@
 	}
 }
 
-// close records the end at the next candidate. One is enough, since a
-// recovering entry VM has to ask them all.
+// recordNotRun asks the next candidate to record that the submission ended without
+// running. One record is enough, since a recovering entry VM asks all candidates.
 func (j *Job) recordNotRun(a *Actions) {
 	if j.closeAttempts >= len(j.spec.CloseCandidates) {
 		end := *j.pendingEnd
@@ -295,14 +300,15 @@
 	j.closeAttempts++
 }
 
-// awaits reports whether a closing seal of the given generation is awaited. Since
-// an earlier one the job may have taken over: then other tasks may have started.
+// awaitsClose reports whether the reply to a closing seal of the given generation is
+// still awaited. A reply under an earlier generation is stale: this driver has taken
+// over since then, and tasks may have been started by the driver that it replaced.
 func (j *Job) awaitsClose(asked ticket.Generation) bool {
 	return j.answer == nil && j.closeAttempts > 0 && asked == j.gen
 }
 
-// CloseFailed takes the news that a candidate could not be asked to record the
-// end. The next one is tried.
+// CloseFailed handles a candidate that could not be asked to record the end. The
+// next one is asked.
 func (j *Job) CloseFailed(asked ticket.Generation) Actions {
 	var a Actions
 	if j.awaitsClose(asked) {
@@ -311,7 +317,7 @@
 	return a
 }
 
-// Closed takes a candidate's answer to a closing seal.
+// HandleCloseReply handles a candidate's reply to a closing seal.
 func (j *Job) HandleCloseReply(r SealReply) Actions {
 	var a Actions
 	if !j.awaitsClose(r.RequestedGen) {
@@ -338,16 +344,16 @@
 	j.setAnswer(a, Answer{Outcome: reason.Complete, Outputs: outputs})
 }
 
-// finish answers with a failure after something may have run: what has not
-// started is taken back, what runs is stopped, and the end is recorded so that
-// an entry VM that recovers the submission does not take it up again.
+// finishWithFailure answers with a failure after tasks may have run. Tasks that have
+// not started are withdrawn, running ones are stopped, and the end is recorded at a
+// candidate so that an entry VM that recovers the submission does not run it again.
 func (j *Job) finishWithFailure(a *Actions, ans Answer) {
 	if j.answer != nil {
 		return
 	}
 	if j.pendingEnd != nil && ans.Reason == reason.Stopped {
-		// The task was stopped because the job had been given up; that is what
-		// the caller has to be told.
+		// The task was stopped because the job had been given up. The answer
+		// has to give that reason.
 		ans = *j.pendingEnd
 	}
 	a.Withdraw = j.ownersToWithdraw()
@@ -365,8 +371,8 @@
 	j.release()
 }
 
-// Discard drops the outputs of an answer that is kept no longer. The submission
-// stays known, so that asking again never starts anything.
+// Discard drops the outputs of the answer to free memory. The job still has an
+// answer, so that a resubmission never starts a task.
 func (j *Job) Discard() {
 	if j.answer == nil || j.answer.Outputs == nil {
 		return
@@ -379,7 +385,7 @@
 	}
 }
 
-// release drops what only a running job needs.
+// release frees the memory that only an unanswered job needs.
 func (j *Job) release() {
 	j.spec.Inputs = nil
 	j.tasks = nil
--- a/internal/request/job/world_owner_test.go
+++ b/internal/request/job/world_owner_test.go
@@ -7,7 +7,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// owner holds worker leases.
+// owner is a process that holds worker leases and starts tasks on these workers.
 type owner struct {
 	w           *simulation
 	name        string
@@ -16,7 +16,7 @@
 	leases      map[*worker]*lease
 }
 
-// offer is one task that a home handed over.
+// offer is a task that a driver assigned to an owner.
 type offer struct {
 	session *session
 	sub     *submission
@@ -25,12 +25,12 @@
 	allowed []string
 }
 
-// lease is what an owner believes to hold.
+// lease is a worker lease from the owner's view; it may have lapsed at the worker.
 type lease struct {
 	owner                *owner
 	ownerIncarnation     int
 	worker               *worker
-	workerIncarnation    uint64 // of the worker: a connection ends with the process
+	workerIncarnation    uint64 // the connection ends with the worker's process
 	epoch                uint64
 	toWorker, fromWorker uint64 // streams
 	inFlight             map[taskKey]offer
@@ -57,7 +57,8 @@
 	k.lease, o.leases[k] = l, l
 }
 
-// lose ends a lease on the owner's side: what was sent has an unknown fate.
+// loseLease ends a lease on the owner's side. It is unknown which of the starts
+// in flight took effect.
 func (o *owner) loseLease(k *worker) {
 	l := o.leases[k]
 	if l == nil {
@@ -91,7 +92,7 @@
 	o.queue = rest
 }
 
-// report queues a result for a home.
+// report sends a result to the driver that assigned the task.
 func (o *owner) report(x offer, worker string, r *Record, code reason.Code) {
 	v := x.session.vm
 	o.w.send(&message{stream: x.session.fromOwner, mayDuplicate: true,
@@ -100,7 +101,7 @@
 	})
 }
 
-// place sends one waiting task to an allowed worker.
+// startTask sends the start of a queued task to an allowed worker.
 func (o *owner) startTask(arg int) {
 	if len(o.queue) == 0 {
 		return
@@ -131,14 +132,14 @@
 	o.w.send(&message{stream: l.toWorker, mayDuplicate: true, onArrival: func() { l.worker.handleStart(l, x) }, onLoss: func() { o.breakLease(l) }})
 }
 
-// breakLease is the end of a stream to a worker, as the owner sees it.
+// breakLease handles the end of a stream to a worker on the owner's side.
 func (o *owner) breakLease(l *lease) {
 	if o.leases[l.worker] == l {
 		o.loseLease(l.worker)
 	}
 }
 
-// landed frees what a task occupied and tells its home.
+// taskAnswered removes a task from those in flight and reports to its driver.
 func (l *lease) taskAnswered(key taskKey, r *Record, code reason.Code) {
 	x, ok := l.inFlight[key]
 	if !ok || l.owner.leases[l.worker] != l {
@@ -148,7 +149,7 @@
 	l.owner.report(x, l.worker.name, r, code)
 }
 
-// worker applies the rules of package standin/worker.
+// worker accepts and refuses starts by the rules of package standin/worker.
 type worker struct {
 	w                  *simulation
 	name               string
@@ -161,10 +162,10 @@
 	tasks              map[taskKey]*Record
 	runningTasks       []taskKey
 	pendingFollows     []func()               // follows that wait for the end of a task
-	ticketIncarnations map[*submission]uint64 // incarnation when the candidates were chosen
+	ticketIncarnations map[*submission]uint64 // incarnation of the worker when the ticket was minted
 }
 
-// wake answers the follows that wait here.
+// resumeFollows continues the follows that wait for the end of a task.
 func (k *worker) resumeFollows() {
 	waits := k.pendingFollows
 	k.pendingFollows = nil
@@ -173,7 +174,8 @@
 	}
 }
 
-// restart forgets everything but which life the tickets name.
+// restart begins a new incarnation without leases, seals and records. Only the
+// incarnations that the tickets name are kept.
 func (k *worker) restart() {
 	if k.ticketIncarnations == nil {
 		k.ticketIncarnations = map[*submission]uint64{}
@@ -184,7 +186,7 @@
 	k.tasks = map[taskKey]*Record{}
 }
 
-// life is the incarnation that the ticket of s was minted for.
+// ticketIncarnation returns the incarnation of the worker that the ticket of s names.
 func (k *worker) ticketIncarnation(s *submission) uint64 {
 	if k.ticketIncarnations[s] == 0 {
 		k.ticketIncarnations[s] = k.incarnation
@@ -209,13 +211,13 @@
 // refusal returns why a start is not accepted, or "".
 func (k *worker) refusal(l *lease, x offer) reason.Code {
 	switch {
-	case k.tasks[taskKey{x.sub, x.index}] != nil && k.w.removed != workerDuplicate:
+	case k.tasks[taskKey{x.sub, x.index}] != nil && k.w.disabled != workerDuplicate:
 		return reason.DuplicateTask
 	case k.isDead || k.lease != l:
 		return reason.StaleEpoch
-	case k.incarnation != k.ticketIncarnation(x.sub) && k.w.removed != workerRestart:
+	case k.incarnation != k.ticketIncarnation(x.sub) && k.w.disabled != workerRestart:
 		return reason.WorkerRestarted
-	case k.closed[x.sub] != "" || (x.gen.Less(k.sealed[x.sub]) && k.w.removed != workerGeneration):
+	case k.closed[x.sub] != "" || (x.gen.Less(k.sealed[x.sub]) && k.w.disabled != workerGeneration):
 		return reason.Sealed
 	}
 	return ""
@@ -235,7 +237,7 @@
 	}
 }
 
-// end lets a running task end.
+// endTask ends a running task.
 func (k *worker) endTask(arg int, fails bool) {
 	if len(k.runningTasks) == 0 {
 		return
--- a/internal/request/job/world_test.go
+++ b/internal/request/job/world_test.go
@@ -9,31 +9,32 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// world is a small site: entry VMs that drive submissions with the real job
+// simulation is a small site: entry VMs that drive submissions with the real job
 // machine, owners of worker leases, workers that apply the acceptance rules, and
 // the messages between them.
 //
 // Messages of one stream (home to owner and back, owner to worker and back) keep
-// their order and lose their tail when the stream breaks; what is under way
-// then may still arrive, at any later time. Calls (seals, follows, submissions)
-// are lost, doubled, delayed and reordered at will. Of messages in streams, the
-// starts and the results for a home are doubled too, because the workers and the
-// machine promise to bear it; a batch for an owner is not.
+// their order. When a message of a stream is lost, all later ones are lost too;
+// when a stream breaks, messages in flight may still arrive at any later time.
+// Calls (seals, follows, submissions) can be lost, duplicated, delayed and
+// reordered. Of the messages in streams, starts and results for a home can also
+// be duplicated, because workers and the job machine have to tolerate that; a
+// batch for an owner is not duplicated.
 type simulation struct {
-	removed   guard
+	disabled  guard
 	now       time.Time
 	vms       []*vm
 	owners    []*owner
 	workers   []*worker
 	subs      []*submission
 	inFlight  []*message
-	lastID    uint64 // of incarnations and streams
+	lastID    uint64 // last number given to an incarnation or stream
 	counters  counters
 	violation error // the first one
 }
 
-// guard is a part of the protocol that a test removes, to see that the property
-// notices.
+// guard is a rule of the protocol that a test disables, to check that the property
+// detects the violations.
 type guard uint8
 
 const (
@@ -46,7 +47,7 @@
 	recordBeforeNotRun
 )
 
-// tally counts what happened over many worlds.
+// counters counts events over many simulations.
 type counters struct{ attempts, starts, recoveries, completes, failures, unknowns, notRuns, secondStarts int }
 
 func (t *counters) add(o counters) {
@@ -60,14 +61,14 @@
 	t.secondStarts += o.secondStarts
 }
 
-// submission is what its caller and an observer of all workers know.
+// submission is a submission as seen by its caller and by an observer of all workers.
 type submission struct {
 	id             ticket.ID
 	home           string
-	starts         []int  // by task index
-	toldNotRun     bool   // somebody was told that nothing ran
-	hasFinalAnswer bool   // an answer came since it was asked last
-	driver         uint64 // where an answer pointed to
+	starts         []int  // number of starts, by task index
+	toldNotRun     bool   // a caller got the answer NotRun
+	hasFinalAnswer bool   // a final answer has arrived; reset when the faults end
+	driver         uint64 // incarnation of the driver that an answer named
 }
 
 const (
@@ -79,16 +80,16 @@
 	simulatedOwners    = 2
 )
 
-// packet is one message under way.
+// message is one message in flight.
 type message struct {
-	stream       uint64 // 0: a call, in no order with others
+	stream       uint64 // 0: a call, which is not ordered
 	mayDuplicate bool
 	onArrival    func()
 	onLoss       func()
 }
 
-func newSimulation(removed guard, workers int) *simulation {
-	w := &simulation{removed: removed, now: time.Unix(1000, 0)}
+func newSimulation(disabled guard, workers int) *simulation {
+	w := &simulation{disabled: disabled, now: time.Unix(1000, 0)}
 	for i := range simulatedVMs {
 		v := &vm{w: w, name: fmt.Sprintf("vm%d", i)}
 		v.restart()
@@ -103,7 +104,8 @@
 		w.workers = append(w.workers, k)
 		w.owners[i%simulatedOwners].acquire(k)
 	}
-	// Two homes, the younger and the older one of the first two VMs.
+	// One submission for each of the first two VMs, so that the home of one has a
+	// higher incarnation than that of the other.
 	for i := range 2 {
 		w.subs = append(w.subs, &submission{
 			id:     ticket.ID{Incarnation: w.vms[i].incarnation, Counter: uint64(i)},
@@ -122,10 +124,11 @@
 	}
 }
 
-// send puts a message under way.
+// send adds a message to those in flight.
 func (w *simulation) send(p *message) { w.inFlight = append(w.inFlight, p) }
 
-// take removes the message at i, or the oldest of its stream.
+// remove removes and returns the call at i, or the oldest message of the stream
+// that the message at i belongs to.
 func (w *simulation) remove(i int) *message {
 	if s := w.inFlight[i].stream; s != 0 {
 		i = slices.IndexFunc(w.inFlight, func(p *message) bool { return p.stream == s })
@@ -146,7 +149,8 @@
 	p.onArrival()
 }
 
-// lose drops a message. A stream that loses one loses all later ones too.
+// loseMessage drops a message. If it belongs to a stream, all later messages of the
+// stream are dropped too.
 func (w *simulation) loseMessage(i int) {
 	if len(w.inFlight) == 0 {
 		return
@@ -160,10 +164,10 @@
 	}
 }
 
-// output is what a task of a submission computes.
+// output returns the expected output of a task.
 func (s *submission) output(index uint32) string { return fmt.Sprintf("%v/%d", s.id, index) }
 
-// answered checks an answer that a caller of s got.
+// checkAnswer records an answer to a caller of s and checks it against the starts.
 func (w *simulation) checkAnswer(s *submission, a *Answer) {
 	if a.Reason == reason.RecoveredElsewhere {
 		s.driver = a.Driver
--- a/internal/request/job/world_vm_test.go
+++ b/internal/request/job/world_vm_test.go
@@ -7,13 +7,13 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// vm is an entry VM as a driver of submissions: the steps of package home
-// around the job machine.
+// vm is an entry VM that drives submissions. It does with the job machine what
+// package home does.
 type vm struct {
 	w           *simulation
 	name        string
 	incarnation uint64
-	isCutOff    bool // the others can not reach it
+	isCutOff    bool // it and the other VMs cannot reach each other
 	jobs        map[ticket.ID]*entry
 	sessions    map[*owner]*session
 }
@@ -28,12 +28,12 @@
 	vm                 *vm
 	vmIncarnation      uint64
 	owner              *owner
-	ownerIncarnation   int // of the owner
+	ownerIncarnation   int
 	toOwner, fromOwner uint64
-	ownerNotified      bool // the owner has learnt that it ended
+	ownerNotified      bool // the owner knows that the session has ended
 }
 
-// start begins a new life of the VM: nothing is kept, the incarnation is new.
+// restart begins a new incarnation of the VM without jobs and sessions.
 func (v *vm) restart() {
 	for _, s := range v.sessions {
 		s.ownerNotified = true
@@ -41,7 +41,7 @@
 	v.incarnation, v.jobs, v.sessions = v.w.nextID(), map[ticket.ID]*entry{}, map[*owner]*session{}
 }
 
-// lives reports whether the VM of an incarnation can be reached from v.
+// reachableVM returns the VM of an incarnation, or nil if it cannot be reached from v.
 func (w *simulation) reachableVM(v *vm, inc uint64) *vm {
 	for _, o := range w.vms {
 		if o.incarnation == inc && (o == v || (!o.isCutOff && !v.isCutOff)) {
@@ -52,10 +52,10 @@
 }
 
 func (w *simulation) isHome(v *vm, s *submission) bool {
-	return v.name == s.home && (v.incarnation == s.id.Incarnation || w.removed == homeIncarnation)
+	return v.name == s.home && (v.incarnation == s.id.Incarnation || w.disabled == homeIncarnation)
 }
 
-// submit routes a submission that reached v.
+// submit routes a submission that arrived at v.
 func (w *simulation) submit(v *vm, s *submission) {
 	if w.isHome(v, s) {
 		v.drive(s, false)
@@ -74,7 +74,7 @@
 	w.send(&message{mayDuplicate: true, onArrival: func() { target.drive(s, !w.isHome(target, s)) }})
 }
 
-// drive attaches to a submission, or takes it.
+// drive attaches the caller to a submission that v drives already, or begins to drive it.
 func (v *vm) drive(s *submission, recovery bool) {
 	e := v.jobs[s.id]
 	if e != nil {
@@ -100,7 +100,7 @@
 		return
 	}
 	v.w.counters.recoveries++
-	if v.w.removed == sealAllCandidates {
+	if v.w.disabled == sealAllCandidates {
 		names = names[:1]
 	}
 	var a Actions
@@ -108,7 +108,7 @@
 	v.act(e, a)
 }
 
-// act carries out what a job decided.
+// act executes the actions of a job.
 func (v *vm) act(e *entry, a Actions) {
 	for _, s := range a.Seal {
 		v.seal(e, s)
@@ -128,7 +128,8 @@
 	}
 }
 
-// alive reports whether e is still what this life of the VM drives.
+// isCurrent reports whether the VM has not restarted since the given incarnation and
+// still drives the submission with e.
 func (v *vm) isCurrent(inc uint64, e *entry) bool {
 	return v.incarnation == inc && v.jobs[e.sub.id] == e
 }
@@ -136,7 +137,7 @@
 func (v *vm) seal(e *entry, s Seal) {
 	w, inc := v.w, v.incarnation
 	k := w.worker(s.Worker)
-	life := k.ticketIncarnation(e.sub)
+	want := k.ticketIncarnation(e.sub)
 	gone := func() {
 		if !v.isCurrent(inc, e) {
 			return
@@ -152,12 +153,12 @@
 			v.handleSealReply(e, s, r)
 		}
 	}
-	if s.Closed == closedNotRun && w.removed == recordBeforeNotRun {
+	if s.Closed == closedNotRun && w.disabled == recordBeforeNotRun {
 		reply(SealReply{Worker: s.Worker, RequestedGen: s.Gen, Sealed: true, HighestGen: s.Gen})
 		return
 	}
 	w.send(&message{mayDuplicate: true, onLoss: gone, onArrival: func() {
-		if k.isDead || k.incarnation != life {
+		if k.isDead || k.incarnation != want {
 			w.send(&message{onArrival: gone})
 			return
 		}
@@ -166,7 +167,7 @@
 	}})
 }
 
-// sealed passes a seal's answer on, as package home does.
+// handleSealReply passes the reply to a seal to the job, as package home does.
 func (v *vm) handleSealReply(e *entry, s Seal, r SealReply) {
 	author := r.HighestGen.Author
 	if !r.Sealed && author != v.incarnation && v.w.reachableVM(v, author) == nil && e.job.Generation().Less(r.HighestGen) {
@@ -189,9 +190,9 @@
 			v.act(e, e.job.FollowedWorkerLost(f.Worker, f.Indexes))
 		}
 	}
-	life := k.ticketIncarnation(e.sub)
+	want := k.ticketIncarnation(e.sub)
 	w.send(&message{onLoss: func() { v.followAgain(inc, e, f) }, onArrival: func() {
-		if k.isDead || k.incarnation != life {
+		if k.isDead || k.incarnation != want {
 			w.send(&message{onArrival: gone})
 			return
 		}
@@ -230,7 +231,7 @@
 	v.act(e, e.job.TaskFailed(r.Index, reason.TaskFailed, r.Failure))
 }
 
-// assign hands tasks of a submission to an owner.
+// assign assigns tasks of a submission to an owner.
 func (v *vm) assign(s *submission, o *owner) {
 	e := v.jobs[s.id]
 	if e == nil || len(o.leases) == 0 {
@@ -255,7 +256,7 @@
 	}
 }
 
-// leave ends a session on the home's side. The owner learns of it later.
+// endSession ends a session on the driver's side. The owner learns of it later.
 func (v *vm) endSession(ss *session) {
 	if v.incarnation != ss.vmIncarnation || v.sessions[ss.owner] != ss {
 		return
@@ -269,7 +270,7 @@
 	}
 }
 
-// result brings an owner's word on one task.
+// handleResult handles an owner's report on one task.
 func (v *vm) handleResult(x offer, worker string, r *Record, code reason.Code) {
 	e := v.jobs[x.sub.id]
 	switch {
@@ -283,7 +284,7 @@
 	}
 }
 
-// candidates names the workers that may run any submission: all.
+// candidates returns the names of all workers: any of them may run any submission.
 func (w *simulation) candidates() []string {
 	var names []string
 	for _, k := range w.workers {
