--- a/internal/process/router/router.go
+++ b/internal/process/router/router.go
@@ -54,14 +54,14 @@
 // Router routes requests. It is safe for concurrent use.
 type Router struct {
 	cfg      Config
-	mint     *ticket.Mint
+	mint     *ticket.Minter
 	leaving  atomic.Bool
 	draining atomic.Bool
 }
 
 // New returns a Router.
 func New(cfg Config) *Router {
-	return &Router{cfg: cfg, mint: ticket.NewMint(cfg.Key, cfg.Name, cfg.Domain, cfg.Incarnation)}
+	return &Router{cfg: cfg, mint: ticket.NewMinter(cfg.Key, cfg.Name, cfg.Domain, cfg.Incarnation)}
 }
 
 // Drain refuses new submissions from now on.
--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -142,7 +142,7 @@
 	if above.Less(j.gen) {
 		above = j.gen
 	}
-	j.gen = above.Next(j.self)
+	j.gen = above.TakeoverBy(j.self)
 	j.closeAttempts = 0
 	b := int32(len(j.batches))
 	j.batches = append(j.batches, batch{workers: candidates, unreachable: incomplete})
--- a/internal/request/reason/reason.go
+++ b/internal/request/reason/reason.go
@@ -1,28 +1,28 @@
-// Package reason holds the stable codes that explain each refusal, failure and
-// decision, and the outcomes a caller can be given.
+// Package reason defines the reason codes of refusals, failures and decisions, and
+// the outcomes of submissions.
 //
-// Codes are part of the interface: callers and operators match on them, so a
-// code is never renamed and never reused for something else.
+// Codes are part of the API: callers and operators match on them, so a code is never
+// renamed or reused with another meaning.
 package reason
 
-// Code says why something was refused, failed or decided.
+// Code is the reason for a refusal, a failure or a decision.
 type Code string
 
-// Outcome is the final result of a submission as its caller sees it.
+// Outcome is the kind of final result that a caller gets for a submission.
 type Outcome string
 
 const (
-	// Complete: every task ran to its end, and the answer holds every output.
+	// Complete means that every task completed and the answer has all outputs.
 	Complete Outcome = "complete"
-	// Failed: the submission ended and at least one task may have run.
+	// Failed means that the submission ended and at least one task may have run.
 	Failed Outcome = "failed"
-	// NotRun: no task of the submission has started or will start.
+	// NotRun means that no task of the submission has started or will start.
 	NotRun Outcome = "not_run"
-	// Unknown: it cannot be proven whether some task ran.
+	// Unknown means that it cannot be proven whether a task ran.
 	Unknown Outcome = "unknown"
 )
 
-// Reasons for a request that was refused before anything ran.
+// Reasons for refusing a request before any task has run.
 const (
 	MalformedRequest   Code = "malformed_request"
 	BodyTooLarge       Code = "body_too_large"
@@ -52,7 +52,8 @@
 	RecoveredElsewhere Code = "recovered_elsewhere"
 )
 
-// Reasons for a submission that was accepted and did not complete.
+// Reasons why an accepted submission did not complete, or one of its tasks was not
+// started.
 const (
 	DeadlineExceeded Code = "deadline_exceeded"
 	Cancelled        Code = "cancelled"
--- a/internal/request/ticket/ticket_test.go
+++ b/internal/request/ticket/ticket_test.go
@@ -7,10 +7,9 @@
 
 var key = []byte("0123456789abcdef")
 
-// BenchmarkMint is one ticket, minted and read back, and the length of its
-// token.
+// BenchmarkMint measures issuing and parsing one ticket, and the length of its token.
 func BenchmarkMint(b *testing.B) {
-	m := NewMint(key, "vm-001", "domain-03", 1)
+	m := NewMinter(key, "vm-001", "domain-03", 1)
 	expiry := time.Unix(1_800_000_000, 0)
 	var token string
 	b.ReportAllocs()
--- a/internal/request/timeline/timeline.go
+++ b/internal/request/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline keeps, within a fixed bound of memory, what this process did
-// with each submission and why, so that it can be explained later.
+// Package timeline records the steps that this process took for recent submissions
+// and their reasons, in bounded memory, so that operators can ask for them later.
 package timeline
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Step is one thing that happened to a submission.
+// Step is one event in the processing of a submission.
 type Step struct {
 	At     time.Time
 	Event  string
@@ -18,39 +18,40 @@
 	Detail string
 }
 
-// MaxSteps bounds the steps of one submission. Past it the middle is dropped:
-// the start and the end explain most.
+// MaxSteps limits the steps that are kept of one submission. Beyond it, steps in the
+// middle are dropped, since the first and the last ones explain most.
 const MaxSteps = 48
 
 // Store holds the timelines of recent submissions. It is safe for concurrent
 // use.
 type Store struct {
-	mu       sync.Mutex
-	capacity int
-	logs     map[ticket.ID]*log
-	order    []ticket.ID // oldest first, a ring of size capacity
-	next     int
+	mu        sync.Mutex
+	capacity  int
+	timelines map[ticket.ID]*submissionTimeline
+	ring      []ticket.ID // IDs of the kept submissions, a ring buffer of size capacity
+	oldest    int
 }
 
-type log struct {
+type submissionTimeline struct {
 	steps   []Step
 	dropped int
 }
 
 // NewStore returns a store for the given number of submissions.
 func NewStore(capacity int) *Store {
-	return &Store{capacity: capacity, logs: make(map[ticket.ID]*log), order: make([]ticket.ID, 0, capacity)}
+	return &Store{capacity: capacity, timelines: make(map[ticket.ID]*submissionTimeline), ring: make([]ticket.ID, 0, capacity)}
 }
 
-// Add appends a step, forgetting the oldest submission when the store is full.
+// Add appends a step to a submission's timeline. A new submission replaces the
+// oldest one if the store is full.
 func (s *Store) Add(id ticket.ID, step Step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.logs[id]
+	l := s.timelines[id]
 	if l == nil {
-		l = &log{steps: make([]Step, 0, 4)}
-		s.remember(id)
-		s.logs[id] = l
+		l = &submissionTimeline{steps: make([]Step, 0, 4)}
+		s.addSubmission(id)
+		s.timelines[id] = l
 	}
 	if len(l.steps) >= MaxSteps {
 		l.dropped++
@@ -61,21 +62,21 @@
 	l.steps = append(l.steps, step)
 }
 
-func (s *Store) remember(id ticket.ID) {
-	if len(s.order) < s.capacity {
-		s.order = append(s.order, id)
+func (s *Store) addSubmission(id ticket.ID) {
+	if len(s.ring) < s.capacity {
+		s.ring = append(s.ring, id)
 		return
 	}
-	delete(s.logs, s.order[s.next])
-	s.order[s.next] = id
-	s.next = (s.next + 1) % s.capacity
+	delete(s.timelines, s.ring[s.oldest])
+	s.ring[s.oldest] = id
+	s.oldest = (s.oldest + 1) % s.capacity
 }
 
-// Steps returns what is known of a submission, oldest first.
+// Steps returns the kept steps of a submission, oldest first.
 func (s *Store) Steps(id ticket.ID) []Step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.logs[id]
+	l := s.timelines[id]
 	if l == nil {
 		return nil
 	}
--- a/internal/request/timeline/timeline_test.go
+++ b/internal/request/timeline/timeline_test.go
@@ -9,8 +9,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/heap"
 )
 
-// BenchmarkMemory is what a Store holds for each submission: three steps, as of
-// a job that met no failure, and the most that one can have.
+// BenchmarkMemory reports the memory that a Store holds for each submission, with
+// three steps, as for a job without failures, and with the maximum number of steps.
 func BenchmarkMemory(b *testing.B) {
 	const submissions = 2000
 	for _, steps := range []int{3, MaxSteps} {
--- a/internal/standin/site/callers_test.go
+++ b/internal/standin/site/callers_test.go
@@ -166,7 +166,7 @@
 
 func (r *rig) expired() string {
 	vm := r.site.Entries()[0]
-	mint := ticket.NewMint([]byte(testTicketKey), vm.Name, vm.Domain, vm.VM.Incarnation())
+	mint := ticket.NewMinter([]byte(testTicketKey), vm.Name, vm.Domain, vm.VM.Incarnation())
 	_, token := mint.Mint("desk", time.Now().Add(-time.Second), 1, 1)
 	return token
 }
