--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -16,9 +16,9 @@
 	Inputs          [][]byte
 	TicketExpiry    time.Time
 	Deadline        time.Time
-	Revision        uint64   // configuration revision it was accepted under
-	CloseCandidates []string // candidates that may record its end, in order of preference
-	SettleTimeout   time.Duration
+	Revision        uint64        // configuration revision it was accepted under
+	CloseCandidates []string      // candidates that may record its end, in order of preference
+	SettleTimeout   time.Duration // how long GiveUp may wait for the proof that no task has started
 }
 
 // Answer is the final result of a submission.
@@ -73,7 +73,7 @@
 	started        bool // at least one task is known to have started
 	// followed are the workers that reported running tasks when they were sealed.
 	followed       []string
-	pendingEnd     *Answer
+	pendingEnd     *Answer // set by GiveUp: the answer unless all tasks complete or none started
 	settleDeadline time.Time
 	closeAttempts  int // number of candidates asked to record NotRun
 	answer         *Answer
--- a/internal/tool/losses/losses.go
+++ b/internal/tool/losses/losses.go
@@ -124,6 +124,7 @@
 	return out, s.Err()
 }
 
+// countAttempts follows the attempts through the events, which are sorted by time.
 func (a *Report) countAttempts(all []event) {
 	first := all[0].at
 	open := make(map[string]*attempt)
--- a/internal/version/publication/publication.go
+++ b/internal/version/publication/publication.go
@@ -28,7 +28,7 @@
 	// finds the earlier publication and does not publish again.
 	ID     string
 	Author string
-	// Base is the revision that the author edited; 0 for the first publication.
+	// BaseRevision is the revision that the author edited; 0 for the first publication.
 	BaseRevision uint64
 	Document     *document.Document
 }
@@ -45,7 +45,7 @@
 // ConflictError reports that another change was published first. Nothing was
 // published.
 type ConflictError struct {
-	BaseRevision    uint64  // the revision that the author started from
+	BaseRevision    uint64  // the revision that the author edited
 	Conflicting     Summary // the change that followed it
 	CurrentRevision uint64  // the revision in force
 }
