--- a/internal/request/job/job.go
+++ b/internal/request/job/job.go
@@ -73,7 +73,7 @@
 	started        bool // at least one task is known to have started
 	// followed are the workers that reported running tasks when they were sealed.
 	followed       []string
-	pendingEnd     *Answer // set by GiveUp: the answer unless all tasks complete or none started
+	pendingEnd     *Answer // set by GiveUp: the answer that is planned, nil before
 	settleDeadline time.Time
 	closeAttempts  int // number of candidates asked to record NotRun
 	answer         *Answer
