--- a/spec/answer.pml
+++ b/spec/answer.pml
@@ -1,7 +1,9 @@
 /*
- * Answers: two submissions of two tasks share one home, and their callers
- * share one connection. Results and answers come late, doubled and crossed.
+ * Model of results and answers: two submissions of two tasks each share one
+ * home VM, and their callers share one connection. Results and answers may
+ * arrive late, duplicated or out of order between the submissions.
  *
+ * Checked: each caller gets the complete answer of its own submission.
  * -DNO_<GUARD> removes one guard. check.sh expects a violation for each.
  */
 #define NS  2                   /* submissions, one caller each */
@@ -10,14 +12,14 @@
 #define BIT(s, t)  (1 << ((s) * NT + (t)))
 #define OUTPUT(s, t) (1 + (s) * NT + (t))   /* what task t of s computes */
 
-byte results;                   /* BIT set: results that were sent, kept */
-byte got[NS];                   /* task indexes that the home has */
-byte count[NS];                 /* results that the home took */
-byte output[NS * NT];           /* outputs that the home keeps */
-byte answers;                   /* complete answers on the connection, kept */
-byte answered;                  /* callers that took an answer */
+byte results;                   /* BIT set: results sent; never cleared, so any may arrive again */
+byte got[NS];                   /* bit set of task indexes that the home has */
+byte count[NS];                 /* results that the home accepted */
+byte output[NS * NT];           /* outputs that the home stores */
+byte answers;                   /* complete answers sent on the connection; never cleared */
+byte answered;                  /* callers that accepted an answer */
 
-inline take(s, t, from) {       /* home: a result of submission from arrives */
+inline take(s, t, from) {       /* home: accepts a result of submission from for s */
 #ifdef NO_INDEX_CHECK
   count[s]++;
   output[s * NT + t] = OUTPUT(from, t)
@@ -26,7 +28,7 @@
   :: (got[s] & (1 << t)) == 0 -> count[s]++;
      got[s] = got[s] | (1 << t);
      output[s * NT + t] = OUTPUT(from, t)
-  :: else -> skip               /* doubled: dropped and counted */
+  :: else -> skip               /* duplicate: dropped */
   fi
 #endif
 }
@@ -35,7 +37,7 @@
   results = results | BIT(s, t)
 }
 
-#ifdef NO_SUBMISSION_CHECK      /* the home takes a result for what it awaits */
+#ifdef NO_SUBMISSION_CHECK      /* the home accepts a result for any open submission */
 #define MATCHES(s, from) true
 #else
 #define MATCHES(s, from) ((s) == (from))
@@ -53,7 +55,7 @@
   answers = answers | (1 << s)
 }
 
-#ifdef NO_TICKET_CHECK          /* the caller takes whatever answer comes */
+#ifdef NO_TICKET_CHECK          /* the caller accepts any answer that arrives */
 #define MINE(s, a) true
 #else
 #define MINE(s, a) ((s) == (a))
@@ -79,5 +81,5 @@
   }
 }
 
-/* Progress: every run ends, and then both callers have their answer. Checked
- * as the absence of invalid end states: a caller without answer blocks. */
+/* Progress: every execution ends with both callers answered. Checked as the
+ * absence of invalid end states, because a caller without an answer blocks. */
--- a/spec/atmostonce.pml
+++ b/spec/atmostonce.pml
@@ -1,10 +1,11 @@
 /*
- * At-most-once protocol of pumiceyard: one submission, its drivers and its
- * two candidate workers. README.md maps each step to the Go code.
+ * Model of the at-most-once protocol: one submission, its two candidate workers
+ * and its drivers, which are its home VM and the entry VMs that recover it.
+ * README.md maps each step to the Go code.
  *
- * Network: a message once sent may be delivered late, never, or again and
- * again, in any order. Processes: one that is no longer scheduled is paused,
- * cut off or dead; so crashes of entry VMs need no steps of their own.
+ * Network: a sent message may be delivered late, never or several times, in
+ * any order. Processes: one that is no longer scheduled is paused, partitioned
+ * or dead, so crashes of entry VMs need no steps of their own.
  *
  * guards.pml has the invariants and a switch for each guard; check.sh expects
  * a violation for each guard that is removed.
@@ -13,7 +14,7 @@
 #define NT 1                    /* tasks of the submission */
 #endif
 #ifndef MAXFAULT
-#define MAXFAULT 1              /* worker restarts and early clocks */
+#define MAXFAULT 1              /* bound on worker restarts and early ticket expiries */
 #endif
 #ifndef RECOVERERS
 #define RECOVERERS 2
@@ -31,21 +32,22 @@
 /* Worker state, one entry per candidate. */
 byte sealed[NW];                /* highest generation sealed */
 byte rec[NW];                   /* tasks with a record */
-bit  closed[NW];                /* submission ended for good as not run */
-bit  restarted[NW];             /* another incarnation than the ticket's */
+bit  closed[NW];                /* submission closed: it never starts here */
+bit  restarted[NW];             /* its incarnation differs from the ticket's */
 bit  expired[NW];               /* ticket expired on this worker's clock */
 byte faults;
 
-/* Messages, by worker. An owner may at any time send a queued start under the
- * current epoch (it holds the lease, perhaps again) or under an older one (it
- * was paused). When the lease moves, all current starts become old ones. */
-short queued[NW];               /* KEY bits, batches on their way to a start */
+/* Messages, by worker. An owner (the holder of the worker's lease) may at any
+ * time send a queued start under the current epoch (it holds the lease, perhaps
+ * again) or under an older one (it was paused). When the lease is granted anew,
+ * all current starts become old ones. */
+short queued[NW];               /* KEY bits, tasks handed to an owner, start not sent */
 short current[NW];              /* KEY bits, starts sent under this epoch */
 short old[NW];                  /* KEY bits, starts sent under older epochs */
 short notrun[NW];               /* KEY bits, "not run" answers */
-byte  ran[NW];                  /* task bits, results sent back */
+byte  ran[NW];                  /* task bits, results sent to the driver */
 
-/* What the invariants are about. */
+/* State that the invariants check. */
 byte begun[NT];                 /* starts per task */
 bit  told_not_run;
 
@@ -73,18 +75,19 @@
   k = 0
 }
 
-/* worker: answers "not run". Epochs and seals only grow, so a copy of a start
- * that was refused is refused as well: the model drops it. Only the home acts
- * on the answer. */
+/* worker: answers "not run". Epochs and sealed generations only grow, so any
+ * copy of a refused start is refused too and the model drops it. Only the home
+ * acts on the answer. */
 inline refuse(w, g, t) {
   current[w] = current[w] & ~KEY(g, t);
   old[w] = old[w] & ~KEY(g, t);
   notrun[w] = notrun[w] | (BY_HOME(g) * KEY(g, t))
 }
 
-/* worker: one start arrives. The record is looked up before anything is
- * refused: a doubled start must not be answered "not run". Another incarnation
- * and an expired ticket prove nothing about an earlier copy: no "not run". */
+/* worker: one start arrives. The record is checked before any refusal, because
+ * a duplicate of an executed start must not be answered "not run". A restarted
+ * worker, or one where the ticket has expired, has no record of earlier copies
+ * and therefore does not answer "not run" either. */
 inline deliver(w, now, g, t) {
   if
   :: !START_SAME(w) || expired[w] ->
@@ -110,16 +113,18 @@
   fi
 }
 
-/* worker: the lease gets a new epoch. */
+/* worker: its lease is granted under a new epoch. */
 inline move(w) {
   old[w] = old[w] | current[w]; current[w] = 0
 }
 
+/* worker: loses its records, by a restart or by the expiry of the ticket. */
 inline forget(w) {
   rec[w] = 0; sealed[w] = 0; closed[w] = 0
 }
 
-/* worker: Seal. res: 0 no answer possible, 1 sealed, 2 higher one is here. */
+/* worker: answers a Seal call. res: 0 cannot answer, 1 sealed, 2 a higher
+ * generation is sealed here. */
 inline seal(w, g, res) {
   if
   :: !SEAL_SAME(w) -> res = 0
@@ -128,7 +133,7 @@
 #endif
   :: else ->
 #ifdef EPOCH_ONLY
-#ifdef EPOCH_BOUND              /* batches name the epoch that the home knew */
+#ifdef EPOCH_BOUND              /* batches carry the epoch that the home knew */
      queued[w] = 0;
 #endif
      move(w); res = 1
@@ -141,12 +146,13 @@
   fi
 }
 
-/* driver: hands task t to some owner for worker w under generation g. */
+/* driver: hands task t to an owner of worker w under generation g. */
 inline place(w, g, t) {
   queued[w] = queued[w] | KEY(g, t)
 }
 
-/* driver: proves that the submission never starts, then says "not run". */
+/* driver: closes the submission at worker w, which proves that it never
+ * starts, then answers "not run". */
 inline close_not_run(w, g, res) {
 #ifdef NO_CLOSE
   say_not_run()
@@ -154,12 +160,12 @@
   seal(w, g, res);
   if
   :: res == 1 -> closed[w] = 1; say_not_run()
-  :: else -> skip               /* superseded or silent: says "unknown" */
+  :: else -> skip               /* superseded or no reply: answers "unknown" */
   fi
 #endif
 }
 
-/* For each generation (and task) one option of a loop. */
+/* One loop option for each generation (and task). */
 #if NT == 2
 #define EACH(STEP) STEP(1, 0) STEP(2, 0) STEP(3, 0) STEP(5, 0) \
                    STEP(1, 1) STEP(2, 1) STEP(3, 1) STEP(5, 1)
@@ -197,19 +203,20 @@
        notrun[w] = notrun[w] | (BY_HOME(g) * KEY(g, t)); \
        queued[w] = queued[w] & ~(BATCH_ONCE * KEY(g, t)) }
 
-/* owner: sends a queued task once, or refuses it before it was ever sent. */
+/* owner: sends a queued task once, or refuses it before sending it. */
 proctype Owner(byte w) {
   do
   EACH(SEND)
   od
 }
 
-/* home: one task. idle[t]: proven not started anywhere by this home. */
-bit idle[NT] = 1;
-bit found[NT];
+/* State of the home. */
+bit idle[NT] = 1;               /* proven: this home started the task on no worker */
+bit found[NT];                  /* the task is known to have started */
 bit answered;                   /* the home gave its final answer */
 bit ending;                     /* cancelled, refused or past its deadline */
 
+/* home: places one task, tries the other worker after "not run". */
 proctype HomeTask(byte t) {
   byte w, res, tried;
   byte g = G_HOME;
@@ -225,19 +232,20 @@
   if
   :: atomic { HAS(ran[w], 1 << t) -> found[t] = 1; w = 0; tried = 0; g = 0 }
   :: atomic { HAS(notrun[w], KEY(g, t)) -> idle[t] = 1; goto next }
-#ifndef PATIENT_HOME            /* a home that never seals by itself */
+#ifndef PATIENT_HOME            /* defined: the home waits for a reply and never seals for it */
   :: atomic { g == G_HOME -> g = G_RAISED; seal(w, g, res);
        if
-       :: res == 1 && !HAS(rec[w], 1 << t) -> /* proven: never started */
+       :: res == 1 && !HAS(rec[w], 1 << t) -> /* proven: not started */
           REACHED(6); idle[t] = 1; tried = 0; res = 0; goto next
        :: res == 1 && HAS(rec[w], 1 << t) -> found[t] = 1
-       :: res != 1 -> skip      /* superseded, or worker gone: unknown */
+       :: res != 1 -> skip      /* superseded or worker lost: unknown */
        fi;
        w = 0; tried = 0; g = 0; res = 0 }
 #endif
   fi
 }
 
+/* home: gives the final answer, "not run" or complete. */
 proctype HomeEnd() {
   byte k, w, res;
   if
@@ -263,7 +271,7 @@
        if
        :: res == 1 -> asked = asked | (1 << w);
           seen = seen | rec[w]; over = over | closed[w]
-       :: res != 2 -> out = out | (1 << w)  /* silent, or the answer is lost */
+       :: res != 2 -> out = out | (1 << w)  /* no reply, or the reply is lost */
        :: res == 2 -> goto yield
        fi;
        res = 0; w = 0 }
@@ -283,7 +291,7 @@
 #endif
 #ifndef NO_ASK_ALL
     if
-    :: asked != KNOWN -> goto yield       /* absent tasks are unknown */
+    :: asked != KNOWN -> goto yield       /* tasks not seen may have started */
     :: else -> skip
     fi;
 #endif
@@ -300,12 +308,12 @@
        k = 0; at = w; w = 0 }
      if
      :: atomic { ((ran[0] | ran[1]) & ALL) == ALL -> say_complete() }
-#ifdef SEAL_AGAIN               /* a start without answer, one task */
+#ifdef SEAL_AGAIN               /* a start without a reply; one task only */
      :: atomic { seal(at, RAISED(g), res);
           if
           :: res == 1 && rec[at] == 0 && !closed[at] ->
              select(w : 0 .. NW - 1); place(w, RAISED(g), 0); w = 0
-          :: else -> skip       /* adopts, yields, or the end is unknown */
+          :: else -> skip       /* adopts, yields or answers "unknown" */
           fi }
 #endif
      fi
@@ -315,8 +323,9 @@
     over = 0 }
 }
 
-/* The home's VM gets the ticket again. It attaches or gives the retained
- * answer, and another incarnation recovers; without the guard it starts. */
+/* The home VM receives the ticket again. With the guards it attaches the caller
+ * or returns the retained answer, and a restarted home VM recovers. Without one
+ * of them it starts the task. */
 #if defined(NO_HOME_INCARNATION) || defined(NO_TOMBSTONE)
 proctype StartAgain() {
   byte w;
@@ -328,8 +337,8 @@
 }
 #endif
 
-/* Progress: from any state, one more ask that meets no further fault ends
- * with a final outcome. Messages are delivered at once, silent VMs stay so. */
+/* Progress: from any state, one more recovery without further faults ends with
+ * a final outcome. Messages are delivered at once; unreachable VMs stay so. */
 #ifdef LAST_ASK
 proctype LastAsk() {
   byte w, res, seen;
@@ -345,7 +354,7 @@
     }
     w = 0;
     if
-    :: over || gone || seen == ALL -> skip      /* final as it stands */
+    :: over || gone || seen == ALL -> skip      /* the outcome is final already */
     :: else ->
        for (res : 0 .. NT - 1) {
          if
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Searches the models in this directory with spin, one line per check. Models
-# as designed must hold; each model without one of its guards must fail, or the
-# model no longer shows what the guard is for. Leaves nothing behind.
+# Searches the models in this directory with spin and prints one line per check.
+# Each complete model must hold. Each model with one guard removed must fail;
+# otherwise the model no longer shows what the guard prevents. All files are
+# written to a temporary directory that is removed at the end.
 set -euo pipefail
 cd "$(dirname "$0")"
 jobs=${SPEC_JOBS:-4}
@@ -9,8 +10,10 @@
 trap 'rm -rf "$temp"' EXIT
 
 # expectation | model | title | spin flags
-# The whole state space is searched where "holds" is expected. -DINVARIANT:
-# 1 starts once, 2 "not run" is true, 3 one holder, 4 complete, 5 progress.
+# "holds" requires a search of the whole state space. -DINVARIANT checks one
+# invariant: 1 a task starts at most once, 2 no task starts after or before the
+# answer "not run", 3 only the current lease holder starts tasks, 4 "complete"
+# means that each task started, 5 progress.
 cat >"$temp/checks" <<'CHECKS'
 holds|atmostonce|one task, home and two recoverers, all seal again|-DSEAL_AGAIN -DMAXFAULT=0
 holds|atmostonce|one task, two recoverers that seal again, a worker fault|-DSEAL_AGAIN -DPATIENT_HOME
@@ -76,13 +79,13 @@
 fails|lease|lease granted while one is live: two holders|-DNO_SINGLE_HOLDER
 CHECKS
 
-check() { # check NUMBER LINE: writes one line of result, "ok" or "FAIL" first
+check() { # check NUMBER LINE: writes one result line that begins with "ok" or "FAIL"
   local dir=$temp/$1 expect model title flags found states verdict=FAIL
   IFS='|' read -r expect model title flags <<<"$2"
   mkdir "$dir"
   cp ./*.pml "$dir/"
-  # Processes of the protocol never end, so only the answer model's end states
-  # say something.
+  # In all models but answer.pml, processes may wait forever by design: -E ignores
+  # invalid end states there.
   local ends=-E
   [ "$model" = answer ] && ends=
   # shellcheck disable=SC2086 # flags are several words
--- a/spec/crash.pml
+++ b/spec/crash.pml
@@ -1,11 +1,12 @@
 /*
- * Two stored tasks whose workers are lost. The first crashes each worker that starts it; the worker of
- * the second is lost once, by a cause of its own. The loss of a worker is learnt in two ways, when its
- * lease is over and when its next incarnation answers. The shard changes hands, and the submissions move
- * to another shard. README.md maps each step to the Go code.
+ * Model of tasks that crash their workers: two stored tasks whose workers are lost. The first task
+ * crashes each worker that starts it; the worker of the second is lost once, for an unrelated reason.
+ * A holder detects the loss of a worker in two ways: its lease expires, or its next incarnation answers.
+ * The shard gets new holders, and the submissions are stored under another shard. README.md maps each
+ * step to the Go code.
  *
- * The first task is given up after LIMIT losses; the second must not be. A holder that dies between the
- * loss and its write loses the count of one; the bound leaves room for that, and it is left out here.
+ * The first task is given up after LIMIT losses; the second must not be. A holder that dies between a
+ * loss and the write of its count loses one count. The model leaves that out; BOUND allows for it.
  *
  * -DNO_<GUARD> removes one guard. check.sh expects a violation for each.
  */
@@ -17,15 +18,15 @@
 #define INNOCENT 1
 
 byte stored[2];                 /* losses in the record */
-byte count[2];                  /* losses as the holder knows them */
-byte lapsed[2], reborn[2];      /* run whose worker was lost, to be heard of in each way; 0: none */
+byte count[2];                  /* losses that the holder knows of */
+byte lapsed[2], reborn[2];      /* run whose loss is still to be detected, by lease expiry and by restart; 0: none */
 byte counted[2];                /* highest run whose loss was counted */
-byte number[2];              /* of the newest run */
-byte crashes;
+byte number[2];                 /* number of the newest run */
+byte crashes;                   /* workers that the first task has taken down */
 bit up[2];                      /* the task runs */
 bit givenUp[2];
 bit done;                       /* the second task has completed */
-byte changes, moves;
+byte changes, moves;            /* changes of the holder, moves to another shard */
 
 inline lose(t) {
   up[t] = false;
@@ -43,12 +44,13 @@
   od
 }
 
-#ifdef NO_ONCE                  /* each word of a loss counts */
+#ifdef NO_ONCE                  /* each detection of a loss counts */
 #define NEW(t, r) true
 #else
 #define NEW(t, r) (counted[t] < r)
 #endif
 
+/* The holder detects that run r of task t lost its worker. */
 inline hear(t, r) {
   if
   :: NEW(t, r) -> counted[t] = r; count[t]++
@@ -64,8 +66,10 @@
   assert(!givenUp[INNOCENT])
 }
 
+/* The lease of the lost worker has expired. */
 inline hearLapsed(t) { d_step { lapsed[t] > 0 -> hear(t, lapsed[t]); lapsed[t] = 0 } }
 
+/* The next incarnation of the lost worker answers. */
 inline hearReborn(t) { d_step { reborn[t] > 0 -> hear(t, reborn[t]); reborn[t] = 0 } }
 
 inline start(t) {
--- a/spec/evacuate.pml
+++ b/spec/evacuate.pml
@@ -1,32 +1,32 @@
 /*
- * A stored submission of one task leaves an evacuated domain. Domain A has a shard with two
- * holders one after the other, the first of which may not know that it has been replaced; domain
- * B has one. README.md maps each step to the Go code.
+ * Model of an evacuation: a stored submission of one task is reassigned from the shard of an
+ * evacuated domain. Domain A's shard has two holders in succession, the first of which may not know
+ * that it has been replaced; domain B's shard has one. README.md maps each step to the Go code.
  *
- * Network: what the store is asked to do may be done at any later time. Workers of A do nothing
- * for a token below the highest that they have seen. Run numbers, lost answers to starts, and ends
- * that are not stored yet are searched in kept.pml.
+ * Network: the store may carry out a request at any later time. Workers of A reject a fencing token
+ * below the highest that they have seen. Run numbers, lost replies to starts and ends that are not
+ * stored yet are modelled in kept.pml.
  *
  * -DNO_<GUARD> removes one guard. check.sh expects a violation for each.
  */
 #define A 0
 #define B 1
 
-byte record = A;                /* shard that the stored record names */
+byte record = A;                /* domain of the shard in the stored record */
 byte revision = 1;              /* of the record */
-byte holder = 1;                /* of A's shard, in the store */
+byte holder = 1;                /* token of A's shard holder, in the store */
 byte fence = 1;                 /* highest token that A's workers have seen */
 bit  live;                      /* the task runs */
 bit  completed;
-bit  evacuated;                 /* A, by the store */
-bit  stood;                     /* it was when A's shard changed hands, and still is */
-bit  sent;                      /* the first holder's move, on its way */
-bit  answered;
-bit  stored;                    /* it was done */
+bit  evacuated;                 /* the store says that A is evacuated */
+bit  stood;                     /* since the second holder took A's shard */
+bit  sent;                      /* the first holder's reassignment is in flight */
+bit  answered;                  /* the store has answered it */
+bit  stored;                    /* the store carried it out */
 
 inline begin() {
   assert(!live);                        /* never two runs at once */
-  assert(!completed);                   /* none after its end */
+  assert(!completed);                   /* no run after the end */
   live = true
 }
 
@@ -46,12 +46,13 @@
   od
 }
 
-#ifdef NO_GUARD                 /* the record's revision is the only condition */
+#ifdef NO_GUARD                 /* the reassignment checks the record's revision only */
 #define MAY_MOVE (record == A && revision == 1)
 #else
 #define MAY_MOVE (record == A && revision == 1 && holder == 1)
 #endif
 
+/* The store carries out the first holder's reassignment, however late. */
 proctype Store() {
   d_step { sent -> stored = MAY_MOVE;
     if
@@ -61,12 +62,13 @@
     sent = false; answered = true }
 }
 
-#ifdef NO_REST                  /* it goes while its task runs */
+#ifdef NO_REST                  /* it is reassigned while its task runs */
 #define AT_REST true
 #else
 #define AT_REST !started
 #endif
 
+/* The first holder. told: what it knows of the evacuation. */
 proctype First() {
   bit told, started, moving;
   do
@@ -76,19 +78,20 @@
   :: d_step { moving && answered && !stored -> moving = false }
   :: moving && answered && stored -> break
   :: started && completed -> break
-  :: fence == 2 -> break                /* its workers say so */
+  :: fence == 2 -> break                /* its workers reject its token */
   od
 }
 
+/* The second holder. */
 proctype Second() {
   bit told;
   d_step { holder = 2; stood = evacuated };
-  fence = 2;                            /* it lists A's workers, and adopts what runs */
+  fence = 2;                            /* it lists A's workers and adopts running tasks */
   if
   :: record != A -> goto gone
   :: record == A -> skip
   fi;
-#ifndef NO_ASK                  /* it waits for its watch, which may be silent */
+#ifndef NO_ASK                  /* it relies on its watch, which may lag */
   told = evacuated;
 #endif
   do
@@ -102,6 +105,7 @@
   skip
 }
 
+/* The holder of B's shard. */
 proctype Other() {
   d_step { record == B && !completed -> begin() }
 }
--- a/spec/guards.pml
+++ b/spec/guards.pml
@@ -14,23 +14,23 @@
 #ifndef REACH
 #define REACH 0
 #endif
-#define REACHED(n)      assert(REACH != n)  /* shows that searches get there */
+#define REACHED(n)      assert(REACH != n)  /* fails when step n is reachable */
 
 /* Generations (counter, author, raise) as numbers, in the order in which
  * workers compare them. A driver that seals some of the candidates again raises
- * its last part only; so it stays below every later driver, whose counter is
- * higher or whose author is. */
-#define G_HOME  1               /* (0, home, 0); raised it is 2 */
-#define G_REC1  3               /* (1, first recoverer, 0); raised 4 */
-#ifdef NO_AUTHOR                /* counter without author: recoverers tie */
+ * only the last element, so it stays below every later driver, which has a
+ * higher counter or a higher author. */
+#define G_HOME  1               /* (0, home, 0); raised: 2 */
+#define G_REC1  3               /* (1, first recoverer, 0); raised: 4 */
+#ifdef NO_AUTHOR                /* no author: both recoverers have equal generations */
 #define G_REC2  3
 #else
-#define G_REC2  5               /* (1, second recoverer, 0); raised 6 */
+#define G_REC2  5               /* (1, second recoverer, 0); raised: 6 */
 #endif
-#ifdef NO_ABOVE_SEEN            /* the last ask does not outbid the others */
+#ifdef NO_ABOVE_SEEN            /* the last recovery is not above the others */
 #define G_LAST  3
 #else
-#define G_LAST  7               /* the last ask, above any seen */
+#define G_LAST  7               /* the last recovery, above every generation seen */
 #endif
 #ifdef NO_RAISE               /* sealing again raises the counter instead */
 #define G_RAISED  5             /* (1, home) above (1, first recoverer) */
@@ -70,12 +70,12 @@
 #else
 #define RECORDED(w, t) HAS(rec[w], 1 << t)
 #endif
-#ifdef NO_DIGEST_CHECK          /* its VM list lacks worker 1, it goes on */
+#ifdef NO_DIGEST_CHECK          /* its VM list lacks worker 1 and it continues */
 #define KNOWN 1
 #else
 #define KNOWN EVERY
 #endif
-#ifdef NO_FINAL_REFUSAL         /* a full worker refuses, later copies start */
+#ifdef NO_FINAL_REFUSAL         /* a full worker refuses but starts a later copy */
 #define REFUSE_FULL(g, t) \
   :: d_step { HAS(current[w], KEY(g, t)) && !HAS(rec[w], 1 << t) -> \
        notrun[w] = notrun[w] | (BY_HOME(g) * KEY(g, t)) }
--- a/spec/kept.pml
+++ b/spec/kept.pml
@@ -1,25 +1,26 @@
 /*
- * Kept submissions: one task, its record in the store, two workers, and two
- * holders of the shard one after the other; the first may not know that it has
- * been replaced. README.md maps each step to the Go code.
+ * Model of a stored submission: one task, its record in the store, two workers,
+ * and two successive holders of the shard, the first of which may not know that
+ * it has been replaced. README.md maps each step to the Go code.
  *
- * Network: a start once sent may be carried out late, never, or again and again.
- * Holder 1 uses runs 1 and 2, holder 2 runs 3 and 4: numbers grow with the token.
+ * Network: a sent start may be carried out late, never or several times.
+ * Holder 1 uses run numbers 1 and 2, holder 2 uses 3 and 4, because run numbers
+ * grow with the fencing token.
  *
  * -DNO_<GUARD> removes one guard. check.sh expects a violation for each.
  */
 #define NW 2
 #define MAX(a, b) ((a) > (b) -> (a) : (b))
 
-byte token[NW];                 /* highest seen by a worker */
-byte live[NW];                   /* that runs there; 0: none */
-byte barred[NW];                /* runs up to it never start there */
-byte done[NW];                  /* run that completed, listed until acknowledged */
+byte token[NW];                 /* highest fencing token that a worker has seen */
+byte live[NW];                  /* run in progress there; 0: none */
+byte barred[NW];                /* runs up to this number never start there */
+byte done[NW];                  /* completed run, listed until acknowledged; 0: none */
 byte record;                    /* 0 none, 1 open, 2 final */
-byte holder = 1;                /* token in the store */
-bit  alive[3];                  /* a holder that may extend leases, by token */
-bit  sent[16];                  /* starts on their way, for good */
-bit  noted;                     /* its completion is stored, or acknowledged */
+byte holder = 1;                /* token of the shard's holder, in the store */
+bit  alive[3];                  /* by token: the holder may still extend leases */
+bit  sent[16];                  /* starts sent; never lost, so any may arrive again */
+bit  noted;                     /* the task's end is stored or acknowledged */
 bit  completed;
 
 #define MSG(h, w, r) ((((h) - 1) * NW + (w)) * 4 + (r) - 1)
@@ -30,7 +31,7 @@
 #define TOKEN_OK(h, w) ((h) >= token[w])
 #endif
 
-#ifdef NO_BAR                   /* a stopped run may start later */
+#ifdef NO_BAR                   /* a stopped run may still start later */
 #define RUN_OK(r, w) (live[w] != (r) && done[w] != (r))
 #else
 #define RUN_OK(r, w) ((r) > barred[w] && live[w] != (r))
@@ -39,7 +40,7 @@
 inline begin(h, w, r) {
   token[w] = MAX(token[w], h);
   assert(live[0] == 0 && live[1] == 0);   /* never two runs at once */
-  assert(!noted);                       /* none after its end is taken note of */
+  assert(!noted);                       /* no run after its end is recorded */
   live[w] = r
 }
 
@@ -51,18 +52,18 @@
   START(1, 1) START(1, 2) START(2, 3) START(2, 4)
   :: d_step { live[w] != 0 -> done[w] = live[w]; barred[w] = MAX(barred[w], live[w]);
      live[w] = 0; completed = true }
-  :: d_step { live[w] != 0 && !alive[token[w]] ->        /* its lease runs out */
+  :: d_step { live[w] != 0 && !alive[token[w]] ->        /* its lease expires */
      barred[w] = MAX(barred[w], live[w]); live[w] = 0 }
   od
 }
 
-/* The end of the task is stored, then acknowledged. */
+/* The holder stores the end of the task, then acknowledges it to the worker. */
 inline finish(h, w) {
 #ifdef NO_STORE_FIRST
   d_step { token[w] = MAX(token[w], h); done[w] = 0; noted = true };
   if
   :: true -> skip
-  :: true -> goto gone                  /* it dies before the end is stored */
+  :: true -> goto gone                  /* the holder dies before the end is stored */
   fi;
 #endif
   atomic {
@@ -79,24 +80,25 @@
   }
 }
 
+/* Holder 1 starts run 1 at worker 0 and, after stopping it, run 2 at worker 1. */
 proctype First() {
   record == 1;
   sent[MSG(1, 0, 1)] = true;
   if
-  :: true -> goto gone                  /* it dies, or stops by itself */
+  :: true -> goto gone                  /* it dies or steps down */
   :: done[0] == 1 && TOKEN_OK(1, 0) -> finish(1, 0); goto gone
-  :: true ->                            /* the start had no answer */
+  :: true ->                            /* the start got no reply */
 #ifndef NO_STOP
-     if                                 /* the run ends, or never starts */
+     if                                 /* stop: the run ends or never starts */
      :: d_step { TOKEN_OK(1, 0) -> token[0] = MAX(token[0], 1);
         barred[0] = MAX(barred[0], 1);
         if
         :: live[0] == 1 -> live[0] = 0
         :: else -> skip
         fi }
-     :: !TOKEN_OK(1, 0) -> goto gone    /* no acknowledgement: it is replaced */
+     :: !TOKEN_OK(1, 0) -> goto gone    /* stop rejected: it has been replaced */
      fi;
-     if                                 /* a listing under its token shows which */
+     if                                 /* listing the worker shows which */
      :: TOKEN_OK(1, 0) && done[0] == 1 -> finish(1, 0); goto gone
      :: TOKEN_OK(1, 0) && done[0] == 0 -> skip
      :: !TOKEN_OK(1, 0) -> goto gone
@@ -112,15 +114,15 @@
   alive[1] = false
 }
 
-bit known[NW];                  /* holder 2 knows what runs on a worker */
+bit known[NW];                  /* holder 2 knows which run a worker has */
 
-/* Holder 2 lists a worker under its token. */
+/* Holder 2 lists the runs of a worker under its own token. */
 inline list(w) {
   d_step { token[w] = MAX(token[w], 2); known[w] = true }
 }
 
-/* It cannot reach a worker, and waits until all leases of holder 1 are over, and
- * with them the deadlines of its starts. */
+/* Holder 2 cannot reach a worker. It waits until all leases of holder 1, and with
+ * them the deadlines of its starts, have expired. */
 inline barrier(w) {
   atomic {
 #ifndef NO_AUTHORITY
@@ -136,12 +138,13 @@
   }
 }
 
-#ifdef NO_LIST_ALL              /* one worker is enough */
+#ifdef NO_LIST_ALL              /* holder 2 goes on when it knows one worker */
 #define ALL_KNOWN (known[0] || known[1])
 #else
 #define ALL_KNOWN (known[0] && known[1])
 #endif
 
+/* Holder 2. */
 proctype Second() {
   byte at;
   atomic { record != 0; holder = 2; alive[2] = true };
@@ -167,7 +170,8 @@
   skip
 }
 
-/* The caller's request, at two VMs, the second of which may be seconds late. */
+/* Creates the record for the caller's request. It runs on two VMs, one of which
+ * may be seconds late. */
 proctype Create() {
 #ifdef NO_FINAL_CHECK
   d_step { if :: record != 1 -> record = 1 :: else -> skip fi }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,24 +1,25 @@
 /*
- * Worker lease: two owners, one worker. The holder counts the free slots, so
- * the worker's slots are over-committed as soon as two owners start tasks.
- * Owners may be paused at any step; the lease moves meanwhile.
+ * Model of the worker lease: two owners, one worker. The lease holder counts the
+ * worker's free slots, so two owners that start tasks at the same time would
+ * over-commit them. An owner may be paused at any step while the lease goes to
+ * the other one.
  *
  * -DNO_<GUARD> removes one guard. check.sh expects a violation for each.
  */
 #define SLOTS  2
-#define EPOCHS 4                /* grants that are searched */
-#define TASKS  4                /* starts that are searched */
+#define EPOCHS 4                /* bound on lease grants */
+#define TASKS  4                /* bound on starts */
 
 byte epoch;                     /* newest epoch the worker granted */
-bit  live;                      /* its lease has not lapsed, worker's clock */
+bit  live;                      /* the lease has not expired by the worker's clock */
 byte holder;                    /* owner of that epoch */
 byte busy[EPOCHS + 1];          /* running tasks, by epoch they started in */
-byte running;
-byte sent;
-byte starts[EPOCHS + 1];        /* starts on their way, by epoch */
+byte running;                   /* tasks running on the worker */
+byte sent;                      /* starts sent so far */
+byte starts[EPOCHS + 1];        /* starts in flight, by epoch */
 
-/* What each owner believes. */
-byte mine[2];                   /* epoch it holds, 0: none */
+/* State of each owner, which may be out of date. */
+byte mine[2];                   /* epoch of the lease it believes to hold, 0: none */
 byte used[2];                   /* slots it counts as taken */
 
 #ifdef NO_EPOCH
@@ -66,7 +67,7 @@
   STEP(2)
   STEP(3)
   STEP(4)
-  :: d_step { live -> live = 0 }  /* lapses on the worker's own clock */
+  :: d_step { live -> live = 0 }  /* expires by the worker's own clock */
   od
 }
 
