--- a/api/generate.sh
+++ b/api/generate.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Regenerates the committed Go code from the .proto files in this folder.
-# Needs protoc; the Go plugins are pinned by the module's tool directives.
+# Regenerates the committed Go code from the .proto files in this directory.
+# Needs protoc. go.mod pins the versions of the Go plugins (tool directives).
+# PUMICEYARD_API sets another output directory.
 set -euo pipefail
 cd "$(dirname "$0")"
 out="${PUMICEYARD_API:-.}"
