--- a/internal/tool/demo/power.go
+++ b/internal/tool/demo/power.go
@@ -80,7 +80,7 @@
 // watchPower samples the site's draw until the returned function is called.
 func (r *run) watchPower() func() {
 	end := time.Now().Add(r.opt.Load)
-	return verdict.WatchDraw(r.site, func(uint64) {
+	return verdict.SampleDraw(r.site, func(uint64) {
 		draw, idle := r.draw()
 		now := time.Now()
 		r.mu.Lock()
--- a/internal/tool/demo/report.go
+++ b/internal/tool/demo/report.go
@@ -126,10 +126,10 @@
 	}
 	r.explainSlowest()
 	return verdict.Counts{
-		HighestStarts: highest,
-		Wrong:         t.wrong,
-		Unresolved:    t.unresolved,
-		PeakOverCap:   overCap,
+		MaxStartsPerTask: highest,
+		WrongAnswers:     t.wrong,
+		Unanswered:       t.unresolved,
+		PeakToCapRatio:   overCap,
 	}.Check()
 }
 
--- a/internal/tool/load/load_test.go
+++ b/internal/tool/load/load_test.go
@@ -106,18 +106,18 @@
 		records fakeRecords
 		want    verdict.Counts
 	}{
-		{"kept", fakeCaller{answer: whole()}, whole(), good, verdict.Counts{HighestStarts: 1}},
-		{"doubled start", fakeCaller{answer: whole()}, client.Answer{}, fakeRecords{map[string]int{"t1": 3}, 2}, verdict.Counts{HighestStarts: 2}},
-		{"partial", fakeCaller{answer: client.Answer{Outcome: client.Complete, Outputs: outputs("7")}}, client.Answer{}, good, verdict.Counts{HighestStarts: 1, Wrong: 1}},
-		{"another job's", fakeCaller{answer: client.Answer{Outcome: client.Complete, Outputs: outputs("8", "7")}}, client.Answer{}, good, verdict.Counts{HighestStarts: 1, Wrong: 1}},
-		{"another job's to the repeat", fakeCaller{answer: whole()}, client.Answer{Outcome: client.Complete, Outputs: outputs("9", "8")}, good, verdict.Counts{HighestStarts: 1, Wrong: 1}},
-		{"complete and never started", fakeCaller{answer: whole()}, client.Answer{}, fakeRecords{map[string]int{"t1": 1}, 1}, verdict.Counts{HighestStarts: 1, Wrong: 1}},
+		{"kept", fakeCaller{answer: whole()}, whole(), good, verdict.Counts{MaxStartsPerTask: 1}},
+		{"doubled start", fakeCaller{answer: whole()}, client.Answer{}, fakeRecords{map[string]int{"t1": 3}, 2}, verdict.Counts{MaxStartsPerTask: 2}},
+		{"partial", fakeCaller{answer: client.Answer{Outcome: client.Complete, Outputs: outputs("7")}}, client.Answer{}, good, verdict.Counts{MaxStartsPerTask: 1, WrongAnswers: 1}},
+		{"another job's", fakeCaller{answer: client.Answer{Outcome: client.Complete, Outputs: outputs("8", "7")}}, client.Answer{}, good, verdict.Counts{MaxStartsPerTask: 1, WrongAnswers: 1}},
+		{"another job's to the repeat", fakeCaller{answer: whole()}, client.Answer{Outcome: client.Complete, Outputs: outputs("9", "8")}, good, verdict.Counts{MaxStartsPerTask: 1, WrongAnswers: 1}},
+		{"complete and never started", fakeCaller{answer: whole()}, client.Answer{}, fakeRecords{map[string]int{"t1": 1}, 1}, verdict.Counts{MaxStartsPerTask: 1, WrongAnswers: 1}},
 		{"not run", fakeCaller{answer: notRun}, client.Answer{}, fakeRecords{}, verdict.Counts{}},
-		{"not run, yet started", fakeCaller{answer: notRun}, client.Answer{}, fakeRecords{map[string]int{"t1": 1}, 1}, verdict.Counts{HighestStarts: 1, FalseNotRun: 1}},
-		{"not run at first, yet started", fakeCaller{tickets: []string{"t0", "t1"}, answer: whole()}, client.Answer{}, fakeRecords{map[string]int{"t0": 1, "t1": 2}, 1}, verdict.Counts{HighestStarts: 1, FalseNotRun: 1}},
-		{"two answers", fakeCaller{answer: whole()}, client.Answer{Outcome: client.Failed}, good, verdict.Counts{HighestStarts: 1, Contradicted: 1}},
-		{"unknown contradicts nothing", fakeCaller{answer: whole()}, client.Answer{Outcome: client.Unknown}, good, verdict.Counts{HighestStarts: 1}},
-		{"no answer", fakeCaller{err: context.DeadlineExceeded}, client.Answer{}, good, verdict.Counts{HighestStarts: 1, Unresolved: 1}},
+		{"not run, yet started", fakeCaller{answer: notRun}, client.Answer{}, fakeRecords{map[string]int{"t1": 1}, 1}, verdict.Counts{MaxStartsPerTask: 1, FalseNotRun: 1}},
+		{"not run at first, yet started", fakeCaller{tickets: []string{"t0", "t1"}, answer: whole()}, client.Answer{}, fakeRecords{map[string]int{"t0": 1, "t1": 2}, 1}, verdict.Counts{MaxStartsPerTask: 1, FalseNotRun: 1}},
+		{"two answers", fakeCaller{answer: whole()}, client.Answer{Outcome: client.Failed}, good, verdict.Counts{MaxStartsPerTask: 1, ConflictingAnswers: 1}},
+		{"unknown contradicts nothing", fakeCaller{answer: whole()}, client.Answer{Outcome: client.Unknown}, good, verdict.Counts{MaxStartsPerTask: 1}},
+		{"no answer", fakeCaller{err: context.DeadlineExceeded}, client.Answer{}, good, verdict.Counts{MaxStartsPerTask: 1, Unanswered: 1}},
 		{"no ticket, nothing submitted", fakeCaller{err: &client.NoTicketError{Cause: io.EOF}}, client.Answer{}, fakeRecords{}, verdict.Counts{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/tool/load/local.go
+++ b/internal/tool/load/local.go
@@ -126,7 +126,7 @@
 func (l *localSite) beginLoad() {
 	l.began = time.Now()
 	l.base = l.trafficNow()
-	l.unwatch = verdict.WatchDraw(l.site, func(milliwatts uint64) {
+	l.unwatch = verdict.SampleDraw(l.site, func(milliwatts uint64) {
 		l.draw.Add(milliwatts)
 		bin := int(time.Since(l.began) / drawBin)
 		for len(l.drawBins) <= bin {
--- a/internal/tool/load/measurement.go
+++ b/internal/tool/load/measurement.go
@@ -68,20 +68,20 @@
 	for i := range results {
 		r := &results[i]
 		if r.Outcome == noAnswer && r.Reason != reasonNoTicket {
-			c.Unresolved++
+			c.Unanswered++
 		}
 		if r.Contradicted {
-			c.Contradicted++
+			c.ConflictingAnswers++
 		}
 		if r.Wrong || records != nil && incomplete(r, records) {
-			c.Wrong++
+			c.WrongAnswers++
 		}
 		if records != nil && ranThoughNotRun(r, records) {
 			c.FalseNotRun++
 		}
 	}
 	if records != nil {
-		_, _, c.HighestStarts = records.Starts()
+		_, _, c.MaxStartsPerTask = records.Starts()
 	}
 	return c
 }
@@ -129,7 +129,7 @@
 	if m.local != nil {
 		m.addStarts(r, records)
 		m.addSiteTraffic(r)
-		counts.PeakOverCap = m.addDraw(r)
+		counts.PeakToCapRatio = m.addDraw(r)
 		m.addDues(r)
 		m.addSlots(r)
 	}
@@ -305,9 +305,9 @@
 }
 
 func (m *measurement) addPromises(r *Report, c verdict.Counts) {
-	r.add("jobs", float64(c.Wrong), "wrong or partial answers")
-	r.add("jobs", float64(c.Contradicted), "jobs with two different answers")
-	r.add("jobs", float64(c.Unresolved), "jobs without an answer in time")
+	r.add("jobs", float64(c.WrongAnswers), "wrong or partial answers")
+	r.add("jobs", float64(c.ConflictingAnswers), "jobs with two different answers")
+	r.add("jobs", float64(c.Unanswered), "jobs without an answer in time")
 	if m.local != nil {
 		r.add("jobs", float64(c.FalseNotRun), "jobs answered not run that had run")
 	}
--- a/internal/tool/verdict/draw.go
+++ b/internal/tool/verdict/draw.go
@@ -12,24 +12,24 @@
 
 // Draw is the highest and the mean draw of a span of samples, in milliwatts.
 type Draw struct {
-	Peak uint64
-	Sum  uint64 // over the samples
-	N    int    // samples
+	Peak    uint64
+	Sum     uint64 // over the samples
+	Samples int    // samples
 }
 
 // Add takes in one sample.
 func (d *Draw) Add(milliwatts uint64) {
 	d.Peak = max(d.Peak, milliwatts)
 	d.Sum += milliwatts
-	d.N++
+	d.Samples++
 }
 
 // Mean is the mean draw in milliwatts.
-func (d *Draw) Mean() float64 { return float64(d.Sum) / float64(max(d.N, 1)) }
+func (d *Draw) Mean() float64 { return float64(d.Sum) / float64(max(d.Samples, 1)) }
 
-// WatchDraw gives a sample of the site's draw to add, until the function that
+// SampleDraw gives a sample of the site's draw to add, until the function that
 // it returns is called. Add is called from one goroutine.
-func WatchDraw(s *site.Site, add func(milliwatts uint64)) (stop func()) {
+func SampleDraw(s *site.Site, add func(milliwatts uint64)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	ticker := time.NewTicker(DrawInterval)
--- a/internal/tool/verdict/verdict.go
+++ b/internal/tool/verdict/verdict.go
@@ -10,28 +10,28 @@
 // Counts are what a run is judged by. Zero values of figures that could not be
 // had, for a site that runs elsewhere, break no promise.
 type Counts struct {
-	// HighestStarts is how often the task with the most starts was started, by
+	// MaxStartsPerTask is how often the task with the most starts was started, by
 	// the workers' own records.
-	HighestStarts int
+	MaxStartsPerTask int
 	// Wrong counts complete answers that were partial or another job's.
-	Wrong int
+	WrongAnswers int
 	// FalseNotRun counts jobs that were answered "not run" while a worker's
 	// record shows a start.
 	FalseNotRun int
 	// Contradicted counts jobs that got two different final answers.
-	Contradicted int
+	ConflictingAnswers int
 	// Unresolved counts jobs that got no answer in time.
-	Unresolved int
-	// PeakOverCap is the site's highest draw over its power cap.
-	PeakOverCap float64
+	Unanswered int
+	// PeakToCapRatio is the site's highest draw over its power cap.
+	PeakToCapRatio float64
 }
 
-// BrokenError names the promises that did not hold.
-type BrokenError struct{ Promises []string }
+// ViolationError names the promises that did not hold.
+type ViolationError struct{ Guarantees []string }
 
-func (e *BrokenError) Error() string { return "broken: " + strings.Join(e.Promises, "; ") }
+func (e *ViolationError) Error() string { return "broken: " + strings.Join(e.Guarantees, "; ") }
 
-// Check returns a *BrokenError when a promise did not hold.
+// Check returns a *ViolationError when a promise did not hold.
 func (c Counts) Check() error {
 	var broken []string
 	note := func(bad bool, format string, args ...any) {
@@ -39,14 +39,14 @@
 			broken = append(broken, fmt.Sprintf(format, args...))
 		}
 	}
-	note(c.HighestStarts > 1, "a task was started %d times", c.HighestStarts)
-	note(c.Wrong > 0, "%d answers were wrong or partial", c.Wrong)
+	note(c.MaxStartsPerTask > 1, "a task was started %d times", c.MaxStartsPerTask)
+	note(c.WrongAnswers > 0, "%d answers were wrong or partial", c.WrongAnswers)
 	note(c.FalseNotRun > 0, "%d jobs were answered not run and had run", c.FalseNotRun)
-	note(c.Contradicted > 0, "%d jobs got two different answers", c.Contradicted)
-	note(c.Unresolved > 0, "%d jobs got no answer", c.Unresolved)
-	note(c.PeakOverCap > 1, "the site drew %.3f times its power cap", c.PeakOverCap)
+	note(c.ConflictingAnswers > 0, "%d jobs got two different answers", c.ConflictingAnswers)
+	note(c.Unanswered > 0, "%d jobs got no answer", c.Unanswered)
+	note(c.PeakToCapRatio > 1, "the site drew %.3f times its power cap", c.PeakToCapRatio)
 	if broken != nil {
-		return &BrokenError{broken}
+		return &ViolationError{broken}
 	}
 	return nil
 }
