--- a/cmd/pumiceyard/configuration.go
+++ b/cmd/pumiceyard/configuration.go
@@ -27,7 +27,7 @@
 func (f *changeFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.Author, "author", "", "who publishes (required)")
 	c.Flags().StringVar(&f.ID, "change-id", "", "identifies the change: a request repeated under the same id publishes once (default derived from base and content)")
-	c.Flags().Uint64Var(&f.Base, "base", 0, "revision that the change is based on (default the one in force)")
+	c.Flags().Uint64Var(&f.BaseRevision, "base", 0, "revision that the change is based on (default the one in force)")
 	c.Flags().BoolVar(&f.wait, "wait", false, "wait until the revision is in force on every entry VM, and name those where it is not")
 	c.Flags().DurationVar(&f.timeout, "timeout", defaultActivationTimeout, "how long --wait waits")
 	_ = c.MarkFlagRequired("author")
@@ -44,7 +44,7 @@
 		return change, nil
 	}
 	revision, err := s.Revision(c.Context())
-	change.Base = revision
+	change.BaseRevision = revision
 	return change, err
 }
 
--- a/internal/tool/advice/advice.go
+++ b/internal/tool/advice/advice.go
@@ -15,21 +15,21 @@
 
 // The groups, in the order in which they are printed.
 const (
-	Refused  Group = "Refused before it was taken"
-	Ended    Group = "Taken, and did not complete"
-	Step     Group = "Steps of a timeline, between the system's processes"
-	Operator Group = "Requests of operators"
-	Placing  Group = "Why tasks wait for a worker"
-	Order    Group = "Whose turn it is"
-	Spill    Group = "Which entry VM gets tasks"
-	Health   Group = "Why a worker has its tier"
-	Power    Group = "Why watts move"
-	Member   Group = "Why an entry VM is in doubt"
+	Refused       Group = "Refused before it was taken"
+	NotCompleted  Group = "Taken, and did not complete"
+	TimelineStep  Group = "Steps of a timeline, between the system's processes"
+	Operator      Group = "Requests of operators"
+	Placement     Group = "Why tasks wait for a worker"
+	QueueOrder    Group = "Whose turn it is"
+	PeerSelection Group = "Which entry VM gets tasks"
+	WorkerHealth  Group = "Why a worker has its tier"
+	Power         Group = "Why watts move"
+	Membership    Group = "Why an entry VM is in doubt"
 )
 
 // Groups lists the groups in the order in which they are printed.
 func Groups() []Group {
-	return []Group{Refused, Ended, Step, Operator, Placing, Order, Spill, Health, Power, Member}
+	return []Group{Refused, NotCompleted, TimelineStep, Operator, Placement, QueueOrder, PeerSelection, WorkerHealth, Power, Membership}
 }
 
 // Entry explains one code.
--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -59,12 +59,12 @@
 // Start runs the stand-ins on loopback: a store at an address and workers of each
 // failure domain at ports of the system's choice.
 func Start(listen string, domains []string, perDomain int) (*Site, error) {
-	return StartBehind(listen, domains, perDomain, func(address string) (string, error) { return address, nil })
+	return StartProxied(listen, domains, perDomain, func(address string) (string, error) { return address, nil })
 }
 
-// StartBehind runs the stand-ins with workers that are listed at other addresses than
+// StartProxied runs the stand-ins with workers that are listed at other addresses than
 // their own, such as those of proxies.
-func StartBehind(listen string, domains []string, perDomain int, front func(address string) (string, error)) (*Site, error) {
+func StartProxied(listen string, domains []string, perDomain int, front func(address string) (string, error)) (*Site, error) {
 	s := &Site{Store: kvstore.New(), Fleet: fleet.New()}
 	s.Fleet.OnRestart(s.listAgain)
 	l, err := net.Listen("tcp", listen)
@@ -174,9 +174,9 @@
 }
 
 // Broken is a promise that the demonstration saw broken.
-type Broken struct{ Promise string }
+type Violation struct{ Guarantee string }
 
-func (b *Broken) Error() string { return "broken promise: " + b.Promise }
+func (b *Violation) Error() string { return "broken promise: " + b.Guarantee }
 
 var errNotReady = errors.New("no entry VM became ready")
 
@@ -296,10 +296,10 @@
 	starts := s.Fleet.Starts(demoKey)
 	say("at %s it is %s; its 6 tasks were started %d times", survivor, state, starts)
 	if state != client.StateDone {
-		return &Broken{"an accepted submission ends"}
+		return &Violation{"an accepted submission ends"}
 	}
 	if faults := s.Fleet.Violations(); len(faults) > 0 {
-		return &Broken{"no task runs twice at once: " + faults[0]}
+		return &Violation{"no task runs twice at once: " + faults[0]}
 	}
 	return nil
 }
--- a/internal/tool/operate/causes_test.go
+++ b/internal/tool/operate/causes_test.go
@@ -172,7 +172,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if err := c.tool.Publish(c.ctx, text, operate.Change{Author: "ota", Base: 1}, io.Discard); err != nil {
+	if err := c.tool.Publish(c.ctx, text, operate.Change{Author: "ota", BaseRevision: 1}, io.Discard); err != nil {
 		c.t.Fatal(err)
 	}
 	cl := c.client(sharedKey, c.site.Endpoints()[1])
--- a/internal/tool/operate/operate_test.go
+++ b/internal/tool/operate/operate_test.go
@@ -55,7 +55,7 @@
 	ctx := t.Context()
 	changed := bytes.Replace(text, []byte(`"max_tasks": 16`), []byte(`"max_tasks": 17`), 1)
 	change := func(base uint64, wait time.Duration) operate.Change {
-		return operate.Change{Author: "radka", Base: base, Wait: wait}
+		return operate.Change{Author: "radka", BaseRevision: base, Wait: wait}
 	}
 	run := func(want string, f func(w io.Writer) error) {
 		t.Helper()
--- a/internal/tool/operate/publish.go
+++ b/internal/tool/operate/publish.go
@@ -23,9 +23,9 @@
 
 // Change is a publication that an operator asks for.
 type Change struct {
-	Author string
-	ID     string // empty: made of the base and the document
-	Base   uint64
+	Author       string
+	ID           string // empty: made of the base and the document
+	BaseRevision uint64
 	// Wait is how long to wait until the revision is in force; 0: not at all.
 	Wait time.Duration
 }
@@ -36,18 +36,18 @@
 		return err
 	}
 	if c.ID == "" {
-		c.ID = changeID(text, c.Base)
+		c.ID = changeID(text, c.BaseRevision)
 	}
-	body := operator.PublishBody{ChangeID: c.ID, Author: c.Author, Base: c.Base, Document: text}
+	body := operator.PublishBody{ChangeID: c.ID, Author: c.Author, Base: c.BaseRevision, Document: text}
 	return s.change(ctx, "/v1/configuration", body, c, w)
 }
 
 // Rollback puts a kept revision in force again, as a new one.
 func (s *Site) Rollback(ctx context.Context, revision uint64, c Change, w io.Writer) error {
 	if c.ID == "" {
-		c.ID = changeID(strconv.AppendUint([]byte("rollback to "), revision, 10), c.Base)
+		c.ID = changeID(strconv.AppendUint([]byte("rollback to "), revision, 10), c.BaseRevision)
 	}
-	body := operator.RollbackBody{ChangeID: c.ID, Author: c.Author, Base: c.Base, Revision: revision}
+	body := operator.RollbackBody{ChangeID: c.ID, Author: c.Author, Base: c.BaseRevision, Revision: revision}
 	return s.change(ctx, "/v1/rollback", body, c, w)
 }
 
@@ -61,7 +61,7 @@
 func (s *Site) change(ctx context.Context, path string, body any, c Change, w io.Writer) error {
 	var receipt publication.Receipt
 	if err := s.ask(ctx, http.MethodPost, path, body, &receipt); err != nil {
-		return Explain(err)
+		return WithAdvice(err)
 	}
 	earlier := ""
 	if receipt.Earlier {
@@ -127,7 +127,7 @@
 }
 
 // Explain adds to an error of an entry VM what to do about it.
-func Explain(err error) error {
+func WithAdvice(err error) error {
 	var problem *operator.Problem
 	if !errors.As(err, &problem) {
 		return fmt.Errorf("no entry VM could be asked: %w\n  what to do: are the addresses those of operators' listeners? Nothing is known to have changed; asking again is safe", err)
@@ -143,7 +143,7 @@
 func (s *Site) Get(ctx context.Context, revision uint64, w io.Writer) error {
 	doc, err := s.document(ctx, revision)
 	if err != nil {
-		return Explain(err)
+		return WithAdvice(err)
 	}
 	text, err := doc.Encode()
 	if err != nil {
@@ -170,7 +170,7 @@
 		return 0, nil
 	}
 	if err != nil {
-		return 0, Explain(err)
+		return 0, WithAdvice(err)
 	}
 	return doc.Revision, nil
 }
@@ -180,7 +180,7 @@
 	query := url.Values{"from": {strconv.FormatUint(from, 10)}, "to": {strconv.FormatUint(to, 10)}}
 	var out operator.Differences
 	if err := s.ask(ctx, http.MethodGet, "/v1/diff?"+query.Encode(), nil, &out); err != nil {
-		return Explain(err)
+		return WithAdvice(err)
 	}
 	for _, d := range out.Differences {
 		fmt.Fprintf(w, "%s: %s -> %s\n", d.Path, orNone(d.Old), orNone(d.New))
@@ -199,7 +199,7 @@
 func (s *Site) History(ctx context.Context, asJSON bool, w io.Writer) error {
 	var out operator.History
 	if err := s.ask(ctx, http.MethodGet, "/v1/history", nil, &out); err != nil {
-		return Explain(err)
+		return WithAdvice(err)
 	}
 	if asJSON {
 		return json.NewEncoder(w).Encode(out)
--- a/internal/tool/operate/show.go
+++ b/internal/tool/operate/show.go
@@ -153,7 +153,7 @@
 func (s *Site) Explain(ctx context.Context, ticket string, asJSON bool, w io.Writer) error {
 	out, err := s.timeline(ctx, ticket)
 	if err != nil {
-		return Explain(err)
+		return WithAdvice(err)
 	}
 	if asJSON {
 		return json.NewEncoder(w).Encode(out)
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -112,7 +112,7 @@
 }
 
 func (s *soak) start(ctx context.Context) error {
-	site, err := keptsite.StartBehind("127.0.0.1:0", domains, 3, func(address string) (string, error) {
+	site, err := keptsite.StartProxied("127.0.0.1:0", domains, 3, func(address string) (string, error) {
 		p, err := newProxy(address)
 		if err != nil {
 			return "", err
