--- a/internal/kept/link/link_test.go
+++ b/internal/kept/link/link_test.go
@@ -97,12 +97,12 @@
 		if got := server.queries(); !slices.Equal(got, []string{"x"}) {
 			t.Fatalf("arrived: %v", got)
 		}
-		m.Cut("b", true)
+		m.SetCut("b", true)
 		time.Sleep(900 * time.Millisecond)
 		if up, lost := client.counts(); up != 1 || lost == 0 {
 			t.Errorf("after 0.9 s of silence: up %d times, lost %d times", up, lost)
 		}
-		m.Cut("b", false)
+		m.SetCut("b", false)
 		time.Sleep(600 * time.Millisecond)
 		if up, _ := client.counts(); up != 2 {
 			t.Errorf("the link is not back 0.6 s after the heal")
@@ -156,7 +156,7 @@
 	withServer(t, func(ctx context.Context, m *mesh.Mesh, _ *recorder, now func() time.Duration) {
 		client := &recorder{}
 		s := settings(now)
-		m.Cut("b", true) // as if it were too busy to answer
+		m.SetCut("b", true) // as if it were too busy to answer
 		l := Open(ctx, s, &pb.KeptHeartbeat{EntryVm: "a", Incarnation: 1}, "b", "b:1", m.Dialer("a:1", "a"), client)
 		defer l.Close()
 		time.Sleep(s.FirstContactTimeout / 2)
--- a/internal/kept/vm/world_test.go
+++ b/internal/kept/vm/world_test.go
@@ -169,7 +169,7 @@
 
 // cut separates a domain from the other domains and from the store, or reconnects it.
 func (w *world) cut(domain string, cut bool) {
-	w.mesh.Cut(domain, cut)
+	w.mesh.SetCut(domain, cut)
 	w.fleet.CutDomain(domain, cut)
 	for name, d := range w.storeTransports {
 		switch {
--- a/internal/process/claims/claims_test.go
+++ b/internal/process/claims/claims_test.go
@@ -49,7 +49,7 @@
 		if got := claim(t, b, "foremen", "k", "t3"); got != "t3" {
 			t.Errorf("another account's key is bound to %s", got)
 		}
-		store.SetFaults(standin.Faults{LostAnswers: 1})
+		store.SetFaults(standin.Faults{LostReplies: 1})
 		if got := claim(t, b, "desk", "k2", "t4"); got != "t4" {
 			t.Errorf("a claim whose answer was lost is bound to %s", got)
 		}
--- a/internal/process/entry/tls_test.go
+++ b/internal/process/entry/tls_test.go
@@ -43,7 +43,7 @@
 	files := newFiles(t)
 	opt := site.Defaults([]string{"d1", "d2"})
 	opt.EntryVMs, opt.Workers, opt.ListLag = 2, 0, 0
-	opt.Tune = func(s *entry.Settings) { s.TLS = files }
+	opt.AdjustSettings = func(s *entry.Settings) { s.TLS = files }
 	s, err := site.Start(opt)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/process/storeclient/client_test.go
+++ b/internal/process/storeclient/client_test.go
@@ -42,7 +42,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.New(standin.Options{})
 		c := newClient(service, 1)
-		service.SetFaults(standin.Faults{LostAnswers: 1})
+		service.SetFaults(standin.Faults{LostReplies: 1})
 		result, err := c.CompareAndSet(t.Context(), storeclient.ForPublication, write("a", 0))
 		if err != nil || !result.Swapped || !result.ReadBack {
 			t.Fatalf("result %+v, %v", result, err)
@@ -65,7 +65,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		service.SetFaults(standin.Faults{LostAnswers: 1, StaleRead: true})
+		service.SetFaults(standin.Faults{LostReplies: 1, StaleReads: true})
 		time.AfterFunc(400*time.Millisecond, func() { service.SetFaults(standin.Faults{}) })
 		result, err := c.CompareAndSet(t.Context(), storeclient.ForPublication, write("b", first.Version))
 		if err != nil || !result.Swapped {
--- a/internal/standin/mesh/mesh.go
+++ b/internal/standin/mesh/mesh.go
@@ -133,7 +133,7 @@
 
 // Cut separates a domain from the others: open connections fall silent, for good, and
 // new ones hang while the cut lasts.
-func (m *Mesh) Cut(domain string, cut bool) {
+func (m *Mesh) SetCut(domain string, cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cut[domain] = cut
--- a/internal/standin/platform/list.go
+++ b/internal/standin/platform/list.go
@@ -18,19 +18,19 @@
 		last = p.lists[len(p.lists)-1]
 	}
 	next := vmList{
-		visible: p.options.Now().Add(p.options.ListLag),
-		version: last.version + 1,
+		visibleAt: p.options.Now().Add(p.options.ListLag),
+		version:   last.version + 1,
 	}
 	for _, vm := range vms {
 		listed := proto.Clone(vm).(*pumiceyardv1.VM)
-		listed.SinceVersion = joinedAt(last.vms, vm, next.version)
+		listed.SinceVersion = joinVersion(last.vms, vm, next.version)
 		next.vms = append(next.vms, listed)
 	}
 	p.lists = append(p.lists, next)
 }
 
-// joinedAt is the list version at which this incarnation of the VM joined.
-func joinedAt(before []*pumiceyardv1.VM, vm *pumiceyardv1.VM, now uint64) uint64 {
+// joinVersion is the list version at which this incarnation of the VM joined.
+func joinVersion(before []*pumiceyardv1.VM, vm *pumiceyardv1.VM, now uint64) uint64 {
 	for _, old := range before {
 		if old.Id == vm.Id && old.Incarnation == vm.Incarnation {
 			return old.SinceVersion
@@ -41,7 +41,7 @@
 
 // ListVMs returns the newest list that the lag lets readers see.
 func (p *Platform) ListVMs(ctx context.Context, _ *connect.Request[pumiceyardv1.ListVMsRequest]) (*connect.Response[pumiceyardv1.ListVMsResponse], error) {
-	if err := p.begin(ctx, MethodListVMs, p.reads); err != nil {
+	if err := p.admitCall(ctx, MethodListVMs, p.reads); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -49,7 +49,7 @@
 	now := p.options.Now()
 	answer := new(pumiceyardv1.ListVMsResponse)
 	for _, list := range p.lists {
-		if list.visible.After(now) {
+		if list.visibleAt.After(now) {
 			break
 		}
 		answer.Version, answer.Vms = list.version, list.vms
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -58,9 +58,9 @@
 type Faults struct {
 	Outage      bool          // each call fails, and waiting watches break
 	Delay       time.Duration // added before each call takes effect
-	LostAnswers int           // the next so many writes take effect and fail
+	LostReplies int           // the next so many writes take effect and fail
 	SilentWatch bool          // watches never answer until the caller gives up
-	StaleRead   bool          // reads answer with the value before the last write
+	StaleReads  bool          // reads answer with the value before the last write
 }
 
 // Platform implements the platform's service.
@@ -69,17 +69,17 @@
 	reads   *rate.Limiter
 	writes  *rate.Limiter
 
-	mu        sync.Mutex
-	changed   chan struct{} // closed and replaced at each change
-	faults    Faults
-	entries   map[string]entry
-	previous  map[string]entry
-	versions  uint64
-	leases    map[uint64]lease
-	nextLease uint64
-	calls     map[Method]int
-	refused   int
-	lists     []vmList
+	mu          sync.Mutex
+	changed     chan struct{} // closed and replaced at each change
+	faults      Faults
+	entries     map[string]entry
+	previous    map[string]entry
+	lastVersion uint64
+	leases      map[uint64]lease
+	nextLease   uint64
+	calls       map[Method]int
+	refused     int
+	lists       []vmList
 }
 
 type entry struct {
@@ -94,9 +94,9 @@
 }
 
 type vmList struct {
-	visible time.Time
-	version uint64
-	vms     []*pumiceyardv1.VM
+	visibleAt time.Time
+	version   uint64
+	vms       []*pumiceyardv1.VM
 }
 
 var _ pumiceyardv1connect.PlatformServiceHandler = (*Platform)(nil)
@@ -152,7 +152,7 @@
 }
 
 // begin counts a call, applies the rate limit and the injected delay.
-func (p *Platform) begin(ctx context.Context, method Method, limiter *rate.Limiter) error {
+func (p *Platform) admitCall(ctx context.Context, method Method, limiter *rate.Limiter) error {
 	p.mu.Lock()
 	p.calls[method]++
 	allowed := limiter.AllowN(p.options.Now(), 1)
@@ -185,13 +185,13 @@
 	return connect.NewError(connect.CodeCanceled, ctx.Err())
 }
 
-// finishWrite loses the answer of a write that took effect, when asked to.
+// injectLostReply loses the answer of a write that took effect, when asked to.
 // The caller holds the lock.
-func (p *Platform) finishWrite() error {
-	if p.faults.LostAnswers == 0 {
+func (p *Platform) injectLostReply() error {
+	if p.faults.LostReplies == 0 {
 		return nil
 	}
-	p.faults.LostAnswers--
+	p.faults.LostReplies--
 	return connect.NewError(connect.CodeUnavailable, errors.New("injected loss of an answer"))
 }
 
@@ -202,7 +202,7 @@
 
 // Get reads a key.
 func (p *Platform) Get(ctx context.Context, req *connect.Request[pumiceyardv1.GetRequest]) (*connect.Response[pumiceyardv1.GetResponse], error) {
-	if err := p.begin(ctx, MethodGet, p.reads); err != nil {
+	if err := p.admitCall(ctx, MethodGet, p.reads); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -218,7 +218,7 @@
 // read is what readers see of a key. The caller holds the lock.
 func (p *Platform) read(key string) entry {
 	p.expireLeases()
-	if p.faults.StaleRead {
+	if p.faults.StaleReads {
 		return p.previous[key]
 	}
 	return p.entries[key]
@@ -226,7 +226,7 @@
 
 // CompareAndSet writes a key if its version is the expected one.
 func (p *Platform) CompareAndSet(ctx context.Context, req *connect.Request[pumiceyardv1.CompareAndSetRequest]) (*connect.Response[pumiceyardv1.CompareAndSetResponse], error) {
-	if err := p.begin(ctx, MethodCompareAndSet, p.writes); err != nil {
+	if err := p.admitCall(ctx, MethodCompareAndSet, p.writes); err != nil {
 		return nil, err
 	}
 	if len(req.Msg.Value) > MaxValueBytes {
@@ -244,7 +244,7 @@
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("lease has expired"))
 	}
 	version := p.write(req.Msg)
-	if err := p.finishWrite(); err != nil {
+	if err := p.injectLostReply(); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&pumiceyardv1.CompareAndSetResponse{Swapped: true, Version: version}), nil
@@ -259,15 +259,15 @@
 		delete(p.entries, msg.Key)
 		return 0
 	}
-	p.versions++
+	p.lastVersion++
 	value := append([]byte(nil), msg.Value...)
-	p.entries[msg.Key] = entry{value: value, version: p.versions, lease: msg.Lease}
-	return p.versions
+	p.entries[msg.Key] = entry{value: value, version: p.lastVersion, lease: msg.Lease}
+	return p.lastVersion
 }
 
 // Watch waits until the key's version passes the given one.
 func (p *Platform) Watch(ctx context.Context, req *connect.Request[pumiceyardv1.WatchRequest]) (*connect.Response[pumiceyardv1.WatchResponse], error) {
-	if err := p.begin(ctx, MethodWatch, p.reads); err != nil {
+	if err := p.admitCall(ctx, MethodWatch, p.reads); err != nil {
 		return nil, err
 	}
 	wait := min(time.Duration(req.Msg.WaitMillis)*time.Millisecond, MaxWatchWait)
@@ -302,7 +302,7 @@
 
 // GrantLease grants a lease, which ends unless it is kept alive.
 func (p *Platform) GrantLease(ctx context.Context, req *connect.Request[pumiceyardv1.GrantLeaseRequest]) (*connect.Response[pumiceyardv1.GrantLeaseResponse], error) {
-	if err := p.begin(ctx, MethodGrantLease, p.writes); err != nil {
+	if err := p.admitCall(ctx, MethodGrantLease, p.writes); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -310,7 +310,7 @@
 	ttl := time.Duration(req.Msg.TtlMillis) * time.Millisecond
 	p.nextLease++
 	p.leases[p.nextLease] = lease{ttl: ttl, expires: p.options.Now().Add(ttl)}
-	if err := p.finishWrite(); err != nil {
+	if err := p.injectLostReply(); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&pumiceyardv1.GrantLeaseResponse{Lease: p.nextLease}), nil
@@ -318,7 +318,7 @@
 
 // KeepAlive extends a lease by its time to live, unless it has expired.
 func (p *Platform) KeepAlive(ctx context.Context, req *connect.Request[pumiceyardv1.KeepAliveRequest]) (*connect.Response[pumiceyardv1.KeepAliveResponse], error) {
-	if err := p.begin(ctx, MethodKeepAlive, p.writes); err != nil {
+	if err := p.admitCall(ctx, MethodKeepAlive, p.writes); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -329,7 +329,7 @@
 		held.expires = p.options.Now().Add(held.ttl)
 		p.leases[req.Msg.Lease] = held
 	}
-	if err := p.finishWrite(); err != nil {
+	if err := p.injectLostReply(); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&pumiceyardv1.KeepAliveResponse{Alive: alive}), nil
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -100,14 +100,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service.SetFaults(platform.Faults{LostAnswers: 1})
+	service.SetFaults(platform.Faults{LostReplies: 1})
 	if _, err := set(t, c, "b", first.Version, 0); connect.CodeOf(err) != connect.CodeUnavailable {
 		t.Errorf("lost answer: %v", err)
 	}
 	if got := get(t, c); got != "b" {
 		t.Errorf("the write whose answer was lost left %q", got)
 	}
-	service.SetFaults(platform.Faults{StaleRead: true})
+	service.SetFaults(platform.Faults{StaleReads: true})
 	if got := get(t, c); got != "a" {
 		t.Errorf("stale read = %q, want a", got)
 	}
--- a/internal/standin/site/await.go
+++ b/internal/standin/site/await.go
@@ -21,24 +21,24 @@
 	if err := s.AwaitPeers(ctx); err != nil {
 		return err
 	}
-	return s.awaitHeld(ctx)
+	return s.awaitLeases(ctx)
 }
 
-// awaitHeld waits until every worker that lives is held.
-func (s *Site) awaitHeld(ctx context.Context) error {
+// awaitLeases waits until every worker that lives is held.
+func (s *Site) awaitLeases(ctx context.Context) error {
 	for {
-		unheld := s.unheld()
+		unheld := s.unleasedWorkers()
 		if len(unheld) == 0 {
 			return s.awaitPower(ctx)
 		}
-		if !pause.For(ctx, awaitPoll) {
+		if !pause.For(ctx, awaitPollInterval) {
 			return fmt.Errorf("nobody holds %v: %w", unheld, ctx.Err())
 		}
 	}
 }
 
 // unheld names the workers that live and that no entry VM holds.
-func (s *Site) unheld() []string {
+func (s *Site) unleasedWorkers() []string {
 	held := make(map[string]bool)
 	for _, e := range s.Entries() {
 		for _, w := range e.VM.Status().Workers {
@@ -80,7 +80,7 @@
 		if waiting == "" {
 			return nil
 		}
-		if !pause.For(ctx, awaitPoll) {
+		if !pause.For(ctx, awaitPollInterval) {
 			return fmt.Errorf("%s is not there yet: %w", waiting, ctx.Err())
 		}
 	}
--- a/internal/standin/site/callers_test.go
+++ b/internal/standin/site/callers_test.go
@@ -55,7 +55,7 @@
 	opt.Behaviour = func(_ string, input []byte) worker.Outcome {
 		return worker.Outcome{Run: time.Millisecond, Output: input}
 	}
-	opt.Tune = func(s *entry.Settings) {
+	opt.AdjustSettings = func(s *entry.Settings) {
 		s.TicketKey = testTicketKey
 		s.MaxBodyBytes = bodyLimit
 		s.BodyTimeoutMillis = 200
--- a/internal/standin/site/control_bench_test.go
+++ b/internal/standin/site/control_bench_test.go
@@ -100,7 +100,7 @@
 	count := newTrafficCount()
 	opt := Defaults([]string{"ub-bayangol", "ub-bayanzurkh", "ub-khan-uul", "ub-sukhbaatar"})
 	opt.Wrapper = count
-	opt.Tune = func(s *entry.Settings) { s.ListPollMillis = 0 }
+	opt.AdjustSettings = func(s *entry.Settings) { s.ListPollMillis = 0 }
 	nodes := opt.EntryVMs
 	opt.EntryVMs = 0
 	s, err := Start(opt)
--- a/internal/standin/site/kill_bench_test.go
+++ b/internal/standin/site/kill_bench_test.go
@@ -204,13 +204,13 @@
 	}
 }
 
-// awaitHeld waits until every worker that lives is held by an entry VM that
+// awaitLeases waits until every worker that lives is held by an entry VM that
 // lives, at least 1.5 s, and returns how long it took.
 func awaitHeld(b *testing.B, s *Site) time.Duration {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if err := s.awaitHeld(ctx); err != nil {
+	if err := s.awaitLeases(ctx); err != nil {
 		b.Error(err)
 	}
 	took := time.Since(began)
--- a/internal/standin/site/partition.go
+++ b/internal/standin/site/partition.go
@@ -28,7 +28,7 @@
 }
 
 // place notes the failure domain of a listener.
-func (p *partition) place(address, domain string) {
+func (p *partition) setDomain(address, domain string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.domains[address] = domain
@@ -36,12 +36,12 @@
 
 // set cuts a failure domain off from all others and from the platform, or heals
 // the cut.
-func (p *partition) set(domain string, cut bool) {
+func (p *partition) setCut(domain string, cut bool) {
 	p.mu.Lock()
 	p.cut[domain] = cut
 	var broken []*partitionConn
 	for c := range p.open {
-		if p.separates(c.from, c.to) {
+		if p.isCut(c.from, c.to) {
 			broken = append(broken, c)
 		}
 	}
@@ -53,7 +53,7 @@
 
 // separates reports whether a cut lies between two failure domains. The caller
 // holds the lock.
-func (p *partition) separates(from, to string) bool {
+func (p *partition) isCut(from, to string) bool {
 	return from != to && (p.cut[from] || p.cut[to])
 }
 
@@ -73,7 +73,7 @@
 	p := d.partition
 	p.mu.Lock()
 	to := p.domains[address]
-	separated := p.separates(d.domain, to)
+	separated := p.isCut(d.domain, to)
 	p.mu.Unlock()
 	if separated {
 		return nil, errPartition
@@ -85,7 +85,7 @@
 	c := &partitionConn{Conn: conn, partition: p, from: d.domain, to: to}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.separates(d.domain, to) {
+	if p.isCut(d.domain, to) {
 		_ = conn.Close()
 		return nil, errPartition
 	}
@@ -109,7 +109,7 @@
 
 // Cut cuts a failure domain off from the others and from the platform: its
 // connections across the cut break, and new ones are refused.
-func (s *Site) Cut(domain string) { s.partition.set(domain, true) }
+func (s *Site) CutDomain(domain string) { s.partition.setCut(domain, true) }
 
 // Heal ends a cut.
-func (s *Site) Heal(domain string) { s.partition.set(domain, false) }
+func (s *Site) ReconnectDomain(domain string) { s.partition.setCut(domain, false) }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -26,17 +26,17 @@
 
 // Options describe a site.
 type Options struct {
-	Domains        []string
-	EntryVMs       int
-	Workers        int
-	PerRack        int
-	Capacity       *pb.Resources
-	IdleMilliwatts uint32
-	Behaviour      worker.Behaviour
-	ListLag        time.Duration
-	PlatformListen string                // address of the platform's service; empty: any on loopback
-	Listed         []*pb.VM              // entry VMs that run elsewhere
-	Tune           func(*entry.Settings) // changes the settings of each entry VM; may be nil
+	Domains          []string
+	EntryVMs         int
+	Workers          int
+	WorkersPerRack   int
+	Capacity         *pb.Resources
+	IdleMilliwatts   uint32
+	Behaviour        worker.Behaviour
+	ListLag          time.Duration
+	PlatformListen   string                // address of the platform's service; empty: any on loopback
+	ExternalEntryVMs []*pb.VM              // entry VMs that run elsewhere
+	AdjustSettings   func(*entry.Settings) // changes the settings of each entry VM; may be nil
 	// Wrapper replaces each listener before it is used, those of the roles
 	// "worker" and "platform" too; nil: none is replaced.
 	Wrapper entry.ListenerWrapper
@@ -45,10 +45,10 @@
 // Defaults returns a site of the users' present size.
 func Defaults(domains []string) Options {
 	return Options{
-		Domains:  domains,
-		EntryVMs: 8,
-		Workers:  50,
-		PerRack:  6,
+		Domains:        domains,
+		EntryVMs:       8,
+		Workers:        50,
+		WorkersPerRack: 6,
 		Capacity: &pb.Resources{
 			Slots:      8,
 			Millicpu:   16_000,
@@ -83,11 +83,11 @@
 
 // Entry is one entry VM of the site.
 type Entry struct {
-	VM     *entry.VM
-	Name   string
-	Domain string
-	alive  bool
-	left   bool
+	VM      *entry.VM
+	Name    string
+	Domain  string
+	alive   bool
+	leaving bool
 }
 
 // Worker is one worker of the site.
@@ -119,7 +119,7 @@
 			return nil, err
 		}
 	}
-	s.relist()
+	s.publishVMList()
 	for i := range opt.EntryVMs {
 		if _, err := s.AddEntry(opt.Domains[i%len(opt.Domains)]); err != nil {
 			s.Stop()
@@ -147,7 +147,7 @@
 
 func (s *Site) addWorker(i int) error {
 	domain := s.opt.Domains[i%len(s.opt.Domains)]
-	rack := fmt.Sprintf("%s-r%d", domain, i/len(s.opt.Domains)/max(s.opt.PerRack, 1))
+	rack := fmt.Sprintf("%s-r%d", domain, i/len(s.opt.Domains)/max(s.opt.WorkersPerRack, 1))
 	w := worker.New(worker.Config{
 		ID:             fmt.Sprintf("w%03d", i),
 		Incarnation:    uint64(i) + 1,
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	s.partition.place(address, domain)
+	s.partition.setDomain(address, domain)
 	vm := &pb.VM{
 		Id:          w.ID(),
 		Role:        pb.VMRole_VM_ROLE_WORKER,
@@ -191,42 +191,42 @@
 	settings.TicketKey = ticketKey
 	settings.PeerToken = peerToken
 	settings.ListPollMillis = 250
-	settings.Peers = s.peers()
+	settings.Peers = s.seedPeers()
 	settings.Wrapper = s.opt.Wrapper
 	settings.Dialer = s.partition.dialer(domain)
-	if s.opt.Tune != nil {
-		s.opt.Tune(&settings)
+	if s.opt.AdjustSettings != nil {
+		s.opt.AdjustSettings(&settings)
 	}
 	vm, err := entry.Start(settings)
 	if err != nil {
 		return nil, err
 	}
-	s.partition.place(vm.PeerAddress(), domain)
+	s.partition.setDomain(vm.PeerAddress(), domain)
 	e := &Entry{VM: vm, Name: name, Domain: domain, alive: true}
 	s.mu.Lock()
 	s.entries = append(s.entries, e)
 	s.mu.Unlock()
-	s.relist()
+	s.publishVMList()
 	return e, nil
 }
 
 // peers are the peer listeners of some entry VMs that live.
-func (s *Site) peers() (addresses []string) {
+func (s *Site) seedPeers() (addresses []string) {
 	for _, e := range s.Entries() {
-		if len(addresses) < knownPeers {
+		if len(addresses) < maxSeedPeers {
 			addresses = append(addresses, e.VM.PeerAddress())
 		}
 	}
 	return addresses
 }
 
-// knownPeers is how many others an entry VM is told of in its settings.
-const knownPeers = 3
+// maxSeedPeers is how many others an entry VM is told of in its settings.
+const maxSeedPeers = 3
 
 // relist tells the platform's list which VMs there are.
-func (s *Site) relist() {
+func (s *Site) publishVMList() {
 	s.mu.Lock()
-	vms := slices.Clone(s.opt.Listed)
+	vms := slices.Clone(s.opt.ExternalEntryVMs)
 	for _, w := range s.workers {
 		if w.alive {
 			vms = append(vms, w.vm)
@@ -242,7 +242,7 @@
 			Incarnation: e.VM.Incarnation(),
 			Domain:      e.Domain,
 			Address:     e.VM.PeerAddress(),
-			Leaving:     e.left,
+			Leaving:     e.leaving,
 		})
 	}
 	s.mu.Unlock()
@@ -284,7 +284,7 @@
 	defer s.mu.Unlock()
 	var out []string
 	for _, e := range s.entries {
-		if e.alive && !e.left && match(e) {
+		if e.alive && !e.leaving && match(e) {
 			out = append(out, e.Endpoint())
 		}
 	}
@@ -300,20 +300,20 @@
 	e.alive = false
 	s.mu.Unlock()
 	e.VM.Kill()
-	s.relist()
+	s.publishVMList()
 }
 
 // StopEntry stops an entry VM as planned and reports whether it finished.
 func (s *Site) StopEntry(ctx context.Context, e *Entry) bool {
 	s.mu.Lock()
-	e.left = true
+	e.leaving = true
 	s.mu.Unlock()
-	s.relist()
+	s.publishVMList()
 	finished := e.VM.Stop(ctx)
 	s.mu.Lock()
 	e.alive = false
 	s.mu.Unlock()
-	s.relist()
+	s.publishVMList()
 	return finished
 }
 
@@ -324,7 +324,7 @@
 	s.mu.Unlock()
 	w.Kill()
 	_ = w.server.Close()
-	s.relist()
+	s.publishVMList()
 }
 
 // Publish puts a document in force and waits until each entry VM has it.
@@ -350,7 +350,7 @@
 	return publisher.Publish(ctx, publication.Change{ID: change, Author: author, BaseRevision: d.Revision, Document: d})
 }
 
-const awaitPoll = 20 * time.Millisecond
+const awaitPollInterval = 20 * time.Millisecond
 
 // Starts counts tasks and starts over all workers, dead ones too, and how often
 // the task with the most starts was started.
--- a/internal/standin/worker/power.go
+++ b/internal/standin/worker/power.go
@@ -28,7 +28,7 @@
 }
 
 // charge is what one task of a group counts under the cap, in milliwatts.
-func charge(g *pb.StartGroup) uint32 {
+func chargedMilliwatts(g *pb.StartGroup) uint32 {
 	if g.ChargedMilliwatts != 0 {
 		return g.ChargedMilliwatts
 	}
@@ -37,7 +37,7 @@
 
 // affords is the guard's first duty: no start passes the allotment by what the
 // holder says that tasks draw. A holder with a right ledger is never refused.
-func (w *Worker) affords(charged uint32) bool {
+func (w *Worker) fitsAllotment(charged uint32) bool {
 	return uint64(w.cfg.IdleMilliwatts)+w.power.charged+uint64(charged) <= w.power.allotted
 }
 
@@ -50,7 +50,7 @@
 // charged, all are slowed until the draw fits the allotment. The model is
 // simple: draw above idle and speed are proportional, and the guard acts at
 // once. The caller holds mu.
-func (w *Worker) respeed(now time.Time) {
+func (w *Worker) updateSpeed(now time.Time) {
 	speed := w.power.throttle
 	room := w.power.allotted - min(w.power.allotted, uint64(w.cfg.IdleMilliwatts))
 	if uint64(w.milliwatts) > room {
@@ -60,45 +60,45 @@
 	if speed != w.power.speed {
 		w.setSpeed(now, speed)
 	}
-	w.peak = max(w.peak, w.draw())
+	w.peakDraw = max(w.peakDraw, w.draw())
 }
 
 // setSpeed moves the ends of all running tasks.
 func (w *Worker) setSpeed(now time.Time, speed uint32) {
 	before := time.Duration(w.power.speed)
 	w.power.speed = speed
-	for _, t := range w.active {
-		done := now.Sub(t.since) * before / fullSpeed
-		t.left, t.since = max(0, t.left-done), now
-		t.timer.Reset(w.atSpeed(t.left))
+	for _, t := range w.runningTasks {
+		done := now.Sub(t.remainingAt) * before / fullSpeed
+		t.remaining, t.remainingAt = max(0, t.remaining-done), now
+		t.timer.Reset(w.durationAtSpeed(t.remaining))
 		t.slowed = true
 	}
 }
 
 // permille is the mean speed that an ended task ran at, 0 for full speed.
-func (t *task) permille() uint32 {
+func (t *task) meanSpeed() uint32 {
 	if !t.slowed || t.run <= 0 {
 		return 0
 	}
-	return uint32(min(max(t.work*fullSpeed/t.run, minSpeed), fullSpeed))
+	return uint32(min(max(t.fullSpeedRunTime*fullSpeed/t.run, minSpeed), fullSpeed))
 }
 
 // meanDraw is the mean draw of an ended task.
 func (t *task) meanDraw() uint32 {
-	if speed := t.permille(); speed > 0 {
+	if speed := t.meanSpeed(); speed > 0 {
 		return uint32(uint64(t.draw) * uint64(speed) / fullSpeed)
 	}
 	return t.draw
 }
 
-// atSpeed is how long run time at full speed takes at the speed in force.
-func (w *Worker) atSpeed(run time.Duration) time.Duration {
+// durationAtSpeed is how long run time at full speed takes at the speed in force.
+func (w *Worker) durationAtSpeed(run time.Duration) time.Duration {
 	return run * fullSpeed / time.Duration(w.power.speed)
 }
 
 // allot puts an allotment in force, unless a later plan is. The caller has
 // checked the epoch and holds mu.
-func (w *Worker) allot(now time.Time, m *pb.Allotment) *pb.AllotmentAnswer {
+func (w *Worker) applyAllotment(now time.Time, m *pb.Allotment) *pb.AllotmentAnswer {
 	answer := &pb.AllotmentAnswer{Sequence: m.Sequence}
 	if m.Record == nil || m.Record.Revision < w.power.record.GetRevision() {
 		return answer
@@ -106,14 +106,14 @@
 	w.power.record = m.Record
 	w.power.allotted = m.Record.AllottedMilliwatts
 	answer.Stored = true
-	w.respeed(now)
+	w.updateSpeed(now)
 	return answer
 }
 
-// setThrottle puts a holder's speed in force. The caller holds mu.
-func (w *Worker) setThrottle(now time.Time, m *pb.Throttle) *pb.Throttle {
+// applyThrottle puts a holder's speed in force. The caller holds mu.
+func (w *Worker) applyThrottle(now time.Time, m *pb.Throttle) *pb.Throttle {
 	w.power.throttle = min(max(m.Permille, minSpeed), fullSpeed)
-	w.respeed(now)
+	w.updateSpeed(now)
 	return &pb.Throttle{Permille: m.Permille}
 }
 
--- a/internal/standin/worker/power_test.go
+++ b/internal/standin/worker/power_test.go
@@ -18,12 +18,12 @@
 // restarts. Cause would be a record that goes back, is not handed over, or
 // outlives the tasks that it was for.
 func TestAllotmentRecord(t *testing.T) {
-	w, s := held(t)
-	w.take(now, s, allotment(1, 2, 5000))
-	w.take(now, s, allotment(2, 1, 9000))
+	w, s := newLeasedWorker(t)
+	w.handleRequest(now, s, allotment(1, 2, 5000))
+	w.handleRequest(now, s, allotment(2, 1, 9000))
 	stale := allotment(3, 3, 9000)
 	stale.Epoch = 0
-	w.take(now, s, stale)
+	w.handleRequest(now, s, stale)
 	var stored []bool
 	for _, e := range s.events.Drain() {
 		stored = append(stored, e.allotment.Stored)
@@ -35,7 +35,7 @@
 	if r := m.Granted.Record; r.GetRevision() != 2 || r.GetAllottedMilliwatts() != 5000 || m.Granted.Incarnation != 7 {
 		t.Fatalf("the next holder got %v", m.Granted)
 	}
-	again, _ := held(t)
+	again, _ := newLeasedWorker(t)
 	if _, m = again.acquire(now, &pb.Acquire{EntryVm: "vm1", Incarnation: 1, TtlMillis: 1000}); m.Granted.Record != nil {
 		t.Fatalf("a new run has the record %v", m.Granted.Record)
 	}
@@ -44,11 +44,11 @@
 // Symptom: draw above the cap. Sequence: a holder starts more than the allotment
 // carries, or tasks draw more than they were charged. Cause would be a guard that
 // trusts the holder, or the declarations.
-func TestGuard(t *testing.T) {
-	w, s := held(t)
+func TestDrawStaysWithinAllotment(t *testing.T) {
+	w, s := newLeasedWorker(t)
 	w.cfg.Behaviour = func(string, []byte) Outcome { return Outcome{Run: time.Hour, Milliwatts: 4000} }
-	w.take(now, s, allotment(1, 1, 2000))
-	g := startOf(7)
+	w.handleRequest(now, s, allotment(1, 1, 2000))
+	g := startOfTask0(7)
 	g.ChargedMilliwatts = 2000
 	if r := w.start(now, s.epoch, g, 0); r != nil {
 		t.Fatalf("a start within the allotment gave %v", r)
@@ -60,13 +60,13 @@
 	if r := w.start(now, s.epoch, g, 0); r.GetReason() != string(reason.WorkerBusy) {
 		t.Fatalf("a start above the allotment gave %v", r)
 	}
-	w.take(now.Add(500*time.Millisecond), s, allotment(2, 1, 1000))
+	w.handleRequest(now.Add(500*time.Millisecond), s, allotment(2, 1, 1000))
 	if speed := w.power.speed; speed != 250 {
 		t.Fatalf("speed %d thousandths at a quarter of the draw", speed)
 	}
-	for _, task := range w.active {
-		if want := time.Hour - 250*time.Millisecond; task.left != want {
-			t.Errorf("%v are left after 500 ms at half speed, want %v", task.left, want)
+	for _, task := range w.runningTasks {
+		if want := time.Hour - 250*time.Millisecond; task.remaining != want {
+			t.Errorf("%v are left after 500 ms at half speed, want %v", task.remaining, want)
 		}
 	}
 }
--- a/internal/standin/worker/records.go
+++ b/internal/standin/worker/records.go
@@ -57,9 +57,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead {
-		return 0, w.peak
+		return 0, w.peakDraw
 	}
-	return w.draw(), w.peak
+	return w.draw(), w.peakDraw
 }
 
 // EachInUse calls f with the slots that each submission occupies here now.
@@ -75,18 +75,18 @@
 func (w *Worker) PeakSlots() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.slotsPeak
+	return w.peakSlots
 }
 
 // occupy counts the slots of a task that starts. The caller holds mu.
-func (w *Worker) occupy(id ticket.ID, slots uint32) {
+func (w *Worker) reserveSlots(id ticket.ID, slots uint32) {
 	w.slots[id] += slots
 	w.slotsInUse += slots
-	w.slotsPeak = max(w.slotsPeak, w.slotsInUse)
+	w.peakSlots = max(w.peakSlots, w.slotsInUse)
 }
 
 // vacate counts the slots of a task that leaves. The caller holds mu.
-func (w *Worker) vacate(id ticket.ID, slots uint32) {
+func (w *Worker) releaseSlots(id ticket.ID, slots uint32) {
 	w.slotsInUse -= slots
 	if w.slots[id] -= slots; w.slots[id] == 0 {
 		delete(w.slots, id)
--- a/internal/standin/worker/service.go
+++ b/internal/standin/worker/service.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	streamRing  = 1 << 14
-	maxFollow   = 30 * time.Second
-	retryFactor = 4 // a denied holder asks again after a quarter of the rest
+	eventQueueSize = 1 << 14
+	maxFollow      = 30 * time.Second
+	retryDivisor   = 4 // a denied holder asks again after a quarter of the rest
 )
 
 // event is one thing to tell the holder.
 type event struct {
-	id     ticket.ID
-	result *pb.TaskResult
-	beat   uint64
+	id        ticket.ID
+	result    *pb.TaskResult
+	heartbeat uint64
 	// allotment and throttled confirm what a holder put in force.
 	allotment *pb.AllotmentAnswer
 	throttled *pb.Throttle
@@ -64,19 +64,19 @@
 	if err := conn.Send(answer); err != nil || s == nil {
 		return err
 	}
-	go w.receive(conn, s)
+	go w.receiveLoop(conn, s)
 	return w.sendLoop(ctx, conn, s)
 }
 
 // receive is the stream's reading duty.
-func (w *Worker) receive(conn *connect.BidiStream[pb.HoldRequest, pb.HoldResponse], s *stream) {
+func (w *Worker) receiveLoop(conn *connect.BidiStream[pb.HoldRequest, pb.HoldResponse], s *stream) {
 	defer s.events.Close()
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		if !w.take(time.Now(), s, m) {
+		if !w.handleRequest(time.Now(), s, m) {
 			return
 		}
 	}
@@ -91,8 +91,8 @@
 		case <-s.events.Ready():
 		}
 		closed := s.events.Closed()
-		m := gather(s.events.Drain())
-		if w.silent() {
+		m := mergeEvents(s.events.Drain())
+		if w.isSilent() {
 			continue
 		}
 		if m != nil {
@@ -111,7 +111,7 @@
 }
 
 // gather turns waiting events into one message, one group per submission.
-func gather(events []event) *pb.HoldResponse {
+func mergeEvents(events []event) *pb.HoldResponse {
 	if len(events) == 0 {
 		return nil
 	}
@@ -119,7 +119,7 @@
 	groups := make(map[ticket.ID]*pb.ResultGroup, 4)
 	for _, e := range events {
 		if e.result == nil {
-			e.confirm(m)
+			e.addTo(m)
 			continue
 		}
 		g := groups[e.id]
@@ -141,8 +141,8 @@
 
 // confirm puts an event that is no result into a message. A holder has one
 // allotment and one throttle under way at a time.
-func (e *event) confirm(m *pb.HoldResponse) {
-	m.Beat = max(m.Beat, e.beat)
+func (e *event) addTo(m *pb.HoldResponse) {
+	m.Beat = max(m.Beat, e.heartbeat)
 	if e.allotment != nil {
 		m.Allotment = e.allotment
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-func (w *Worker) silent() bool {
+func (w *Worker) isSilent() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults.Silent
@@ -180,7 +180,7 @@
 		return nil, &pb.HoldResponse{Denied: &pb.Denied{
 			Reason:           "held",
 			Holder:           w.holderName,
-			RetryAfterMillis: uint32((left / retryFactor).Milliseconds()) + 1,
+			RetryAfterMillis: uint32((left / retryDivisor).Milliseconds()) + 1,
 		}}
 	}
 	w.endStream()
@@ -188,17 +188,17 @@
 	w.holder, w.holderName = a.Incarnation, a.EntryVm
 	w.ttl = min(time.Duration(a.TtlMillis)*time.Millisecond, maxTTL)
 	w.leaseUntil = now.Add(w.ttl)
-	w.stream = &stream{epoch: w.epoch, events: ring.New[event](streamRing)}
+	w.stream = &stream{epoch: w.epoch, events: ring.New[event](eventQueueSize)}
 	if a.AllottedMilliwatts != 0 {
 		w.power.allotted = min(w.power.allotted, uint64(a.AllottedMilliwatts))
-		w.respeed(now)
+		w.updateSpeed(now)
 	}
 	return w.stream, &pb.HoldResponse{Granted: &pb.Granted{
 		Epoch:            w.epoch,
 		TtlMillis:        uint32(w.ttl.Milliseconds()),
 		Capacity:         w.cfg.Capacity,
 		IdleMilliwatts:   w.cfg.IdleMilliwatts,
-		Running:          w.loads(),
+		Running:          w.runningLoads(),
 		Record:           w.power.record,
 		Incarnation:      w.cfg.Incarnation,
 		ThrottlePermille: w.power.throttle,
@@ -207,7 +207,7 @@
 
 // loads lists what still runs here for earlier holders, so that a new holder
 // counts slots and watts exactly.
-func (w *Worker) loads() []*pb.TaskLoad {
+func (w *Worker) runningLoads() []*pb.TaskLoad {
 	var loads []*pb.TaskLoad
 	for id, sub := range w.submissions {
 		for index, t := range sub.tasks {
@@ -229,7 +229,7 @@
 }
 
 // take handles one message of a holder and reports whether to go on.
-func (w *Worker) take(now time.Time, s *stream, m *pb.HoldRequest) bool {
+func (w *Worker) handleRequest(now time.Time, s *stream, m *pb.HoldRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead {
@@ -239,7 +239,7 @@
 	if w.faults.Silent {
 		return true
 	}
-	w.sweep(now)
+	w.dropExpired(now)
 	current := s.epoch == w.epoch && w.holder != 0
 	if m.Release {
 		if current {
@@ -253,10 +253,10 @@
 			return false
 		}
 		w.leaseUntil = now.Add(w.ttl)
-		s.events.TryPush(event{beat: m.Beat})
+		s.events.TryPush(event{heartbeat: m.Beat})
 	}
 	if current && m.Epoch == s.epoch {
-		w.takePower(now, s, m)
+		w.handlePower(now, s, m)
 	}
 	for _, g := range m.Starts {
 		w.startGroup(now, s, m.Epoch, g)
@@ -269,14 +269,14 @@
 	return true
 }
 
-// takePower handles what the lease's holder says about watts. A checkpoint is a
+// handlePower handles what the lease's holder says about watts. A checkpoint is a
 // stop here: a task that was saved is not taken up again.
-func (w *Worker) takePower(now time.Time, s *stream, m *pb.HoldRequest) {
+func (w *Worker) handlePower(now time.Time, s *stream, m *pb.HoldRequest) {
 	if m.Throttle != nil && m.Throttle.Permille > 0 {
-		s.events.TryPush(event{throttled: w.setThrottle(now, m.Throttle)})
+		s.events.TryPush(event{throttled: w.applyThrottle(now, m.Throttle)})
 	}
 	if m.Allotment != nil {
-		s.events.TryPush(event{allotment: w.allot(now, m.Allotment)})
+		s.events.TryPush(event{allotment: w.applyAllotment(now, m.Allotment)})
 	}
 	for _, r := range m.Checkpoints {
 		w.stop(wire.ID(r.Submission), r.Index)
@@ -298,7 +298,7 @@
 // Seal implements the service: the promise that no start under a lower
 // generation is accepted from now on, and the list of what did start.
 func (w *Worker) Seal(ctx context.Context, req *connect.Request[pb.SealRequest]) (*connect.Response[pb.SealResponse], error) {
-	if w.silent() {
+	if w.isSilent() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -315,14 +315,14 @@
 	id := wire.ID(m.Submission)
 	sub := w.submission(id, m.ExpiryUnixMillis)
 	resp := &pb.SealResponse{Results: sub.results(), Closed: sub.closed}
-	if want := wire.Generation(m.Generation); !want.Less(sub.sealed) {
-		sub.sealed = want
+	if want := wire.Generation(m.Generation); !want.Less(sub.minGeneration) {
+		sub.minGeneration = want
 		resp.Sealed = true
 		if m.Closed != "" && sub.closed == "" {
 			sub.closed = m.Closed
 		}
 	}
-	resp.Generation = wire.GenerationMessage(sub.sealed)
+	resp.Generation = wire.GenerationMessage(sub.minGeneration)
 	return connect.NewResponse(resp), nil
 }
 
@@ -340,7 +340,7 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		results, changed, err := w.endedOf(req.Msg)
+		results, changed, err := w.endedTasks(req.Msg)
 		if err != nil {
 			return nil, err
 		}
@@ -359,10 +359,10 @@
 
 var errNoRecord = connect.NewError(connect.CodeNotFound, errors.New("no record of the task: the worker was restarted or the ticket has expired"))
 
-// endedOf returns those of the named tasks that have ended. A task that is not
+// endedTasks returns those of the named tasks that have ended. A task that is not
 // known is an error: nobody follows what did not start, so the worker was
 // restarted, and its caller would wait for the end of the task for ever.
-func (w *Worker) endedOf(m *pb.FollowRequest) ([]*pb.TaskResult, <-chan struct{}, error) {
+func (w *Worker) endedTasks(m *pb.FollowRequest) ([]*pb.TaskResult, <-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls.Follows++
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -60,37 +60,37 @@
 type Worker struct {
 	cfg Config
 
-	mu          sync.Mutex
-	epoch       uint64
-	holder      uint64 // incarnation of the entry VM that holds the lease, 0: none
-	holderName  string
-	leaseUntil  time.Time
-	ttl         time.Duration
-	stream      *stream // the holder's stream, nil while it is disconnected
-	submissions map[ticket.ID]*submission
-	running     int
-	milliwatts  uint32
-	peak        uint32
-	power       powerState
-	active      map[taskKey]*task // running
-	retained    []retainedOutput
-	retainBytes int
-	dead        bool
-	faults      Faults
-	starts      map[taskKey]int
-	calls       Calls
-	nextSweep   time.Time
-	traffic     Traffic
-	slots       map[ticket.ID]uint32 // in use, by submission
-	slotsInUse  uint32
-	slotsPeak   uint32
+	mu              sync.Mutex
+	epoch           uint64
+	holder          uint64 // incarnation of the entry VM that holds the lease, 0: none
+	holderName      string
+	leaseUntil      time.Time
+	ttl             time.Duration
+	stream          *stream // the holder's stream, nil while it is disconnected
+	submissions     map[ticket.ID]*submission
+	running         int
+	milliwatts      uint32
+	peakDraw        uint32
+	power           powerState
+	runningTasks    map[taskKey]*task // running
+	retained        []retainedOutput
+	retainBytes     int
+	dead            bool
+	faults          Faults
+	starts          map[taskKey]int
+	calls           Calls
+	nextExpiryCheck time.Time
+	traffic         Traffic
+	slots           map[ticket.ID]uint32 // in use, by submission
+	slotsInUse      uint32
+	peakSlots       uint32
 }
 
 // Faults are switched by tests and the demo.
 type Faults struct {
 	Silent         bool    // messages are taken and never answered
 	FailEverything bool    // each task fails at once
-	Straggle       float64 // run times are multiplied by it when above 0
+	RunTimeFactor  float64 // run times are multiplied by it when above 0
 }
 
 type taskKey struct {
@@ -99,28 +99,28 @@
 }
 
 type submission struct {
-	id      ticket.ID
-	sealed  ticket.Generation
-	closed  string
-	expiry  time.Time
-	tasks   map[uint32]*task
-	changed chan struct{} // closed and replaced when a task ends
+	id            ticket.ID
+	minGeneration ticket.Generation
+	closed        string
+	expiry        time.Time
+	tasks         map[uint32]*task
+	changed       chan struct{} // closed and replaced when a task ends
 }
 
 type task struct {
-	state   pb.TaskState
-	output  []byte
-	reason  string
-	run     time.Duration
-	each    *pb.Resources
-	charged uint32 // milliwatts under the cap
-	draw    uint32 // milliwatts at full speed
-	started time.Time
-	timer   *time.Timer
-	left    time.Duration // run time at full speed that was left at since
-	since   time.Time
-	work    time.Duration // run time at full speed
-	slowed  bool
+	state            pb.TaskState
+	output           []byte
+	reason           string
+	run              time.Duration
+	each             *pb.Resources
+	charged          uint32 // milliwatts under the cap
+	draw             uint32 // milliwatts at full speed
+	started          time.Time
+	timer            *time.Timer
+	remaining        time.Duration // run time at full speed that was left at since
+	remainingAt      time.Time
+	fullSpeedRunTime time.Duration // run time at full speed
+	slowed           bool
 }
 
 type retainedOutput struct {
@@ -134,12 +134,12 @@
 		cfg.RetainBytes = defaultRetainBytes
 	}
 	return &Worker{
-		cfg:         cfg,
-		power:       newPowerState(cfg.IdleMilliwatts),
-		active:      make(map[taskKey]*task),
-		submissions: make(map[ticket.ID]*submission),
-		starts:      make(map[taskKey]int),
-		slots:       make(map[ticket.ID]uint32),
+		cfg:          cfg,
+		power:        newPowerState(cfg.IdleMilliwatts),
+		runningTasks: make(map[taskKey]*task),
+		submissions:  make(map[ticket.ID]*submission),
+		starts:       make(map[taskKey]int),
+		slots:        make(map[ticket.ID]uint32),
 	}
 }
 
@@ -175,7 +175,7 @@
 // started and has not ended yet.
 func (w *Worker) start(now time.Time, epoch uint64, g *pb.StartGroup, i int) *pb.TaskResult {
 	index := g.Index[i]
-	if code := w.refusal(now, epoch, g, index); code != "" {
+	if code := w.refusalCode(now, epoch, g, index); code != "" {
 		w.traffic.Refused++
 		if code == reason.DuplicateTask {
 			w.traffic.Duplicates++
@@ -183,8 +183,8 @@
 		return &pb.TaskResult{Index: index, State: pb.TaskState_TASK_STATE_NOT_RUN, Reason: string(code)}
 	}
 	id := wire.ID(g.Submission)
-	out := w.behave(g.Template, g.Input[i])
-	t := &task{state: pb.TaskState_TASK_STATE_RUNNING, each: g.Each, charged: charge(g), started: now, draw: out.Milliwatts}
+	out := w.outcomeOf(g.Template, g.Input[i])
+	t := &task{state: pb.TaskState_TASK_STATE_RUNNING, each: g.Each, charged: chargedMilliwatts(g), started: now, draw: out.Milliwatts}
 	if t.draw == 0 {
 		t.draw = g.Each.GetMilliwatts()
 	}
@@ -192,18 +192,18 @@
 	sub.tasks[index] = t
 	w.starts[taskKey{id, index}]++
 	w.running++
-	w.occupy(id, max(1, g.Each.GetSlots()))
+	w.reserveSlots(id, max(1, g.Each.GetSlots()))
 	w.milliwatts += t.draw
 	w.power.charged += uint64(t.charged)
-	w.respeed(now)
+	w.updateSpeed(now)
 	if out.Run <= 0 {
-		w.end(sub, t, out)
+		w.finish(sub, t, out)
 		return t.result(index)
 	}
-	t.left, t.since = out.Run, now
-	t.work, t.slowed = out.Run, w.power.speed < fullSpeed
-	t.timer = time.AfterFunc(w.atSpeed(out.Run), func() { w.ended(id, index, out) })
-	w.active[taskKey{id, index}] = t
+	t.remaining, t.remainingAt = out.Run, now
+	t.fullSpeedRunTime, t.slowed = out.Run, w.power.speed < fullSpeed
+	t.timer = time.AfterFunc(w.durationAtSpeed(out.Run), func() { w.timerFired(id, index, out) })
+	w.runningTasks[taskKey{id, index}] = t
 	return nil
 }
 
@@ -213,7 +213,7 @@
 // start here. The incarnation is checked because a restarted worker has
 // forgotten its seals; without the check it would start what a recovering entry
 // VM has sealed off here and started elsewhere.
-func (w *Worker) refusal(now time.Time, epoch uint64, g *pb.StartGroup, index uint32) reason.Code {
+func (w *Worker) refusalCode(now time.Time, epoch uint64, g *pb.StartGroup, index uint32) reason.Code {
 	sub := w.submissions[wire.ID(g.Submission)]
 	if sub != nil && sub.tasks[index] != nil {
 		return reason.DuplicateTask
@@ -227,16 +227,16 @@
 	if now.UnixMilli() >= int64(g.ExpiryUnixMillis) {
 		return reason.TicketExpired
 	}
-	if sub != nil && (sub.closed != "" || wire.Generation(g.Generation).Less(sub.sealed)) {
+	if sub != nil && (sub.closed != "" || wire.Generation(g.Generation).Less(sub.minGeneration)) {
 		return reason.Sealed
 	}
-	if w.slotsInUse+max(1, g.Each.GetSlots()) > w.cfg.Capacity.GetSlots() || !w.affords(charge(g)) {
+	if w.slotsInUse+max(1, g.Each.GetSlots()) > w.cfg.Capacity.GetSlots() || !w.fitsAllotment(chargedMilliwatts(g)) {
 		return reason.WorkerBusy
 	}
 	return ""
 }
 
-func (w *Worker) behave(template string, input []byte) Outcome {
+func (w *Worker) outcomeOf(template string, input []byte) Outcome {
 	if w.faults.FailEverything {
 		return Outcome{Failure: "worker is broken"}
 	}
@@ -244,8 +244,8 @@
 	if w.cfg.Behaviour != nil {
 		out = w.cfg.Behaviour(template, input)
 	}
-	if w.faults.Straggle > 0 {
-		out.Run = time.Duration(float64(out.Run) * w.faults.Straggle)
+	if w.faults.RunTimeFactor > 0 {
+		out.Run = time.Duration(float64(out.Run) * w.faults.RunTimeFactor)
 	}
 	return out
 }
@@ -265,25 +265,25 @@
 }
 
 // end records the end of a running task. The caller holds mu.
-func (w *Worker) end(sub *submission, t *task, out Outcome) {
+func (w *Worker) finish(sub *submission, t *task, out Outcome) {
 	t.state = pb.TaskState_TASK_STATE_DONE
 	t.output = out.Output
 	if out.Failure != "" {
 		t.state = pb.TaskState_TASK_STATE_FAILED
 		t.reason = out.Failure
 	}
-	w.leave(sub, t)
+	w.release(sub, t)
 	w.retain(t)
 }
 
 // leave frees what a task occupied. The caller holds mu.
-func (w *Worker) leave(sub *submission, t *task) {
+func (w *Worker) release(sub *submission, t *task) {
 	t.run = time.Since(t.started)
 	w.running--
-	w.vacate(sub.id, max(1, t.each.GetSlots()))
+	w.releaseSlots(sub.id, max(1, t.each.GetSlots()))
 	w.milliwatts -= t.draw
 	w.power.charged -= uint64(t.charged)
-	w.respeed(time.Now())
+	w.updateSpeed(time.Now())
 	close(sub.changed)
 	sub.changed = make(chan struct{})
 }
@@ -304,7 +304,7 @@
 }
 
 // ended is called by a task's timer.
-func (w *Worker) ended(id ticket.ID, index uint32, out Outcome) {
+func (w *Worker) timerFired(id ticket.ID, index uint32, out Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sub := w.submissions[id]
@@ -315,8 +315,8 @@
 	if t == nil || t.state != pb.TaskState_TASK_STATE_RUNNING {
 		return
 	}
-	delete(w.active, taskKey{id, index})
-	w.end(sub, t, out)
+	delete(w.runningTasks, taskKey{id, index})
+	w.finish(sub, t, out)
 	w.push(id, t.result(index))
 }
 
@@ -336,7 +336,7 @@
 		Reason:     t.reason,
 		RunMicros:  uint32(t.run.Microseconds()),
 		Milliwatts: t.meanDraw(),
-		Permille:   t.permille(),
+		Permille:   t.meanSpeed(),
 	}
 }
 
@@ -353,18 +353,18 @@
 	t.timer.Stop()
 	t.state = pb.TaskState_TASK_STATE_STOPPED
 	t.reason = string(reason.Stopped)
-	delete(w.active, taskKey{id, index})
-	w.leave(sub, t)
+	delete(w.runningTasks, taskKey{id, index})
+	w.release(sub, t)
 	w.push(id, t.result(index))
 	return true
 }
 
 // sweep forgets submissions whose ticket has expired. The caller holds mu.
-func (w *Worker) sweep(now time.Time) {
-	if now.Before(w.nextSweep) {
+func (w *Worker) dropExpired(now time.Time) {
+	if now.Before(w.nextExpiryCheck) {
 		return
 	}
-	w.nextSweep = now.Add(clockSkew)
+	w.nextExpiryCheck = now.Add(clockSkew)
 	for id, sub := range w.submissions {
 		if now.After(sub.expiry.Add(clockSkew)) && !sub.anyRunning() {
 			delete(w.submissions, id)
--- a/internal/tool/demo/demo.go
+++ b/internal/tool/demo/demo.go
@@ -115,9 +115,9 @@
 	opt := site.Defaults(domains)
 	opt.EntryVMs = int(r.profile.Site.EntryVMs)
 	opt.Workers = int(r.profile.Site.Workers)
-	opt.PerRack = int(r.profile.Site.PerRack)
+	opt.WorkersPerRack = int(r.profile.Site.PerRack)
 	opt.Behaviour = r.behaviour
-	opt.Tune = tune
+	opt.AdjustSettings = tune
 	r.say("starting %s: %d failure domains, %d entry VMs, %d workers with 8 slots, stand-in platform", r.profile.Name, len(domains), opt.EntryVMs, opt.Workers)
 	s, err := site.Start(opt)
 	if err != nil {
--- a/internal/tool/demo/partition.go
+++ b/internal/tool/demo/partition.go
@@ -55,7 +55,7 @@
 func (r *run) partition(ctx context.Context) error {
 	pause.For(ctx, 4*settle)
 	r.say("cutting %s off from the other failure domains and from the platform", r.cut.domain)
-	r.site.Cut(r.cut.domain)
+	r.site.CutDomain(r.cut.domain)
 	r.cut.began = time.Now()
 	pause.For(ctx, cutFor/2)
 	revision, err := r.publishAgain(ctx, "demo-during-cut")
@@ -66,7 +66,7 @@
 	pause.For(ctx, cutFor/2)
 	old := r.lowestRevision()
 	r.cut.ended = time.Now()
-	r.site.Heal(r.cut.domain)
+	r.site.ReconnectDomain(r.cut.domain)
 	r.say("healing the cut: %s still has revision %d in force", r.cut.domain, old)
 	if old >= revision {
 		return fmt.Errorf("revision %d came through the cut", revision)
--- a/internal/tool/load/local.go
+++ b/internal/tool/load/local.go
@@ -95,9 +95,9 @@
 	l.options = site.Defaults(workload.Domains(doc))
 	l.options.EntryVMs = int(p.Site.EntryVMs)
 	l.options.Workers = int(p.Site.Workers)
-	l.options.PerRack = int(p.Site.PerRack)
+	l.options.WorkersPerRack = int(p.Site.PerRack)
 	l.options.Behaviour = workload.Behaviour
-	l.options.Tune = func(s *entry.Settings) { s.ShutdownMillis = shutdownMillis }
+	l.options.AdjustSettings = func(s *entry.Settings) { s.ShutdownMillis = shutdownMillis }
 	l.options.Wrapper = l.meters
 	s, err := site.Start(l.options)
 	if err != nil {
--- a/internal/tool/operate/causes_test.go
+++ b/internal/tool/operate/causes_test.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.site.Cut("ostrava")
+	c.site.CutDomain("ostrava")
 	ticket := tickets[0].Token
 	j := client.Job{Template: "check", Tasks: []json.RawMessage{json.RawMessage("1")}}
 	cl := c.client(sharedKey, endpoints[0])
@@ -165,7 +165,7 @@
 
 // stale cuts e2 off, publishes a template, and asks e2 for a job of it.
 func (c *causes) stale() string {
-	c.site.Cut("ostrava")
+	c.site.CutDomain("ostrava")
 	c.doc.Templates = append(c.doc.Templates, c.doc.Templates[0])
 	c.doc.Templates[len(c.doc.Templates)-1].Name = "price"
 	text, err := json.Marshal(c.doc)
--- a/internal/tool/standin/standin.go
+++ b/internal/tool/standin/standin.go
@@ -39,10 +39,10 @@
 		return err
 	}
 	s := site.Defaults(domains)
-	s.EntryVMs, s.Workers, s.PerRack = 0, opt.Workers, int(profile.Site.PerRack)
+	s.EntryVMs, s.Workers, s.WorkersPerRack = 0, opt.Workers, int(profile.Site.PerRack)
 	s.Behaviour = workload.Behaviour
 	s.PlatformListen = opt.Listen
-	s.Listed = listed
+	s.ExternalEntryVMs = listed
 	running, err := site.Start(s)
 	if err != nil {
 		return err
--- a/internal/version/publication/publication_test.go
+++ b/internal/version/publication/publication_test.go
@@ -148,7 +148,7 @@
 // not only in the one in force.
 func TestChangeIsFoundAfterALaterPublication(t *testing.T) {
 	withVirtualClock(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
-		service.SetFaults(standin.Faults{LostAnswers: 1})
+		service.SetFaults(standin.Faults{LostReplies: 1})
 		receipt := mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
 		if !receipt.Earlier || receipt.Revision != 1 {
 			t.Errorf("receipt %+v, want revision 1, found by reading back", receipt)
@@ -171,7 +171,7 @@
 	withVirtualClock(t, func(t *testing.T, service *standin.Platform, p *publication.Publisher) {
 		mustPublish(t, p, change("one", 0, sampleWithCap(t, capOne)))
 		mustPublish(t, p, change("two", 1, sampleWithCap(t, capTwo)))
-		service.SetFaults(standin.Faults{StaleRead: true})
+		service.SetFaults(standin.Faults{StaleReads: true})
 		var unknown *publication.NoRevisionError
 		if _, err := p.Publish(t.Context(), change("three", 2, sample(t))); !errors.As(err, &unknown) {
 			t.Errorf("while reads are stale: %v, want a NoRevisionError", err)
