--- a/internal/process/admission/admission.go
+++ b/internal/process/admission/admission.go
@@ -9,14 +9,14 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// Class is how pressing a template's work is. Its values match those of package
+// Class is the urgency of a template's work. Its values match those of package
 // fairness.
 type Class uint8
 
 const (
-	// Urgent work has a caller waiting on the line; it is refused last.
+	// Urgent work has a caller blocked on the answer; it is refused last.
 	Urgent Class = iota
-	// Normal work has a caller waiting, with some patience.
+	// Normal work has a caller that waits but tolerates some delay.
 	Normal
 	// Bulk work has no caller waiting; it is refused first.
 	Bulk
@@ -24,10 +24,10 @@
 	classCount = 3
 )
 
-// RetryBudgetSpent: the account retries more than its budget allows.
+// RetryBudgetSpent refuses a retry beyond the account's retry budget.
 const RetryBudgetSpent reason.Code = "retry_budget_spent"
 
-// Request is a submission that asks to be taken in.
+// Request describes a submission to be admitted or refused.
 type Request struct {
 	Account string
 	Class   Class
@@ -36,67 +36,69 @@
 	Slots       uint32
 	MemoryBytes uint64
 	Milliwatts  uint32
-	// Expected is the estimated run time of one task; 0 is not known.
+	// Expected is the estimated run time of one task; 0 if unknown.
 	Expected time.Duration
-	// Deadline is when the answer loses its worth; the zero time is never.
+	// Deadline is when the caller has no more use for the answer; zero if there
+	// is none.
 	Deadline time.Time
-	// Retry says that the caller was refused before or lost the answer.
+	// Retry is set when the caller was refused before or lost the answer.
 	Retry bool
 }
 
-// Size is what one worker, or one task, has or needs.
+// Size is the amount of each resource that a worker has or a task needs.
 type Size struct {
 	Slots       uint32
 	MemoryBytes uint64
 	Milliwatts  uint32
 }
 
-// AccountLoad is one account's standing at this entry VM.
+// AccountLoad is the load of one account at this entry VM.
 type AccountLoad struct {
-	// QueuedTasks are waiting, and QueuedWork is their expected slot-time.
+	// QueuedTasks counts the waiting tasks; QueuedWork is their expected
+	// slot-time (run time multiplied by slots).
 	QueuedTasks int
 	QueuedWork  time.Duration
-	// QuotaSlots is the account's bound on slots in use; 0 is none.
+	// QuotaSlots bounds the slots in use by the account; 0 is no bound.
 	QuotaSlots uint32
-	// Share is the part of the drain rate due to the account, from 0 to 1.
+	// Share is the account's fraction of the drain rate, from 0 to 1.
 	Share float64
 }
 
-// View is the state that a decision is made on. It is a snapshot; a decision
-// changes nothing in it.
+// View is the snapshot of the load that a decision is based on. Decisions do not
+// modify it.
 type View struct {
-	// Accounts holds those with configured quotas or queued work. One that is
-	// missing has an empty queue and an equal share.
+	// Accounts holds the accounts with configured quotas or queued work. A
+	// missing account has an empty queue and an equal share.
 	Accounts map[string]AccountLoad
 	// QueuedTasks and QueuedWork are the sums over all accounts.
 	QueuedTasks int
 	QueuedWork  time.Duration
-	// DrainRate is slot-time of work ended per second, thus the number of slots
-	// that are kept busy or could be.
+	// DrainRate is the slot-time of work that can complete per second, which
+	// equals the number of usable slots.
 	DrainRate float64
-	// Largest holds the greatest amount of each resource on any worker. A zero
-	// Slots means that no worker is known.
+	// Largest holds the greatest amount of each resource on any worker. Slots 0
+	// means that no worker is known.
 	Largest Size
-	// CapMilliwatts is the power cap for tasks; 0 is none.
+	// CapMilliwatts is the power cap for tasks; 0 is no cap.
 	CapMilliwatts uint64
-	// Draining says that the entry VM is shutting down.
+	// Draining is set when the entry VM is shutting down.
 	Draining bool
 }
 
-// Refusal says why a submission was not taken in. Nothing of it has run.
+// Refusal says why a submission was refused. None of its tasks has run.
 type Refusal struct {
 	Reason reason.Code
 	Detail string
-	// RetryAfter is when a retry makes sense; 0 means that the same request will
-	// be refused again.
+	// RetryAfter is how long to wait before a retry; 0 means that the same
+	// request would be refused again.
 	RetryAfter time.Duration
 }
 
-// Controller makes the decisions. See the package comment for the contract.
+// Controller makes admission decisions. See the package comment for the contract.
 type Controller struct {
 	settings Settings
 	random   *rand.Rand
-	budgets  map[string]float64 // retries an account has left
+	budgets  map[string]float64 // remaining retries, by account
 }
 
 // New returns a controller whose jitter comes from the seed. It panics on
@@ -112,7 +114,7 @@
 	}
 }
 
-// Decide returns nil to take the request in, or the refusal.
+// Decide returns nil if the request is admitted, otherwise the refusal.
 func (c *Controller) Decide(now time.Time, r Request, v *View) *Refusal {
 	if refusal := neverRuns(now, r, v); refusal != nil {
 		return refusal
@@ -132,7 +134,7 @@
 	return c.meetsDeadline(now, r, v)
 }
 
-// neverRuns refuses what no retry can help.
+// neverRuns refuses requests that no retry can make acceptable.
 func neverRuns(now time.Time, r Request, v *View) *Refusal {
 	quota := v.Accounts[r.Account].QuotaSlots
 	switch {
@@ -170,12 +172,12 @@
 	}
 }
 
-// spendBudget refuses retries beyond a part of the account's first attempts.
+// spendBudget limits an account's retries to a fraction of its first attempts.
 //
-// Without it, a client that retries each refusal multiplies the load that caused
-// the refusal, and the overload lasts when its cause is gone; one would see the
-// share of retries among the requests rise with the queues. First attempts pay
-// for retries, so they stay a bounded part.
+// Without the limit, a client that retries each refusal multiplies the load that
+// caused the refusal, and the overload outlasts its cause. The symptom is a share
+// of retries among the requests that rises with the queues. Each first attempt
+// earns part of a retry, so retries stay a bounded fraction.
 func (c *Controller) spendBudget(r Request, v *View) *Refusal {
 	left, known := c.budgets[r.Account]
 	if !known {
@@ -192,8 +194,9 @@
 	return nil
 }
 
-// earn credits a first attempt. A full budget is what an unknown account has, so
-// it is not stored and the table holds only accounts that retry.
+// earn credits a first attempt to the account's retry budget. An unknown account
+// has a full budget, so full budgets are not stored and the table holds only
+// accounts that retry.
 func (c *Controller) earn(account string, left float64) {
 	left += c.settings.RetryRatio
 	if left >= c.settings.RetryBurst {
@@ -203,7 +206,7 @@
 	c.budgets[account] = left
 }
 
-// boundQueues refuses what would make a queue longer than its bound.
+// boundQueues refuses a request that would make a queue exceed its bound.
 func (c *Controller) boundQueues(r Request, v *View) *Refusal {
 	account := v.Accounts[r.Account]
 	if r.Tasks > c.settings.MaxAccountTasks {
@@ -221,10 +224,11 @@
 	return nil
 }
 
-// brownOut refuses the less pressing classes while too much work is queued.
+// brownOut sheds load by refusing the less urgent classes while too much work is
+// queued.
 //
-// An account whose own queue is no longer than its share of the work is spared:
-// the overload is not its doing, and the fair order will serve it.
+// An account whose own queue would drain within the limit at its share is not
+// refused: it does not cause the overload, and fair queuing will serve it.
 func (c *Controller) brownOut(r Request, v *View) *Refusal {
 	if v.DrainRate <= 0 {
 		return c.refuse(reason.NoWorkers, c.settings.MaxRetryAfter, "no worker takes tasks now")
@@ -237,7 +241,7 @@
 	return c.refuse(reason.BrownOut, wait-limit, "queued work takes %v and this class is taken up to %v", wait, limit)
 }
 
-// meetsDeadline refuses what would end after its deadline.
+// meetsDeadline refuses a request that would end after its deadline.
 func (c *Controller) meetsDeadline(now time.Time, r Request, v *View) *Refusal {
 	if r.Deadline.IsZero() {
 		return nil
@@ -251,8 +255,8 @@
 }
 
 // expectedTime estimates how long the request takes when its account is served
-// at its share. Pressing work passes the account's other work and waits for
-// itself only.
+// at its share. Urgent work overtakes the account's other work, so the queue does
+// not count for it.
 func (c *Controller) expectedTime(r Request, v *View) time.Duration {
 	work := time.Duration(r.Tasks) * r.Expected * time.Duration(max(r.Slots, 1))
 	if r.Class != Urgent {
@@ -261,7 +265,7 @@
 	return max(r.Expected, drain(work, c.accountRate(r.Account, v)))
 }
 
-// accountRate is the drain rate due to an account.
+// accountRate is the drain rate that an account is entitled to.
 func (c *Controller) accountRate(account string, v *View) float64 {
 	load, known := v.Accounts[account]
 	share := load.Share
@@ -297,9 +301,9 @@
 	return time.Duration(took)
 }
 
-// refuse makes a refusal that a retry can overcome. The jitter spreads the
-// retries of callers that were refused together, which would otherwise come
-// back together.
+// refuse returns a refusal with a retry time. The jitter spreads the retries of
+// callers that were refused at the same time, which would otherwise all return at
+// once.
 func (c *Controller) refuse(why reason.Code, after time.Duration, format string, args ...any) *Refusal {
 	base := min(max(after, c.settings.MinRetryAfter), c.settings.MaxRetryAfter)
 	jitter := time.Duration(c.random.Int64N(int64(base)))
--- a/internal/process/admission/settings.go
+++ b/internal/process/admission/settings.go
@@ -11,19 +11,19 @@
 	// MaxAccountTasks those of one account.
 	MaxQueuedTasks  int `json:"maxQueuedTasks"`
 	MaxAccountTasks int `json:"maxAccountTasks"`
-	// BrownOut holds, for each class, the wait at which it is refused: the time
-	// the queued work takes at the present drain rate. Pressing classes have the
-	// longer waits, so that they are refused last.
+	// BrownOut holds, for each class, the longest wait at which it is still
+	// admitted. The wait is the time that the queued work takes at the current
+	// drain rate. More urgent classes have longer limits, so they are refused last.
 	BrownOut [classCount]time.Duration `json:"brownOut"`
 	// DeadlineMargin is added to the expected end before it is compared with the
 	// deadline.
 	DeadlineMargin time.Duration `json:"deadlineMargin"`
-	// RetryRatio is how many retries each first attempt of an account pays for,
-	// and RetryBurst how many can be saved up.
+	// RetryRatio is how many retries each first attempt adds to the account's
+	// retry budget; RetryBurst is the maximum of the budget.
 	RetryRatio float64 `json:"retryRatio"`
 	RetryBurst float64 `json:"retryBurst"`
-	// MinRetryAfter and MaxRetryAfter bound the retry-after that is given out,
-	// before the jitter of up to the same again.
+	// MinRetryAfter and MaxRetryAfter bound RetryAfter of a refusal before
+	// jitter, which at most doubles it.
 	MinRetryAfter time.Duration `json:"minRetryAfter"`
 	MaxRetryAfter time.Duration `json:"maxRetryAfter"`
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// SettingError names the setting that cannot be used and why.
+// SettingError reports an invalid setting.
 type SettingError struct {
 	Setting string
 	Problem string
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("admission: setting %s %s", e.Setting, e.Problem)
 }
 
-// Validate reports the first setting that cannot be used, as a *SettingError.
+// Validate reports the first invalid setting, as a *SettingError.
 func (s Settings) Validate() error {
 	switch {
 	case s.MaxAccountTasks < 1:
--- a/internal/process/claims/claims.go
+++ b/internal/process/claims/claims.go
@@ -1,9 +1,9 @@
-// Package claims binds callers' own idempotency keys to tickets, in the
-// platform's store: the first request under a key wins by compare-and-set, and
-// every later one learns the ticket of the first.
+// Package claims binds callers' idempotency keys to tickets in the platform's
+// store. The first request with a key writes its ticket by compare-and-set; every
+// later request with the same key receives that ticket.
 //
-// A claim costs a store write, which is why it is rate-limited here and why
-// tickets are the usual way. docs/design/claims.md weighs it.
+// Each claim costs a store write. Claims are therefore rate-limited, and callers
+// normally use tickets instead. docs/design/claims.md discusses the trade-off.
 package claims
 
 import (
@@ -20,23 +20,23 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// Settings bound what claims cost.
+// Settings limit the load that claims put on the store.
 type Settings struct {
-	// PerSecond and Burst bound the claims that this entry VM makes.
+	// PerSecond and Burst limit the rate of claims by this entry VM.
 	PerSecond float64
 	Burst     int
-	// Life is how long a key stays bound to its ticket, at least.
+	// Life is the minimum time for which a key stays bound to its ticket.
 	Life time.Duration
-	// LeaseWindow is how long one lease is used for new claims. The store drops
-	// the claims of a lease together, so a claim costs no deletion and a
-	// window one grant.
+	// LeaseWindow is how long one lease is used for new claims. The store
+	// deletes all claims of a lease when it expires, so claims need no deletions
+	// and each window costs one lease grant.
 	LeaseWindow time.Duration
-	// Timeout bounds one claim.
+	// Timeout limits the time of one claim.
 	Timeout time.Duration
 }
 
-// Defaults returns settings that take a tenth of the store's writes with eight
-// entry VMs.
+// Defaults returns settings with which eight entry VMs use a tenth of the store's
+// write capacity.
 func Defaults() Settings {
 	return Settings{
 		PerSecond:   4,
@@ -47,26 +47,27 @@
 	}
 }
 
-// Store is the part of the store's client that claims need.
+// Store is the part of the store client that claims use.
 type Store interface {
 	GrantLease(ctx context.Context, purpose storeclient.Purpose, ttl time.Duration) (uint64, error)
 	CompareAndSet(ctx context.Context, purpose storeclient.Purpose, w storeclient.Write) (storeclient.Result, error)
 }
 
-// Refusal says why no claim was made. Nothing was run by the request.
+// Refusal says why no claim was made. The request has not run anything.
 type Refusal struct {
 	Code       reason.Code
 	Detail     string
 	RetryAfter time.Duration
 }
 
-// Claims makes claims. It is safe for concurrent use.
+// Claims binds idempotency keys to tickets. It is safe for concurrent use.
 type Claims struct {
 	settings Settings
 	store    Store
 	limiter  *rate.Limiter
 
-	// granting is held by the one goroutine that looks at or renews the lease.
+	// granting is a lock (one element: locked) on the lease and its renewal; the
+	// wait for it can be cancelled.
 	granting chan struct{}
 	lease    uint64
 	renewAt  time.Time
@@ -82,7 +83,7 @@
 	}
 }
 
-// claim is a stored claim.
+// claim is the stored form of a claim.
 type claim struct {
 	Ticket string `json:"ticket"`
 }
@@ -93,15 +94,15 @@
 	retryStore = 2 * time.Second
 )
 
-// storeKey is where the claim of an account's key lies. The caller's key itself
-// is not stored: it may tell something of the work.
+// storeKey returns the store key for the claim of an account's idempotency key.
+// It is a hash, because the caller's key may reveal something about the work.
 func storeKey(account, key string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + key))
 	return keyPrefix + hex.EncodeToString(sum[:])
 }
 
-// Claim binds an account's key to a ticket, unless it is bound already. It
-// returns the ticket that the key is bound to.
+// Claim binds an account's idempotency key to a ticket unless it is already
+// bound. It returns the ticket that the key is bound to.
 func (c *Claims) Claim(ctx context.Context, account, key, token string) (string, *Refusal) {
 	if !c.limiter.Allow() {
 		return "", &Refusal{reason.ClaimRateExceeded, "too many requests with an Idempotency-Key; tickets have no such limit", retryLimit}
@@ -124,7 +125,7 @@
 	return &Refusal{reason.ClaimStoreDown, "the key can not be claimed now: " + err.Error() + "; a ticket needs no claim", retryStore}
 }
 
-// bind writes the claim, or reads the one that was there before.
+// bind writes the claim, or returns the ticket of the existing one.
 func (c *Claims) bind(ctx context.Context, lease uint64, at, token string) (string, error) {
 	value, err := json.Marshal(claim{Ticket: token})
 	if err != nil {
@@ -149,7 +150,7 @@
 	return earlier.Ticket, nil
 }
 
-// damagedError says that a stored claim can not be read, or lapsed just now.
+// damagedError reports a stored claim that cannot be read or has just expired.
 type damagedError struct{ key string }
 
 func (e *damagedError) Error() string { return "the claim at " + e.key + " can not be read" }
@@ -171,8 +172,8 @@
 	return lease, nil
 }
 
-// dropLease makes the next claim ask for another lease when the store does not
-// know this one any more, as after a restart of the store.
+// dropLease makes the next claim request a new lease if the store rejected this
+// one, for example because it no longer knows the lease after a restart.
 func (c *Claims) dropLease(ctx context.Context, lease uint64, cause error) {
 	var rejected *storeclient.RejectedError
 	if !errors.As(cause, &rejected) || c.lock(ctx) != nil {
