--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -1,9 +1,10 @@
-// Package control runs the deterministic cores of the membership and of the
-// configuration's distribution on one entry VM: it gives them the time and what
-// arrives, and carries out what they ask for.
+// Package control runs the deterministic cores of membership and configuration
+// distribution on one entry VM: it passes them ticks, messages and replies, and
+// executes the actions that they return.
 //
-// One goroutine, Control.Run, owns both cores. Everything else reaches it through
-// a bounded ring; what does not fit is lost, as on a network.
+// One goroutine, Control.Run, owns both cores. All others send it events through
+// a bounded ring buffer. Events from the network are dropped when it is full, as
+// if the network had lost them; Leave and ListRead wait for room.
 package control
 
 import (
@@ -26,38 +27,42 @@
 
 const (
 	logPrefix = "control: "
-	// waiting bounds the events that wait for the cores.
+	// waiting is the capacity of the event queue of the cores.
 	waiting = 4096
-	// pauseLimit is how old the cores' last step may be for the VM to act. It
-	// is that of the membership, which sees a pause only at its next step.
+	// pauseLimit is the maximum age of the last membership step at which the VM
+	// may act. It equals the limit of package membership, which detects a pause
+	// only at its next step.
 	pauseLimit = time.Second
 )
 
-// Store is the platform's store, as storeclient.Client gives it.
+// Store is the part of the store client that Control uses; storeclient.Client
+// implements it.
 type Store interface {
 	Watch(ctx context.Context, purpose storeclient.Purpose, key string, after uint64, wait time.Duration) (*pb.WatchResponse, error)
 }
 
-// VM is the entry VM that the cores work for. All calls come from Control.Run
-// and must not block.
+// VM is the entry VM that the cores run on. All methods are called from
+// Control.Run and must not block.
 type VM interface {
-	// SendMembership and SendRevision send to another entry VM; the message may
-	// get lost.
+	// SendMembership and SendRevision send a message to another entry VM. The
+	// message may be lost.
 	SendMembership(address string, m membership.Message)
 	SendRevision(address string, m distribution.Message)
-	// ReadList asks for the platform's list; Control.ListRead brings the end.
+	// ReadList starts a read of the platform's VM list. The result is passed to
+	// Control.ListRead.
 	ReadList()
-	// ListTaken follows each list that was read and is believed.
+	// ListTaken is called with each VM list that was read and accepted by the
+	// membership.
 	ListTaken(m *pb.ListVMsResponse)
-	// InForce puts a revision in force.
+	// InForce applies a configuration revision.
 	InForce(head *publication.Head)
-	// ViewChanged follows each change of the view.
+	// ViewChanged is called after each change of the membership view.
 	ViewChanged(v membership.View)
-	// ReadyChanged follows the change of Ready.
+	// ReadyChanged is called when Ready becomes true.
 	ReadyChanged()
 }
 
-// Config wires a Control.
+// Config holds the dependencies of a Control.
 type Config struct {
 	Self  membership.Fact
 	Seed  uint64
@@ -65,7 +70,7 @@
 	VM    VM
 }
 
-// Control runs both cores.
+// Control runs the membership and distribution cores.
 type Control struct {
 	cfg    Config
 	inbox  *ring.Ring[event]
@@ -75,19 +80,20 @@
 	step   atomic.Pointer[time.Time] // of the membership's last step
 	member *membership.Core
 
-	// node distributes the configuration. It begins once the list was asked
-	// for: before, it knows no peers, and would take the store's word alone.
+	// node distributes the configuration. It is created after the first read of
+	// the VM list, because it knows no peers before and would rely on the store
+	// alone.
 	node      *distribution.Node
 	peers     []distribution.Peer
 	addresses map[string]string // of the other entry VMs, by name
 }
 
-// event is a step of a core.
+// event is an input of one of the cores.
 type event interface {
 	apply(ctx context.Context, c *Control)
 }
 
-// New returns a Control. Run starts it.
+// New returns a Control; call Run to start it.
 func New(cfg Config, now time.Time) *Control {
 	c := &Control{
 		cfg:       cfg,
@@ -101,8 +107,8 @@
 	return c
 }
 
-// Run is the goroutine of the cores. It returns when ctx ends and every call
-// that it made has.
+// Run is the main loop of the cores. It returns when ctx is done and all store
+// calls have ended.
 func (c *Control) Run(ctx context.Context) {
 	ticks := time.NewTicker(membership.TickInterval)
 	defer ticks.Stop()
@@ -123,18 +129,19 @@
 	}
 }
 
-// View is what the membership knows now. It must not be modified.
+// View returns the current membership view. It must not be modified.
 func (c *Control) View() membership.View { return *c.view.Load() }
 
-// Ready reports whether the configuration in force is the highest that this VM
-// could learn of since it started.
+// Ready reports whether this VM has applied the highest configuration revision
+// that it could find at its start.
 func (c *Control) Ready() bool { return c.ready.Load() }
 
 // MayAct reports whether this VM may place work and take leases.
 //
-// What goes wrong otherwise: a VM is paused, its workers' leases lapse and others
-// take them; it wakes and acts on what it knew. The membership finds the pause at
-// its next step; the age of its last step shows it to whoever runs first.
+// It guards against a VM that is paused until its worker leases expire and others
+// acquire them, and that resumes and acts on outdated state. The membership
+// detects the pause only at its next step; the age of its last step reveals it
+// to any goroutine that runs earlier.
 func (c *Control) MayAct(now time.Time) bool {
 	last := *c.step.Load()
 	gap := max(now.Sub(last), now.Round(0).Sub(last.Round(0)))
@@ -143,7 +150,7 @@
 
 func (c *Control) noteStep(now time.Time) { c.step.Store(&now) }
 
-// FromPeer hands in what another entry VM sent. Nil messages are left out.
+// FromPeer queues messages from another entry VM. Nil messages are skipped.
 func (c *Control) FromPeer(from distribution.Peer, member membership.Message, revision distribution.Message) {
 	if member != nil {
 		c.inbox.TryPush(memberEvent{membership.Received{From: from.ID, Message: member}})
@@ -153,23 +160,24 @@
 	}
 }
 
-// ListRead hands in the end of a read of the platform's list, nil when it failed.
-// It waits for room: the membership asks for no other list before.
+// ListRead queues the result of a read of the platform's VM list, nil if it
+// failed. It blocks until there is room, because the membership requests no
+// other list before it gets this result.
 func (c *Control) ListRead(m *pb.ListVMsResponse) { c.inbox.Push(listEvent{m}) }
 
-// WorkerSaid hands in what a worker said of itself.
+// WorkerSaid queues what a worker reported about itself.
 func (c *Control) WorkerSaid(worker membership.Fact) {
 	c.inbox.TryPush(memberEvent{membership.WorkerSaid{Worker: worker}})
 }
 
-// Leave tells the others that this VM leaves.
+// Leave announces to the other entry VMs that this VM leaves.
 func (c *Control) Leave() { c.inbox.Push(memberEvent{membership.Leave{}}) }
 
 type memberEvent struct{ event membership.Event }
 
 func (e memberEvent) apply(ctx context.Context, c *Control) { c.stepMembership(ctx, e.event) }
 
-// listEvent is a list, nil when it could not be read.
+// listEvent is the result of a list read; the list is nil if the read failed.
 type listEvent struct{ list *pb.ListVMsResponse }
 
 func (e listEvent) apply(ctx context.Context, c *Control) {
@@ -192,7 +200,7 @@
 
 func (e nodeEvent) apply(ctx context.Context, c *Control) { c.stepNode(ctx, e.event) }
 
-// stepMembership takes one step of the membership and does what it asks for.
+// stepMembership passes an event to the membership and executes its actions.
 func (c *Control) stepMembership(ctx context.Context, event membership.Event) {
 	now := time.Now()
 	actions := c.member.Step(now, event)
@@ -218,8 +226,9 @@
 	}
 }
 
-// tellPeers gives the distribution the entry VMs that are known, those in doubt
-// as well: what they hold still counts, and a cut heals by asking them.
+// tellPeers passes the known entry VMs to the distribution, including suspected
+// ones: the revisions that they hold still count, and contacting them is how
+// the distribution recovers after a network partition.
 func (c *Control) tellPeers(ctx context.Context) {
 	var peers []distribution.Peer
 	clear(c.addresses)
@@ -234,8 +243,8 @@
 	c.stepNode(ctx, distribution.PeersChanged{Peers: peers})
 }
 
-// Others are the entry VMs of a view but this one, those in doubt as well, by
-// name.
+// Others returns the entry VMs of a view except this one, including suspected
+// ones, sorted by ID.
 func Others(v membership.View, self string) []membership.Fact {
 	var out []membership.Fact
 	for _, live := range v.Live {
@@ -259,7 +268,7 @@
 	return slices.CompactFunc(out, func(a, b membership.Fact) bool { return a.ID == b.ID })
 }
 
-// stepNode takes one step of the distribution and does what it asks for.
+// stepNode passes an event to the distribution and executes its actions.
 func (c *Control) stepNode(ctx context.Context, event distribution.Event) {
 	if c.node == nil {
 		return
@@ -289,7 +298,7 @@
 	c.cfg.VM.InForce(head)
 }
 
-// callStore makes one call to the store and hands the end in.
+// callStore makes one call to the store and queues the result.
 func (c *Control) callStore(ctx context.Context, call distribution.CallStore) {
 	answer := distribution.StoreAnswered{Call: call.Call}
 	m, err := c.cfg.Store.Watch(ctx, storeclient.ForConfiguration, publication.HeadKey, call.After, call.Wait)
--- a/internal/process/distribution/decode.go
+++ b/internal/process/distribution/decode.go
@@ -2,9 +2,9 @@
 
 import "github.com/pumiceyard/pumiceyard/internal/version/publication"
 
-// Decode reads what the store holds under publication.HeadKey, or what a peer
-// pushed, and validates it. A value that is damaged must not be stepped in: it
-// would be spread, and put in force by nobody.
+// Decode decodes and validates a value that the store holds under
+// publication.HeadKey or that a peer pushed. A damaged value must not reach
+// Node.Step: the node would spread it to its peers although none can apply it.
 func Decode(value []byte, version uint64) (Snapshot, *publication.Head, error) {
 	head, err := publication.DecodeHead(value)
 	if err != nil {
--- a/internal/process/distribution/node.go
+++ b/internal/process/distribution/node.go
@@ -1,15 +1,15 @@
-// Package distribution brings each published revision in force on every entry
-// VM within seconds, with few calls to the store.
+// Package distribution applies each published configuration revision on every
+// entry VM within seconds, with few calls to the store.
 //
-// In each failure domain one node watches the store and pushes a new revision to
-// the others of its domain; when it falls silent, the next takes over. Each node
-// also compares its revision number with a random node of another domain every
-// second, which repairs whatever was lost, and brings in a domain that cannot
-// reach the store. Only growing revisions are applied, so that no stale read and
-// no old peer can revert one.
+// In each failure domain one node watches the store and pushes new revisions to
+// the other nodes of its domain; if it stops responding, the next node in the
+// order of IDs takes over. Each node also compares its revision with a random
+// node of another domain every second. This repairs lost pushes and reaches
+// domains that cannot contact the store. A node applies only revisions higher
+// than its own, so that neither a stale read nor an outdated peer can revert one.
 //
-// Node is a deterministic core: events and the time go in, actions come out. It
-// has no goroutine, clock or connection.
+// Node is a deterministic core: it takes events and the time, and returns
+// actions. It has no goroutine, clock or connection.
 package distribution
 
 import (
@@ -19,61 +19,65 @@
 	"time"
 )
 
-// Times of the protocol. Together they keep the worst single fault, a watcher
-// that dies or a watch that goes silent just before a change, under four seconds.
+// Timing of the protocol. With these values, distribution takes less than four
+// seconds under the worst single fault: a watcher that dies, or a watch that
+// stops responding, just before a change.
 const (
-	// TickInterval is how often a Tick is due.
+	// TickInterval is the interval between Tick events.
 	TickInterval = 100 * time.Millisecond
-	// watchWait is how long a watch waits. It bounds the time for which a watch
-	// can be silent without being noticed.
+	// watchWait is the long-poll time of a watch. It bounds how long a dead watch
+	// goes unnoticed.
 	watchWait = 2 * time.Second
-	// watchGrace is how much later a watch counts as silent.
+	// watchGrace is the time after watchWait at which a watch counts as failed.
 	watchGrace = time.Second
-	// callInterval is the least time from one call of the store to the next.
-	// Without it a store that does not wait would be called in a tight loop.
+	// callInterval is the minimum time between the starts of two store calls.
+	// Without it, a store that returns at once would be called in a tight loop.
 	callInterval = TickInterval
-	// summaryInterval is how often a watcher tells its domain its revision.
+	// summaryInterval is how often a watcher sends its revision to its domain.
 	summaryInterval = time.Second
 	// resendInterval is how often a revision is offered to a peer of the domain
 	// that has not confirmed it.
 	resendInterval = 300 * time.Millisecond
 	// repairInterval is how often a node compares itself with another domain.
 	repairInterval = time.Second
-	// takeoverAfter is the silence after which the next node starts to watch;
-	// each further node waits takeoverStep longer.
+	// takeoverAfter is how long the watcher may be silent before another node
+	// starts to watch; each further node in the order waits takeoverStep longer.
 	takeoverAfter = 2 * time.Second
 	takeoverStep  = 250 * time.Millisecond
-	// retryFirst and retryLimit bound the wait after a call that failed.
+	// retryFirst and retryLimit are the first and the maximum backoff after failed
+	// store calls.
 	retryFirst = 250 * time.Millisecond
 	retryLimit = 2 * time.Second
-	// startLimit is how long a new node waits for the slower of its sources.
+	// startLimit is how long a new node waits for the slower of its two sources,
+	// the store and its peers.
 	startLimit = 3 * time.Second
-	// startFailures in a row let a new node start without the store.
+	// startFailures is the number of failed store calls in a row after which a new
+	// node starts without the store.
 	startFailures = 2
-	// startPeers is how many peers a new node asks.
+	// startPeers is how many peers a new node asks for their revision.
 	startPeers = 3
 )
 
-// Watchers says which nodes watch the store.
+// Watchers selects which nodes watch the store.
 type Watchers int
 
-// The choices.
+// One watcher in each failure domain, or every node a watcher.
 const (
 	WatcherPerDomain Watchers = iota
 	WatcherPerNode
 )
 
-// Options set up a node. The zero values of the last three are what a
-// measurement picked; the others are kept to measure against.
+// Options configure a node. Production uses the zero values of Watchers, NoPush
+// and NoRepair; the other values exist for comparison.
 type Options struct {
 	Self     Peer
 	Seed     uint64
 	Watchers Watchers
-	NoPush   bool // followers wait for a summary or a repair
-	NoRepair bool // nodes of different domains never compare
+	NoPush   bool // non-watchers wait for a summary or a repair
+	NoRepair bool // nodes of different domains never compare revisions
 }
 
-// Node is one entry VM's part in the distribution.
+// Node is the distribution core of one entry VM.
 type Node struct {
 	options Options
 	random  *rand.Rand
@@ -96,16 +100,17 @@
 	nextAsk     time.Time
 }
 
-// remote is what a node knows of a peer.
+// remote is what a node knows about a peer.
 type remote struct {
-	revision  uint64    // the highest it is known to hold
-	answered  bool      // it has told its revision
-	watchedAt time.Time // when it last said that its watch is answered
+	revision  uint64    // the highest it is known to have
+	answered  bool      // it has sent its revision
+	watchedAt time.Time // when it last reported a working watch
 	pushed    uint64    // revision last pushed to it
 	pushedAt  time.Time
 }
 
-// storeCall is the node's one call to the store.
+// storeCall is the state of the node's calls to the store, at most one of which
+// is in flight.
 type storeCall struct {
 	number   uint64
 	waiting  bool
@@ -115,7 +120,7 @@
 	answered bool // at least once since the start
 }
 
-// New returns a node that holds nothing yet.
+// New returns a node without a revision.
 func New(options Options, now time.Time) *Node {
 	return &Node{
 		options: options,
@@ -126,18 +131,18 @@
 	}
 }
 
-// Held is the revision in force on this node.
+// Held returns the revision that this node has applied.
 func (n *Node) Held() Snapshot { return n.held }
 
 // Ready reports whether the node may serve.
 func (n *Node) Ready() bool { return n.ready }
 
-// Confirmed is the highest revision that a peer is known to hold, for the
-// report of a publication that waits.
+// Confirmed returns the highest revision that a peer is known to have. A
+// publication that waits for its distribution reports it.
 func (n *Node) Confirmed(id string) uint64 { return n.remotes[id].revision }
 
-// Step takes one event in and returns what to do. The slice is valid until the
-// next step.
+// Step processes one event and returns the actions to execute. The slice is
+// valid until the next call.
 func (n *Node) Step(now time.Time, event Event) []Action {
 	n.now = now
 	n.actions = n.actions[:0]
@@ -169,7 +174,7 @@
 		}
 		r, seen := n.remotes[p.ID]
 		if !seen {
-			r.watchedAt = n.now // the time to say that it watches
+			r.watchedAt = n.now // gives it time to report its watch
 		}
 		known[p.ID] = r
 	}
@@ -199,15 +204,15 @@
 	}
 }
 
-// remember keeps what was learnt of a peer that the view knows. Others are
-// answered and forgotten, so that the table stays as large as the fleet.
+// remember stores the state of a peer that the membership view contains. Unknown
+// peers get replies but are not stored, so the table is bounded by the fleet size.
 func (n *Node) remember(p Peer, r remote, known bool) {
 	if known {
 		n.remotes[p.ID] = r
 	}
 }
 
-// compare answers a peer's summary.
+// compare replies to a peer's summary.
 func (n *Node) compare(from Peer, theirs Summary) {
 	switch {
 	case theirs.Revision < n.held.Revision:
@@ -226,8 +231,8 @@
 	n.actions = append(n.actions, Send{To: to, Message: message})
 }
 
-// push hands the revision to a peer, but not twice while the first may still be
-// on its way.
+// push sends the revision to a peer unless it was pushed within resendInterval,
+// since that push may still be in flight.
 func (n *Node) push(to Peer) {
 	r, known := n.remotes[to.ID]
 	if r.pushed == n.held.Revision && n.now.Sub(r.pushedAt) < resendInterval {
@@ -238,9 +243,9 @@
 	n.send(to, Push{Snapshot: n.held})
 }
 
-// apply puts a revision in force if it is higher. What goes wrong otherwise: an
-// old replica of the store, or a peer that was cut off, hands over a revision
-// that was replaced, and an accepted change reverts.
+// apply applies a revision if it is higher than the current one. Otherwise a
+// stale store replica, or a peer that was partitioned, could supply an outdated
+// revision and revert an accepted change.
 func (n *Node) apply(s Snapshot, fromDomain string) {
 	if s.Revision <= n.held.Revision {
 		return
@@ -262,8 +267,9 @@
 	}
 }
 
-// resend offers the revision to peers of the domain that have not confirmed
-// it. An offer is small; the peer asks for the revision if it still lacks it.
+// resend sends a summary to the peers of the domain that have not confirmed the
+// revision. A summary is small; a peer that lacks the revision replies and gets
+// it pushed.
 func (n *Node) resend() {
 	if n.options.NoPush || !n.spreading || n.now.Before(n.nextResend) {
 		return
@@ -276,7 +282,7 @@
 	}
 }
 
-// tellDomain lets the others know that this node watches, and its revision.
+// tellDomain sends the watcher's periodic summary to the nodes of its domain.
 func (n *Node) tellDomain() {
 	if !n.watches() || n.options.Watchers == WatcherPerNode || n.now.Before(n.nextSummary) {
 		return
@@ -287,8 +293,8 @@
 	}
 }
 
-// repair compares revisions with a random node of another domain, or of the own
-// one where there is no other.
+// repair compares revisions with a random node of another domain, or of its own
+// domain if there is no other.
 func (n *Node) repair() {
 	among := n.outside
 	if len(among) == 0 {
@@ -298,7 +304,7 @@
 		return
 	}
 	if n.nextRepair.IsZero() {
-		// Nodes that start together spread over the interval.
+		// Jitter spreads the comparisons of nodes that start at the same time.
 		n.nextRepair = n.now.Add(n.jitter(repairInterval))
 		return
 	}
--- a/internal/process/distribution/sources.go
+++ b/internal/process/distribution/sources.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// The two sources of a revision: the store, and at the start also the peers.
+// This file reads revisions from their two sources: the store and, at startup,
+// also the peers.
 
-// watches reports whether this node is to watch the store.
+// watches reports whether this node should watch the store.
 //
-// What goes wrong: the watcher of a domain dies, or loses the store, and its
-// domain hears of no change. The others notice that nobody before them in the
-// order of IDs says that it watches, and the first of them takes over. Two
-// watchers at once cost calls and do no harm.
+// The watcher of a domain may die or lose contact with the store, and its domain
+// would then learn of no change. A node therefore takes over when no node before
+// it in the order of IDs has recently reported a working watch. Two watchers at
+// the same time cost extra calls but are harmless.
 func (n *Node) watches() bool {
 	if n.options.Watchers == WatcherPerNode {
 		return true
@@ -30,8 +31,8 @@
 	return true
 }
 
-// askStore keeps one call to the store waiting on a node that watches or that
-// has not yet read the store since it started.
+// askStore keeps one store call in flight while the node watches or is not ready
+// yet.
 func (n *Node) askStore() {
 	n.dropSilentCall()
 	wanted := n.watches() || !n.ready
@@ -50,9 +51,9 @@
 	n.actions = append(n.actions, call)
 }
 
-// dropSilentCall gives up on a watch that is past its wait. What goes wrong: a
-// connection goes silent, its watch never answers, and the node would wait for
-// ever. The next call goes out on a new connection.
+// dropSilentCall times out a store call that got no reply by its deadline.
+// Otherwise a watch on a dead connection would block the node forever. The next
+// call uses a new connection.
 func (n *Node) dropSilentCall() {
 	if n.store.waiting && !n.now.Before(n.store.deadline) {
 		n.store.waiting = false
@@ -75,8 +76,9 @@
 	n.apply(answer.Snapshot, "")
 }
 
-// retryWait grows with the failures in a row and is drawn from its upper half,
-// so that nodes which lost the store together do not come back together.
+// retryWait returns the exponential backoff after consecutive failures. The wait
+// is drawn at random from the upper half of the range, so that nodes that lost
+// the store at the same time do not retry at the same time.
 func (n *Node) retryWait() time.Duration {
 	longest := retryFirst
 	for range n.store.failures - 1 {
@@ -85,7 +87,8 @@
 	return longest/2 + n.jitter(longest/2)
 }
 
-// askPeersAtStart asks a few peers for their revision until the node is ready.
+// askPeersAtStart asks startPeers random peers for their revision until the node
+// is ready.
 func (n *Node) askPeersAtStart() {
 	if n.ready || n.now.Before(n.nextAsk) {
 		return
@@ -101,10 +104,10 @@
 	}
 }
 
-// becomeReady lets a new node serve once it holds the highest revision among
-// its sources. It waits for both the store and some peers, since either alone
-// may be behind. A store that failed startFailures times counts as out, and the
-// peers are enough; after startLimit either source is.
+// becomeReady makes a new node ready once it has the highest revision of its
+// sources. It waits for both the store and some peers, since either alone may be
+// outdated. After startFailures failed calls the store counts as unavailable and
+// the peers suffice; after startLimit either source suffices.
 func (n *Node) becomeReady() {
 	if n.ready || n.held.Revision == 0 {
 		return
@@ -119,7 +122,7 @@
 	}
 }
 
-// peersHeard is how many peers told their revision and hold none higher.
+// peersHeard counts the peers that reported a revision not above this node's.
 func (n *Node) peersHeard() int {
 	heard := 0
 	for _, r := range n.remotes {
