--- a/internal/tool/operate/causes_test.go
+++ b/internal/tool/operate/causes_test.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	membersKey = "members-key-for-tests" // of an account with a quota
-	sharedKey  = "shared-key-for-tests"  // of one without
-	causeBound = 20 * time.Second        // for a cause to show
-	causePoll  = 20 * time.Millisecond
-	longRun    = 5 * time.Second // of a task that is declared as short
+	membersKey   = "members-key-for-tests" // of the account with a quota
+	sharedKey    = "shared-key-for-tests"  // of the account without a quota
+	testTimeout  = 20 * time.Second        // for a cause to show
+	pollInterval = 20 * time.Millisecond
+	longTaskRun  = 5 * time.Second // run time of a task that is declared as short
 )
 
-// causes is a small site in which something is wrong, and an operator's tool.
-type causes struct {
+// diagnosis is a small site with a fault, and the operator tool that has to show its
+// cause.
+type diagnosis struct {
 	t    *testing.T
 	ctx  context.Context
 	site *site.Site
@@ -32,21 +33,21 @@
 	doc  *document.Document // revision 1
 }
 
-func newCauses(t *testing.T, domains ...string) *causes {
+func newDiagnosis(t *testing.T, domains ...string) *diagnosis {
 	opt := site.Defaults(domains)
 	opt.EntryVMs, opt.Workers = len(domains), 4*len(domains)
 	opt.Behaviour = func(template string, input []byte) worker.Outcome {
 		if template == "check" {
 			return worker.Outcome{Run: time.Millisecond, Output: input}
 		}
-		return worker.Outcome{Run: longRun, Output: input}
+		return worker.Outcome{Run: longTaskRun, Output: input}
 	}
 	s, err := site.Start(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
-	ctx, cancel := context.WithTimeout(t.Context(), causeBound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	template := func(name string, slots, milliwatts uint32) document.Template {
 		return document.Template{
@@ -75,10 +76,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &causes{t, ctx, s, tool, doc}
+	return &diagnosis{t, ctx, s, tool, doc}
 }
 
-func (c *causes) client(key string, endpoints ...string) *client.Client {
+func (c *diagnosis) client(key string, endpoints ...string) *client.Client {
 	if len(endpoints) == 0 {
 		endpoints = c.site.Endpoints()
 	}
@@ -90,7 +91,7 @@
 }
 
 // submit runs a job to its end and returns its ticket and outcome.
-func (c *causes) submit(template string) (ticket string, outcome client.Outcome) {
+func (c *diagnosis) submit(template string) (ticket string, outcome client.Outcome) {
 	a, err := c.client(sharedKey).Submit(c.ctx, client.Job{Template: template, Tasks: []json.RawMessage{json.RawMessage("1")}})
 	if err != nil {
 		c.t.Fatal(err)
@@ -98,8 +99,8 @@
 	return a.Ticket, a.Outcome
 }
 
-// begin submits a job without waiting for its end and returns its ticket.
-func (c *causes) begin(key, template string, tasks int) string {
+// submitAsync submits a job and returns its ticket without waiting for its end.
+func (c *diagnosis) submitAsync(key, template string, tasks int) string {
 	tickets := make(chan string, 1)
 	j := client.Job{Template: template, Tasks: make([]json.RawMessage, tasks), OnTicket: func(ticket, _ string) { tickets <- ticket }}
 	for i := range j.Tasks {
@@ -111,13 +112,14 @@
 	case ticket := <-tickets:
 		return ticket
 	case <-c.ctx.Done():
-		c.t.Fatal("no ticket in time")
+		c.t.Fatal("no ticket before the test's deadline")
 		return ""
 	}
 }
 
-// sickWorker lets one worker fail everything, until it is ejected.
-func (c *causes) sickWorker() string {
+// runWithFailingWorker lets one worker fail every task and submits jobs until the
+// worker is ejected. It returns the ticket of a failed job.
+func (c *diagnosis) runWithFailingWorker() string {
 	c.site.Workers()[2].SetFaults(worker.Faults{FailEverything: true})
 	failed := ""
 	for {
@@ -131,25 +133,27 @@
 	}
 }
 
-func (c *causes) neverFits() string {
+func (c *diagnosis) submitOversized() string {
 	ticket, _ := c.submit("manifold")
 	return ticket
 }
 
-// overQuota submits more tasks than the account's quota lets run at once.
-func (c *causes) overQuota() string { return c.begin(membersKey, "build", 4) }
+// submitOverQuota submits more tasks than the account's quota lets run at once.
+func (c *diagnosis) submitOverQuota() string { return c.submitAsync(membersKey, "build", 4) }
 
-// shortOfWatts submits tasks of which a worker's watts are enough for one, once
-// the workers are trusted with more than one.
-func (c *causes) shortOfWatts() string {
+// submitShortOfPower submits tasks so large that a worker has power for only one
+// at a time. It first completes jobs until no worker is on probation, where a
+// worker gets only one task at a time whatever its power.
+func (c *diagnosis) submitShortOfPower() string {
 	for strings.Contains(c.status(), "probation") {
 		c.submit("check")
 	}
-	return c.begin(sharedKey, "press", 6)
+	return c.submitAsync(sharedKey, "press", 6)
 }
 
-// cutOff cuts e2's domain off and asks e1 for a job under a ticket of e2.
-func (c *causes) cutOff() string {
+// resumeFromCutOffDomain cuts off e2's domain and resumes a job at e1
+// under a ticket that e2 issued.
+func (c *diagnosis) resumeFromCutOffDomain() string {
 	endpoints := c.site.Endpoints()
 	tickets, err := c.client(sharedKey, endpoints[1]).Tickets(c.ctx, 1)
 	if err != nil {
@@ -163,8 +167,8 @@
 	return ticket
 }
 
-// stale cuts e2 off, publishes a template, and asks e2 for a job of it.
-func (c *causes) stale() string {
+// submitToStaleVM cuts off e2, publishes a template, and submits a job of it to e2.
+func (c *diagnosis) submitToStaleVM() string {
 	c.site.CutDomain("ostrava")
 	c.doc.Templates = append(c.doc.Templates, c.doc.Templates[0])
 	c.doc.Templates[len(c.doc.Templates)-1].Name = "price"
@@ -183,7 +187,7 @@
 	return a.Ticket
 }
 
-func (c *causes) status() string {
+func (c *diagnosis) status() string {
 	var out strings.Builder
 	if err := c.tool.Status(c.ctx, false, &out); err != nil {
 		c.t.Fatal(err)
@@ -191,7 +195,7 @@
 	return out.String()
 }
 
-func (c *causes) explain(ticket string) string {
+func (c *diagnosis) explain(ticket string) string {
 	var out strings.Builder
 	if err := c.tool.Explain(c.ctx, ticket, false, &out); err != nil {
 		c.t.Fatal(err)
@@ -199,8 +203,8 @@
 	return out.String()
 }
 
-// await waits until a page shows a line that holds all the given parts.
-func (c *causes) await(name string, page func() string, parts ...string) {
+// await waits until a page has a line that contains all the given parts.
+func (c *diagnosis) await(name string, page func() string, parts ...string) {
 	for {
 		text := page()
 		if hasLine(text, parts) {
@@ -209,7 +213,7 @@
 		select {
 		case <-c.ctx.Done():
 			c.t.Fatalf("%s has no line with %q:\n%s", name, parts, text)
-		case <-time.After(causePoll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -227,40 +231,41 @@
 	return false
 }
 
-// An operator who is called about a submission finds the cause with explain and
-// status alone.
+// For each of these faults the output of `explain` and `status` alone has to show
+// an operator the cause.
 func TestCauseIsFound(t *testing.T) {
 	one, two := []string{"brno"}, []string{"brno", "ostrava"}
 	for _, c := range []struct {
 		name    string
 		domains []string
-		bring   func(*causes) (ticket string)
+		trigger func(*diagnosis) (ticket string)
 		explain []string // parts of one line
 		status  []string // the same
 	}{
-		// Symptom: jobs of one template fail, most complete. Sequence: a worker
-		// fails each task at once, so its slots are always free. Cause: w002.
-		{"sick worker", one, (*causes).sickWorker, []string{"placed", "w002"}, []string{"w002", "ejected", "fails_what_others_complete"}},
-		// Symptom: jobs of one template are refused, always. Cause: a task is
+		// Symptom: some jobs of one template fail, most complete. Sequence: a worker
+		// fails every task at once, so its slots are always free and it keeps getting
+		// tasks. Cause: worker w002.
+		{"sick worker", one, (*diagnosis).runWithFailingWorker, []string{"placed", "w002"}, []string{"w002", "ejected", "fails_what_others_complete"}},
+		// Symptom: all jobs of one template are refused. Cause: its tasks are
 		// declared larger than any worker.
-		{"job that never fits", one, (*causes).neverFits, []string{"refused", "never_fits", "needs 64 slots", "largest worker has 8"}, []string{"e1", "yes", "/32"}},
-		// Symptom: a job does not end, while slots are free. Sequence: tasks run
-		// far longer than declared. Cause: the account uses its whole quota.
-		{"account over quota", one, (*causes).overQuota, []string{"waiting", "quota_exceeded", "members"}, []string{"members", " 2 ", "quota_exceeded"}},
-		// Symptom: a job waits while 28 of 32 slots are free. Cause: its tasks
-		// are charged 100 W and more, and a worker has 160 W above idle.
-		{"shortage of watts", one, (*causes).shortOfWatts, []string{"waiting", "short_of_milliwatts", "shared"}, []string{"shared", " 4 ", "short_of_milliwatts"}},
-		// Symptom: a caller gets no answer, or "unknown". Sequence: its ticket's
-		// home can not be reached, and neither can the home's workers.
-		{"domain that is cut off", two, (*causes).cutOff, []string{"recovering", "home_unreachable"}, []string{"e1", "brno", "e2", "ostrava"}},
-		// Symptom: a template that was just published is refused, sometimes.
-		// Cause: one entry VM has neither the store nor a peer, and the revision
-		// before.
-		{"stale VM", two, (*causes).stale, []string{"e2", "refused", "unknown_template", "revision 1"}, []string{"e2", "ostrava", "down", " 1 "}},
+		{"job that never fits", one, (*diagnosis).submitOversized, []string{"refused", "never_fits", "needs 64 slots", "largest worker has 8"}, []string{"e1", "yes", "/32"}},
+		// Symptom: a job does not end although slots are free. Sequence: its tasks
+		// run far longer than declared. Cause: the account uses its whole quota.
+		{"account over quota", one, (*diagnosis).submitOverQuota, []string{"waiting", "quota_exceeded", "members"}, []string{"members", " 2 ", "quota_exceeded"}},
+		// Symptom: a job waits while 28 of 32 slots are free. Cause: each of its
+		// tasks is charged at least 100 W, and a worker has 160 W above idle.
+		{"shortage of watts", one, (*diagnosis).submitShortOfPower, []string{"waiting", "short_of_milliwatts", "shared"}, []string{"shared", " 4 ", "short_of_milliwatts"}},
+		// Symptom: a caller gets no answer, or "unknown". Cause: neither the home
+		// VM of its ticket nor the workers held there can be reached.
+		{"domain that is cut off", two, (*diagnosis).resumeFromCutOffDomain, []string{"recovering", "home_unreachable"}, []string{"e1", "brno", "e2", "ostrava"}},
+		// Symptom: a template that was just published is sometimes refused. Cause:
+		// one entry VM reaches neither the store nor a peer and still has the
+		// previous revision.
+		{"stale VM", two, (*diagnosis).submitToStaleVM, []string{"e2", "refused", "unknown_template", "revision 1"}, []string{"e2", "ostrava", "down", " 1 "}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newCauses(t, c.domains...)
-			ticket := c.bring(s)
+			s := newDiagnosis(t, c.domains...)
+			ticket := c.trigger(s)
 			s.await("explain", func() string { return s.explain(ticket) }, c.explain...)
 			s.await("status", s.status, c.status...)
 		})
--- a/internal/tool/operate/operate_test.go
+++ b/internal/tool/operate/operate_test.go
@@ -47,14 +47,14 @@
 	return urls
 }
 
-// An operator's day: the first publication, a change, a racing change, a repeat
-// after a lost answer, a roll back, an entry VM that is gone, and a failed job
-// explained.
+// Runs the operator commands in sequence: the first publication, a retry of it, a
+// change, a conflicting change, a rollback, the explanation of a failed job, a
+// store outage and an entry VM that is down.
 func TestOperate(t *testing.T) {
 	s, tool, text := newSite(t)
 	ctx := t.Context()
 	changed := bytes.Replace(text, []byte(`"max_tasks": 16`), []byte(`"max_tasks": 17`), 1)
-	change := func(base uint64, wait time.Duration) operate.Change {
+	newChange := func(base uint64, wait time.Duration) operate.Change {
 		return operate.Change{Author: "radka", BaseRevision: base, Wait: wait}
 	}
 	run := func(want string, f func(w io.Writer) error) {
@@ -73,13 +73,13 @@
 		return func(w io.Writer) error { return tool.Publish(ctx, text, c, w) }
 	}
 	run("no_revision: nothing was published", func(w io.Writer) error { return tool.Get(ctx, 0, w) })
-	run("revision 1|e1 |e2 |in force", publish(text, change(0, 10*time.Second)))
-	run("revision 1|by an earlier request", publish(text, change(0, 0)))
-	run("revision 2", publish(changed, change(1, 0)))
-	run("conflict|as revision 2|what to do", publish(text, change(1, 0)))
-	run("max_tusks", publish(bytes.Replace(text, []byte("max_tasks"), []byte("max_tusks"), 1), change(2, 0)))
+	run("revision 1|e1 |e2 |in force", publish(text, newChange(0, 10*time.Second)))
+	run("revision 1|by an earlier request", publish(text, newChange(0, 0)))
+	run("revision 2", publish(changed, newChange(1, 0)))
+	run("conflict|as revision 2|what to do", publish(text, newChange(1, 0)))
+	run("max_tusks", publish(bytes.Replace(text, []byte("max_tasks"), []byte("max_tusks"), 1), newChange(2, 0)))
 	run("templates[availability-check].max_tasks: 16 -> 17", func(w io.Writer) error { return tool.Diff(ctx, 1, 2, w) })
-	run("revision 3", func(w io.Writer) error { return tool.Rollback(ctx, 1, change(2, 0), w) })
+	run("revision 3", func(w io.Writer) error { return tool.Rollback(ctx, 1, newChange(2, 0), w) })
 	run(`"revision": 3|"max_tasks": 16`, func(w io.Writer) error { return tool.Get(ctx, 0, w) })
 	run("no_revision", func(w io.Writer) error { return tool.Get(ctx, 77, w) })
 	run("REVISION|radka", func(w io.Writer) error { return tool.History(ctx, false, w) })
@@ -89,7 +89,7 @@
 	run("e1|e2|ub-khan-uul|yes|STRANDED|share_restored", func(w io.Writer) error { return tool.Status(ctx, false, w) })
 	run("task_failed|crew is on leave|what to do", func(w io.Writer) error { return tool.Explain(ctx, failedJob(t, s), false, w) })
 	s.Platform.SetFaults(platform.Faults{Outage: true})
-	run("store_down|same change id", publish(changed, change(3, 0)))
+	run("store_down|same change id", publish(changed, newChange(3, 0)))
 	s.Platform.SetFaults(platform.Faults{})
 	s.KillEntry(s.Entries()[1])
 	run("e1|yes|can not be reached", func(w io.Writer) error { return tool.Status(ctx, false, w) })
@@ -108,7 +108,8 @@
 	return a.Ticket
 }
 
-// Whatever an operator sends, the listener answers with a problem and goes on.
+// The operator listener answers every kind of bad request with a problem document
+// and goes on serving.
 func TestBadOperatorInput(t *testing.T) {
 	s, _, text := newSite(t)
 	base := operatorURLs(s)[0]
--- a/internal/tool/operate/publish.go
+++ b/internal/tool/operate/publish.go
@@ -21,16 +21,17 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/publication"
 )
 
-// Change is a publication that an operator asks for.
+// Change describes a publication or rollback that an operator requests.
 type Change struct {
 	Author       string
-	ID           string // empty: made of the base and the document
+	ID           string // empty: derived from the base revision and the document
 	BaseRevision uint64
-	// Wait is how long to wait until the revision is in force; 0: not at all.
+	// Wait is the longest time to wait until the revision is in force on every
+	// entry VM; 0: do not wait.
 	Wait time.Duration
 }
 
-// Publish puts a document in force.
+// Publish publishes a configuration document.
 func (s *Site) Publish(ctx context.Context, text []byte, c Change, w io.Writer) error {
 	if _, err := document.Parse(text); err != nil {
 		return err
@@ -42,7 +43,7 @@
 	return s.change(ctx, "/v1/configuration", body, c, w)
 }
 
-// Rollback puts a kept revision in force again, as a new one.
+// Rollback publishes the document of an earlier revision again, as a new revision.
 func (s *Site) Rollback(ctx context.Context, revision uint64, c Change, w io.Writer) error {
 	if c.ID == "" {
 		c.ID = changeID(strconv.AppendUint([]byte("rollback to "), revision, 10), c.BaseRevision)
@@ -51,8 +52,8 @@
 	return s.change(ctx, "/v1/rollback", body, c, w)
 }
 
-// changeID names a change by what it does, so that asking for it again, after an
-// answer was lost, finds it done.
+// changeID derives a change id from the content of the change, so that a retry
+// after a lost reply is recognised as the same change.
 func changeID(text []byte, base uint64) string {
 	sum := sha256.Sum256(strconv.AppendUint(text, base, 10))
 	return "auto-" + hex.EncodeToString(sum[:8])
@@ -60,7 +61,7 @@
 
 func (s *Site) change(ctx context.Context, path string, body any, c Change, w io.Writer) error {
 	var receipt publication.Receipt
-	if err := s.ask(ctx, http.MethodPost, path, body, &receipt); err != nil {
+	if err := s.callAny(ctx, http.MethodPost, path, body, &receipt); err != nil {
 		return WithAdvice(err)
 	}
 	earlier := ""
@@ -71,40 +72,41 @@
 	if c.Wait == 0 {
 		return nil
 	}
-	return s.await(ctx, receipt.Revision, c.Wait, w)
+	return s.awaitRevision(ctx, receipt.Revision, c.Wait, w)
 }
 
-const awaitPoll = 100 * time.Millisecond
+const statusPollInterval = 100 * time.Millisecond
 
-// await waits until every entry VM has a revision in force, and tells of each
-// when it has, or why it has not.
-func (s *Site) await(ctx context.Context, revision uint64, limit time.Duration, w io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// awaitRevision waits until every entry VM has a revision in force. It prints
+// after what time each one had it, and on timeout which ones still lack it.
+func (s *Site) awaitRevision(ctx context.Context, revision uint64, timeout time.Duration, w io.Writer) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	start := time.Now()
-	told := make(map[string]bool)
+	reported := make(map[string]bool)
 	for {
 		all := s.Statuses(ctx)
 		waiting := 0
 		for _, v := range all {
 			if v.Status == nil || v.Status.Revision < revision {
 				waiting++
-			} else if !told[v.Name] {
-				told[v.Name] = true
+			} else if !reported[v.Name] {
+				reported[v.Name] = true
 				fmt.Fprintf(w, "  %-12s in force after %.1fs\n", v.Name, time.Since(start).Seconds())
 			}
 		}
 		if waiting == 0 {
 			return nil
 		}
-		if !pause.For(ctx, awaitPoll) {
-			return s.notInForce(revision, w)
+		if !pause.For(ctx, statusPollInterval) {
+			return s.reportMissing(revision, w)
 		}
 	}
 }
 
-// notInForce names the entry VMs that do not have a revision.
-func (s *Site) notInForce(revision uint64, w io.Writer) error {
+// reportMissing prints the entry VMs that are not known to have a revision in
+// force, and returns an error if there are any.
+func (s *Site) reportMissing(revision uint64, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	missing := 0
@@ -122,15 +124,16 @@
 	if missing == 0 {
 		return nil
 	}
-	printCutOff(all, w)
-	return fmt.Errorf("published, but revision %d is not known to be in force on %d entry VMs\n  what to do: nothing, if they are stopped; they take it before they serve again. Otherwise look at their log", revision, missing)
+	printSuspicions(all, w)
+	return fmt.Errorf("published, but revision %d is not known to be in force on %d entry VMs\n  what to do: nothing if they are stopped; they load it before they serve again. Otherwise look at their logs", revision, missing)
 }
 
-// Explain adds to an error of an entry VM what to do about it.
+// WithAdvice returns an error of a call to an entry VM with advice on what to do
+// about it.
 func WithAdvice(err error) error {
 	var problem *operator.Problem
 	if !errors.As(err, &problem) {
-		return fmt.Errorf("no entry VM could be asked: %w\n  what to do: are the addresses those of operators' listeners? Nothing is known to have changed; asking again is safe", err)
+		return fmt.Errorf("no entry VM could be reached: %w\n  what to do: check that the addresses are those of operator listeners. Nothing is known to have changed; retrying is safe", err)
 	}
 	message := problem.Error()
 	for _, f := range problem.Fields {
@@ -139,7 +142,8 @@
 	return errors.New(exit.WithAdvice(message, string(problem.Reason)))
 }
 
-// Get prints the document in force, or that of a kept revision.
+// Get prints the document of a revision that is still stored, or the document in
+// force if revision is 0.
 func (s *Site) Get(ctx context.Context, revision uint64, w io.Writer) error {
 	doc, err := s.document(ctx, revision)
 	if err != nil {
@@ -159,10 +163,10 @@
 		path += "?revision=" + strconv.FormatUint(revision, 10)
 	}
 	doc := new(document.Document)
-	return doc, s.ask(ctx, http.MethodGet, path, nil, doc)
+	return doc, s.callAny(ctx, http.MethodGet, path, nil, doc)
 }
 
-// Revision is the revision in force, 0 before the first.
+// Revision returns the revision in force, or 0 if nothing has been published.
 func (s *Site) Revision(ctx context.Context) (uint64, error) {
 	doc, err := s.document(ctx, 0)
 	var problem *operator.Problem
@@ -175,11 +179,11 @@
 	return doc.Revision, nil
 }
 
-// Diff prints what changed between two kept revisions.
+// Diff prints the changes between two revisions that are still stored.
 func (s *Site) Diff(ctx context.Context, from, to uint64, w io.Writer) error {
 	query := url.Values{"from": {strconv.FormatUint(from, 10)}, "to": {strconv.FormatUint(to, 10)}}
 	var out operator.Differences
-	if err := s.ask(ctx, http.MethodGet, "/v1/diff?"+query.Encode(), nil, &out); err != nil {
+	if err := s.callAny(ctx, http.MethodGet, "/v1/diff?"+query.Encode(), nil, &out); err != nil {
 		return WithAdvice(err)
 	}
 	for _, d := range out.Differences {
@@ -195,10 +199,10 @@
 	return text
 }
 
-// History prints the publications that are kept, newest first.
+// History prints the publications that are still stored, newest first.
 func (s *Site) History(ctx context.Context, asJSON bool, w io.Writer) error {
 	var out operator.History
-	if err := s.ask(ctx, http.MethodGet, "/v1/history", nil, &out); err != nil {
+	if err := s.callAny(ctx, http.MethodGet, "/v1/history", nil, &out); err != nil {
 		return WithAdvice(err)
 	}
 	if asJSON {
--- a/internal/tool/operate/show.go
+++ b/internal/tool/operate/show.go
@@ -20,7 +20,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/tool/advice"
 )
 
-// Status prints what all entry VMs say of themselves.
+// Status prints the status of all entry VMs.
 func (s *Site) Status(ctx context.Context, asJSON bool, w io.Writer) error {
 	all := s.Statuses(ctx)
 	if asJSON {
@@ -47,54 +47,56 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	printCutOff(all, w)
+	printSuspicions(all, w)
 	return printStanding(w, all)
 }
 
-// printCutOff names the entry VMs that are cut off, or that others are in doubt
-// of, and who says so.
-func printCutOff(all []VMStatus, w io.Writer) {
+// printSuspicions prints the entry VMs that hear no other entry VM, and those that
+// others suspect to be down, with the reason and the VMs that report it.
+func printSuspicions(all []VMStatus, w io.Writer) {
 	for _, v := range all {
 		if v.Status != nil && v.Status.Isolated {
-			fmt.Fprintf(w, "%s is cut off: it hears no other entry VM\n", v.Name)
+			fmt.Fprintf(w, "%s is isolated: it hears no other entry VM\n", v.Name)
 		}
 	}
-	for _, d := range doubts(all) {
-		fmt.Fprintf(w, "%s (%s) is in doubt, say %s: %s\n", d.Name, d.Domain, strings.Join(d.saidBy, ", "), d.Reason)
+	for _, d := range joinSuspicions(all) {
+		fmt.Fprintf(w, "%s (%s) is suspected to be down by %s: %s\n", d.Name, d.Domain, strings.Join(d.reportedBy, ", "), d.Reason)
 	}
 }
 
-// doubt is one doubt and the entry VMs that share it.
-type doubt struct {
+// suspicion is an entry VM that is suspected to be down, with the names of the
+// entry VMs that report it.
+type suspicion struct {
 	operator.SuspectedVM
-	saidBy []string
+	reportedBy []string
 }
 
-// doubts joins what the entry VMs doubt, by name and reason.
-func doubts(all []VMStatus) []doubt {
-	joined := make(map[operator.SuspectedVM]*doubt)
+// joinSuspicions groups the suspicions of all entry VMs by the suspected VM and
+// the reason, and sorts them by name and reason.
+func joinSuspicions(all []VMStatus) []suspicion {
+	joined := make(map[operator.SuspectedVM]*suspicion)
 	for _, v := range all {
 		if v.Status == nil {
 			continue
 		}
 		for _, d := range v.Status.Suspected {
 			if joined[d] == nil {
-				joined[d] = &doubt{SuspectedVM: d}
+				joined[d] = &suspicion{SuspectedVM: d}
 			}
-			joined[d].saidBy = append(joined[d].saidBy, v.Name)
+			joined[d].reportedBy = append(joined[d].reportedBy, v.Name)
 		}
 	}
-	out := make([]doubt, 0, len(joined))
+	out := make([]suspicion, 0, len(joined))
 	for _, d := range joined {
 		out = append(out, *d)
 	}
-	slices.SortFunc(out, func(a, b doubt) int {
+	slices.SortFunc(out, func(a, b suspicion) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(a.Reason, b.Reason))
 	})
 	return out
 }
 
-// printPower prints the watts of one entry VM as a row of a second table.
+// printPower prints the power budget of one entry VM as a table row.
 func printPower(w io.Writer, s *operator.Status) {
 	p := &s.Power
 	plan := "none"
@@ -105,12 +107,11 @@
 		plan += " (not complete)"
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%d W\t%d W\t%d W\t%d W\t%s %s %d W\n", s.Name, s.Domain, plan,
-		p.Allotted/perWatt, p.Committed/perWatt, p.Free/perWatt, p.Stranded/perWatt,
-		p.LastDecision.Reason, p.LastDecision.Concerns, p.LastDecision.Milliwatts/perWatt)
+		p.Allotted/milliwattsPerWatt, p.Committed/milliwattsPerWatt, p.Free/milliwattsPerWatt, p.Stranded/milliwattsPerWatt,
+		p.LastDecision.Reason, p.LastDecision.Concerns, p.LastDecision.Milliwatts/milliwattsPerWatt)
 }
 
-// perWatt is the milliwatts of one watt.
-const perWatt = 1000
+const milliwattsPerWatt = 1000
 
 func readiness(ready, draining bool) string {
 	switch {
@@ -129,12 +130,13 @@
 	return "down"
 }
 
-// clearScreen moves the cursor home and clears what was there.
+// clearScreen is the ANSI sequence that moves the cursor home and clears the
+// terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// Watch prints the status again and again until ctx ends.
-func (s *Site) Watch(ctx context.Context, every time.Duration, w io.Writer) error {
-	ticks := time.NewTicker(every)
+// Watch prints the status at every interval until ctx ends.
+func (s *Site) Watch(ctx context.Context, interval time.Duration, w io.Writer) error {
+	ticks := time.NewTicker(interval)
 	defer ticks.Stop()
 	for {
 		fmt.Fprint(w, clearScreen)
@@ -149,7 +151,7 @@
 	}
 }
 
-// Explain prints one submission's timeline over all entry VMs.
+// Explain prints the timeline of a submission, merged from all entry VMs.
 func (s *Site) Explain(ctx context.Context, ticket string, asJSON bool, w io.Writer) error {
 	out, err := s.timeline(ctx, ticket)
 	if err != nil {
@@ -162,8 +164,9 @@
 	return nil
 }
 
-// timeline joins what all named entry VMs say of a submission. Each asks its
-// peers, but one that is cut off from them is heard by the operator only.
+// timeline merges the timelines of a submission from all given entry VMs. Each
+// entry VM asks its peers too, but the steps of one that is partitioned from its
+// peers can be had from that VM only.
 func (s *Site) timeline(ctx context.Context, ticket string) (caller.TimelineBody, error) {
 	var all caller.TimelineBody
 	var errs []error
@@ -187,23 +190,23 @@
 	return all, nil
 }
 
-// screen is how many steps are printed; the middle of a longer timeline is left
-// out.
-const screen = 18
+// maxRows is the most timeline steps or workers that are printed for one screen.
+// The middle of a longer timeline and the end of a longer worker list are omitted.
+const maxRows = 18
 
-// PrintTimeline prints steps for people, within one screen, and what the last
-// reason means.
+// PrintTimeline prints the steps of a submission as text that fits one screen,
+// followed by the meaning of the last step's reason code.
 func PrintTimeline(w io.Writer, id string, steps []caller.TimelineStep) {
 	if len(steps) == 0 {
-		fmt.Fprintf(w, "submission %s: no entry VM that can be reached knows it\n", id)
+		fmt.Fprintf(w, "submission %s: not known to any reachable entry VM\n", id)
 		return
 	}
 	start := time.UnixMicro(steps[0].UnixMicros)
 	fmt.Fprintf(w, "submission %s, first seen %s\n", id, start.Format(time.DateTime))
 	for i, st := range steps {
-		if left := len(steps) - screen; left > 0 && i >= screen/2 && i < screen/2+left {
-			if i == screen/2 {
-				fmt.Fprintf(w, "  ... %d more steps, all with --json\n", left)
+		if omitted := len(steps) - maxRows; omitted > 0 && i >= maxRows/2 && i < maxRows/2+omitted {
+			if i == maxRows/2 {
+				fmt.Fprintf(w, "  ... %d more steps, all with --json\n", omitted)
 			}
 			continue
 		}
--- a/internal/tool/operate/site.go
+++ b/internal/tool/operate/site.go
@@ -1,5 +1,6 @@
-// Package operate is what the command-line tool does for operators: it talks to
-// the operators' listeners of the entry VMs.
+// Package operate implements the operator commands of the command-line tool:
+// publishing configuration, showing the status of a site and explaining
+// submissions. It calls the operator listeners of the entry VMs over HTTP.
 package operate
 
 import (
@@ -21,23 +22,24 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// Site is a site as seen through the operators' listeners of its entry VMs.
+// Site is a client of the operator listeners of a site's entry VMs.
 type Site struct {
-	operators []string // base URLs
-	port      string   // of operators' listeners that are not named
-	scheme    string   // of the same
+	operators []string // base URLs of the operator listeners that were given
+	port      string   // port of the operator listeners that were not given
+	scheme    string   // scheme of the operator listeners that were not given
 	http      *http.Client
 }
 
-// callTimeout bounds one request; a store that is slow answers within it.
+// callTimeout bounds one request. It leaves time for a slow store to answer.
 const callTimeout = 5 * time.Second
 
-// NewSite returns a site. Entry VMs whose listener is not among the operators'
-// base URLs are looked for at the host that the platform's list names, on the
-// given port, by https:// with a TLS configuration and by http:// without.
+// NewSite returns a client for the operator listeners at the given base URLs.
+// Other entry VMs in the platform's list are called at their listed host and the
+// given port, over https:// if there is a TLS configuration and over http:// if
+// config is nil.
 func NewSite(operators []string, port string, config *tls.Config) (*Site, error) {
 	if len(operators) == 0 {
-		return nil, errors.New("no entry VM is named: give --operators URL, or set PUMICEYARD_OPERATORS")
+		return nil, errors.New("no entry VM given: pass --operators URL or set PUMICEYARD_OPERATORS")
 	}
 	if config == nil {
 		for _, url := range operators {
@@ -49,8 +51,9 @@
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.TLSClientConfig = config.Clone()
-	// HTTP/2 hides the alert by which an entry VM refuses a certificate: one would
-	// read only that no connection could be established.
+	// Use HTTP/1.1 only. With HTTP/2 the TLS alert by which an entry VM rejects a
+	// client certificate is lost, and the error says only that no connection could
+	// be established.
 	transport.Protocols = new(http.Protocols)
 	transport.Protocols.SetHTTP1(true)
 	transport.TLSClientConfig.NextProtos = []string{"http/1.1"}
@@ -58,8 +61,9 @@
 	return &Site{operators: operators, port: port, scheme: secureScheme, http: client}, nil
 }
 
-// call makes one request of one entry VM. The error is an *operator.Problem when
-// the entry VM refused, and another when it could not be reached.
+// call sends one request to one entry VM and decodes the reply into into. The
+// error is an *operator.Problem if the entry VM refused the request. Any other
+// error means that it could not be reached or sent no valid reply.
 func (s *Site) call(ctx context.Context, method, url string, body, into any) error {
 	var text []byte
 	if body != nil {
@@ -87,22 +91,24 @@
 	}
 	problem := new(operator.Problem)
 	if json.Unmarshal(answer, problem) != nil || problem.Reason == "" {
-		return fmt.Errorf("%s answers %s: is it an operators' listener, and is it http:// or https://?", url, resp.Status)
+		return fmt.Errorf("%s answered %s: check that it is an operator listener and that the scheme (http:// or https://) is right", url, resp.Status)
 	}
 	return problem
 }
 
-// again lists the reasons for which another entry VM may know or do better.
-var again = []reason.Code{operator.StoreDown, operator.StoreUnresolved}
+// retryReasons are the refusals after which another entry VM is tried, since it
+// may be able to reach the store.
+var retryReasons = []reason.Code{operator.StoreDown, operator.StoreUnresolved}
 
-// ask makes a request of the first entry VM that can answer. A publication that
-// is asked for twice takes effect once, by its change id.
-func (s *Site) ask(ctx context.Context, method, path string, body, into any) error {
+// callAny sends a request to the given entry VMs in order until one answers it.
+// A publication may be sent more than once this way: its change id makes it
+// idempotent.
+func (s *Site) callAny(ctx context.Context, method, path string, body, into any) error {
 	var errs []error
 	for _, base := range s.operators {
 		err := s.call(ctx, method, base+path, body, into)
 		var problem *operator.Problem
-		if err == nil || errors.As(err, &problem) && !slices.Contains(again, problem.Reason) {
+		if err == nil || errors.As(err, &problem) && !slices.Contains(retryReasons, problem.Reason) {
 			return err
 		}
 		errs = append(errs, err)
@@ -110,7 +116,7 @@
 	return errors.Join(errs...)
 }
 
-// VMStatus is what one entry VM says of itself, or why it can not be asked.
+// VMStatus is the status that one entry VM reports, or the error of asking it.
 type VMStatus struct {
 	Name   string           `json:"name"`
 	URL    string           `json:"url"`
@@ -118,12 +124,12 @@
 	Error  string           `json:"error,omitempty"`
 }
 
-// Statuses asks all entry VMs: those that are named, and those in the platform's
-// list.
+// Statuses returns the status of every entry VM: of those at the given base URLs
+// and of those in the platform's list.
 func (s *Site) Statuses(ctx context.Context) []VMStatus {
 	found := s.statuses(ctx, s.operators)
 	var fleet operator.Fleet
-	if err := s.ask(ctx, http.MethodGet, "/v1/fleet", nil, &fleet); err != nil {
+	if err := s.callAny(ctx, http.MethodGet, "/v1/fleet", nil, &fleet); err != nil {
 		return found
 	}
 	var missing []operator.EntryVM
@@ -132,7 +138,7 @@
 			missing = append(missing, e)
 		}
 	}
-	listed := s.listed(ctx, missing)
+	listed := s.listedStatuses(ctx, missing)
 	found = slices.DeleteFunc(found, func(v VMStatus) bool {
 		return v.Status == nil && slices.ContainsFunc(listed, func(l VMStatus) bool { return l.URL == v.URL })
 	})
@@ -141,8 +147,10 @@
 	return found
 }
 
-// listed asks entry VMs that only the platform's list names.
-func (s *Site) listed(ctx context.Context, missing []operator.EntryVM) []VMStatus {
+// listedStatuses asks the entry VMs in missing, which appear only in the
+// platform's list. A reply from a VM of another name is dropped and reported as
+// an error.
+func (s *Site) listedStatuses(ctx context.Context, missing []operator.EntryVM) []VMStatus {
 	urls := make([]string, len(missing))
 	for i, e := range missing {
 		host, _, err := net.SplitHostPort(e.Address)
@@ -154,7 +162,7 @@
 	out := s.statuses(ctx, urls)
 	for i := range out {
 		if v := &out[i]; v.Status != nil && v.Name != missing[i].Name {
-			v.Error = fmt.Sprintf("not asked: at %s is %s; name its operators' listener", v.URL, v.Name)
+			v.Error = fmt.Sprintf("status unknown: %s is the listener of %s; add this VM's operator listener to --operators", v.URL, v.Name)
 			v.Status = nil
 		}
 		out[i].Name = missing[i].Name
--- a/internal/tool/operate/standing.go
+++ b/internal/tool/operate/standing.go
@@ -13,8 +13,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/placement"
 )
 
-// printStanding prints which entry VMs do not reach each other, the workers that
-// are not trusted in full, and the client accounts that have or want something.
+// printStanding prints the entry VMs that cannot reach each other, the workers
+// that are not healthy, and the client accounts with their use and queues.
 func printStanding(w io.Writer, all []VMStatus) error {
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 	printUnreachable(table, all)
@@ -36,45 +36,46 @@
 	}
 }
 
-// distrusted is a worker that is not healthy, with its holder.
-type distrusted struct {
+// unhealthyWorker is a worker that is not healthy, with the entry VM that holds
+// its lease.
+type unhealthyWorker struct {
 	operator.WorkerStanding
 	holder string
 }
 
 func printWorkers(w io.Writer, all []VMStatus) {
-	var workers []distrusted
+	var workers []unhealthyWorker
 	for _, v := range all {
 		if v.Status == nil {
 			continue
 		}
 		for _, s := range v.Status.WorkerStanding {
 			if s.Tier != placement.Healthy.String() {
-				workers = append(workers, distrusted{s, v.Status.Name})
+				workers = append(workers, unhealthyWorker{s, v.Status.Name})
 			}
 		}
 	}
 	if len(workers) == 0 {
 		return
 	}
-	slices.SortStableFunc(workers, func(a, b distrusted) int { return cmp.Compare(b.Score, a.Score) })
+	slices.SortStableFunc(workers, func(a, b unhealthyWorker) int { return cmp.Compare(b.Score, a.Score) })
 	fmt.Fprintln(w, "\nWORKER\tHELD BY\tTIER\tREASON\tRUNNING\tEJECTIONS\tPACE")
-	for _, s := range workers[:min(len(workers), screen)] {
+	for _, s := range workers[:min(len(workers), maxRows)] {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%.2f\n", s.Worker, s.holder, s.Tier, s.Reason, s.Running, s.Ejections, s.Pace)
 	}
-	if more := len(workers) - screen; more > 0 {
+	if more := len(workers) - maxRows; more > 0 {
 		fmt.Fprintf(w, "... %d more workers, all with --json\n", more)
 	}
 }
 
-// account sums a client account up over entry VMs.
-type account struct {
+// accountTotals is a client account's standing, summed over all entry VMs.
+type accountTotals struct {
 	operator.AccountStanding
-	waits []string // reasons, of the entry VMs where it has work queued
+	waitReasons []string // distinct wait reasons, from entry VMs where the account is not idle
 }
 
 func printAccounts(w io.Writer, all []VMStatus) {
-	accounts := make(map[string]*account)
+	accounts := make(map[string]*accountTotals)
 	var names []string
 	for _, v := range all {
 		if v.Status == nil {
@@ -82,7 +83,7 @@
 		}
 		for _, s := range v.Status.AccountStanding {
 			if accounts[s.Account] == nil {
-				accounts[s.Account] = &account{}
+				accounts[s.Account] = &accountTotals{}
 				names = append(names, s.Account)
 			}
 			accounts[s.Account].add(s)
@@ -95,19 +96,19 @@
 	for _, name := range names {
 		a := accounts[name]
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%s\t%s\n", name, a.Slots, quota(a.QuotaSlots),
-			a.QueuedTasks, a.QueuedJobs, serviceOverDue(a), orNone(strings.Join(a.waits, " ")))
+			a.QueuedTasks, a.QueuedJobs, serviceOverDue(a), orNone(strings.Join(a.waitReasons, " ")))
 	}
 }
 
-func (a *account) add(s operator.AccountStanding) {
+func (a *accountTotals) add(s operator.AccountStanding) {
 	a.Slots += s.Slots
 	a.QuotaSlots = max(a.QuotaSlots, s.QuotaSlots)
 	a.QueuedTasks += s.QueuedTasks
 	a.QueuedJobs += s.QueuedJobs
 	a.ServiceReceived += s.ServiceReceived
 	a.ServiceDue += s.ServiceDue
-	if why := string(s.WaitReason); s.WaitReason != fairness.Idle && !slices.Contains(a.waits, why) {
-		a.waits = append(a.waits, why)
+	if reason := string(s.WaitReason); s.WaitReason != fairness.Idle && !slices.Contains(a.waitReasons, reason) {
+		a.waitReasons = append(a.waitReasons, reason)
 	}
 }
 
@@ -118,7 +119,7 @@
 	return fmt.Sprint(slots)
 }
 
-func serviceOverDue(a *account) string {
+func serviceOverDue(a *accountTotals) string {
 	if a.ServiceDue == 0 {
 		return "-"
 	}
--- a/internal/tool/operate/tls.go
+++ b/internal/tool/operate/tls.go
@@ -8,21 +8,21 @@
 	"net/http"
 )
 
-// Schemes of operators' listeners.
+// Schemes of the operator listeners' URLs.
 const (
 	plainScheme  = "http://"
 	secureScheme = "https://"
 )
 
-// NoCertificateError is an https:// listener that is named while there is no
-// certificate to show.
+// NoCertificateError reports that an https:// listener was given without a client
+// certificate to present to it.
 type NoCertificateError struct{ URL string }
 
 func (e *NoCertificateError) Error() string {
-	return fmt.Sprintf("%s asks for a client certificate: give --tls-cert, --tls-key and --tls-ca, or set PUMICEYARD_TLS_CERT, PUMICEYARD_TLS_KEY and PUMICEYARD_TLS_CA", e.URL)
+	return fmt.Sprintf("%s requires a client certificate: pass --tls-cert, --tls-key and --tls-ca, or set PUMICEYARD_TLS_CERT, PUMICEYARD_TLS_KEY and PUMICEYARD_TLS_CA", e.URL)
 }
 
-// TLSError is a connection that TLS refused, and what to do about it.
+// TLSError is a failed TLS connection together with advice on how to fix it.
 type TLSError struct {
 	Advice string
 	Err    error
@@ -30,20 +30,20 @@
 
 func (e *TLSError) Error() string { return fmt.Sprintf("%v\n  what to do: %s", e.Err, e.Advice) }
 
-// Unwrap is the cause.
+// Unwrap returns the error of the TLS connection.
 func (e *TLSError) Unwrap() error { return e.Err }
 
-// What to do when TLS refuses a connection.
+// Advice for failed TLS connections.
 const (
-	adviseServerCA      = "the entry VM's certificate is not of a CA in --tls-ca: give the site's CA"
-	adviseServerExpired = "the entry VM's certificate is not valid now: replace it and restart the entry VM, or mend this host's clock"
-	adviseServerName    = "the entry VM's certificate does not name this address: make one with the address as SAN, or dial one that it names"
-	adviseClient        = "the entry VM refuses --tls-cert: take a certificate of the site's CA, for client authentication and valid now"
-	advisePlain         = "the listener does not speak TLS: name it by http://"
+	adviseServerCA      = "the entry VM's certificate is not of a CA in --tls-ca: pass the site's CA"
+	adviseServerExpired = "the entry VM's certificate is not valid now: replace it and restart the entry VM, or correct this host's clock"
+	adviseServerName    = "the entry VM's certificate does not name this address: issue one with the address as a SAN, or use an address that it names"
+	adviseClient        = "the entry VM refuses --tls-cert: use a certificate that the site's CA issued for client authentication and that is valid now"
+	advisePlain         = "the listener does not speak TLS: give its URL with http://"
 )
 
-// adviseTLS adds to the errors of TLS what to do about them. Others stay as they
-// are.
+// adviseTLS wraps known TLS errors in a *TLSError and returns other errors
+// unchanged.
 func adviseTLS(err error) error {
 	var (
 		authority x509.UnknownAuthorityError
@@ -66,6 +66,6 @@
 	return err
 }
 
-// remoteAlert is the operation by which crypto/tls reports an alert of the other
-// end.
+// remoteAlert is the Op of the net.OpError that crypto/tls returns for an alert
+// sent by the peer.
 const remoteAlert = "remote error"
