--- a/internal/process/entry/claims.go
+++ b/internal/process/entry/claims.go
@@ -5,15 +5,15 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/storeclient"
 )
 
-// What the platform's store takes, over all its callers, and the entry VMs that
-// share it.
+// Capacity of the platform's store over all its clients, and the number of entry
+// VMs that share it.
 const (
 	storeReadsPerSecond  = 2000
 	storeWritesPerSecond = 300
 	storeCallers         = 8
 )
 
-// newStore returns the store's client of this VM.
+// newStore returns this VM's store client.
 func (vm *VM) newStore() *storeclient.Client {
 	return storeclient.New(vm.platform, storeclient.Options{
 		StoreReadsPerSecond:  storeReadsPerSecond,
@@ -23,7 +23,7 @@
 	})
 }
 
-// newClaims returns the claims of callers' own keys.
+// newClaims returns the component that binds callers' idempotency keys to tickets.
 func (vm *VM) newClaims(store *storeclient.Client) *claims.Claims {
 	s := claims.Defaults()
 	s.PerSecond = float64(vm.settings.ClaimsPerSecond)
--- a/internal/process/entry/control.go
+++ b/internal/process/entry/control.go
@@ -20,7 +20,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/publication"
 )
 
-// newControl returns the duty that runs the cores of this VM.
+// newControl returns the component that runs the cores of this VM.
 func (vm *VM) newControl() *control.Control {
 	return control.New(control.Config{
 		Self: membership.Fact{
@@ -38,7 +38,7 @@
 	}, time.Now())
 }
 
-// controlled carries out what the cores ask of the VM.
+// controlled executes the actions that the cores request from the VM.
 type controlled struct{ vm *VM }
 
 // SendMembership implements control.VM.
@@ -90,8 +90,8 @@
 	vm.updateReady()
 }
 
-// listDiffers reports whether the list that is held here lacks a worker that the
-// view knows, or names one that the view knows to be gone.
+// listDiffers reports whether this VM's list lacks a worker that the membership
+// view contains, or contains one that the view knows to be gone.
 func listDiffers(s *fleet.Snapshot, workers []membership.Fact) bool {
 	if len(workers) != len(s.Workers) {
 		return true
@@ -123,8 +123,8 @@
 	return &pb.ListVMsResponse{}
 }
 
-// supersede ends this VM's part: another start has taken its name, and what it
-// holds is no longer its own.
+// supersede stops this VM's work because a later start has taken its name, and
+// with it all that this VM holds.
 func (vm *VM) supersede() {
 	vm.superseding.Do(func() {
 		klog.ErrorS(nil, logPrefix+"superseded by a later start under the same name", "name", vm.settings.Name)
@@ -135,11 +135,11 @@
 	})
 }
 
-// Superseded is closed once this VM knows that a later start has taken its name.
-// It must be stopped then.
+// Superseded returns a channel that is closed when this VM learns that a later
+// start has taken its name. The VM must be stopped then.
 func (vm *VM) Superseded() <-chan struct{} { return vm.superseded }
 
-// wantList asks for a read of the platform's list soon.
+// wantList requests a read of the platform's VM list.
 func (vm *VM) wantList() {
 	select {
 	case vm.listWanted <- struct{}{}:
@@ -147,15 +147,15 @@
 	}
 }
 
-// reconcileLeases holds and gives back leases as time passes: a peer that was
-// given the time to answer, and did not, is no event.
+// reconcileLeases periodically acquires and releases leases. It has to poll,
+// because no event is raised when a peer fails to answer in time.
 func (vm *VM) reconcileLeases(ctx context.Context) {
 	for pause.For(ctx, millis(vm.settings.BeatMillis)) {
 		vm.workers.reconcile()
 	}
 }
 
-// listPause is the least time between two reads of the list.
+// listPause is the minimum time between two reads of the VM list.
 const listPause = 200 * time.Millisecond
 
 // pollList reads the platform's list of VMs when the membership asks for it, and
@@ -181,9 +181,9 @@
 	}
 }
 
-// readList reads the platform's list. A VM that has never had one asks the peers
-// of its settings while the platform is out: it could not start otherwise. It
-// returns nil when nobody has a list.
+// readList reads the platform's VM list. If the platform is unavailable and this
+// VM has never had a list, it asks the peers in its settings, because it could not
+// start otherwise. It returns nil if no list is available.
 func (vm *VM) readList(ctx context.Context) *pb.ListVMsResponse {
 	m, err := vm.store.ListVMs(ctx, storeclient.ForMembership)
 	vm.listed.Store(err == nil)
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// putInForce puts a document in force.
+// putInForce applies a configuration document.
 func (vm *VM) putInForce(d *document.Document) {
 	vm.document.Store(d)
 	accounts := make([]fairness.Account, 0, len(d.Accounts))
@@ -215,16 +215,16 @@
 	klog.InfoS(logPrefix+"configuration in force", "name", vm.settings.Name, "revision", d.Revision, "author", d.Author)
 }
 
-// updateReady lets callers come once the VM has a list of VMs and the highest
-// revision that it could learn of. Before, it might serve by a configuration
-// that was replaced.
+// updateReady makes the VM ready once it has a list of VMs and the highest
+// configuration revision that it could find. Before, it might serve with an
+// outdated configuration.
 func (vm *VM) updateReady() {
 	ready := vm.Document() != nil && vm.control.Ready() && vm.fleet.Latest().Version > 0
 	vm.ready.Store(ready && vm.control.View().Standing != membership.Superseded)
 }
 
-// leavingWorkers are the workers that anybody knows to be leaving or gone. The
-// list shows that only at its next read.
+// leavingWorkers returns the workers that the membership knows to be leaving or
+// gone, which the VM list shows only at its next read.
 func leavingWorkers(v membership.View) map[string]uint64 {
 	leaving := make(map[string]uint64)
 	for _, w := range v.Workers {
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry assembles one entry VM: it wires the duties of a process to each
-// other and to their connections, and starts and stops them.
+// Package entry assembles an entry VM: it connects the components of the process
+// (home, holder, router, control, planner and others) to each other and to their
+// network connections, and starts and stops them.
 package entry
 
 import (
@@ -35,17 +36,18 @@
 
 const logPrefix = "entry: "
 
-// callerBeats is the heartbeats between entry VMs for each one to a caller, whose
-// round trip is longer and whose connections are many.
+// callerBeats is the ratio of the heartbeat interval of caller connections to that
+// between entry VMs. Callers have longer round trips and many connections.
 const callerBeats = 2
 
-// maxForwards is how often a home is tried before it counts as gone.
+// maxForwards is how many times a request is forwarded to its home VM before that
+// VM counts as lost.
 const maxForwards = 2
 
-// VM is one running entry VM.
+// VM is a running entry VM.
 type VM struct {
 	settings    Settings
-	secure      *secure.Credentials // nil: operators and peers connect in the clear
+	secure      *secure.Credentials // nil: operator and peer connections are not encrypted
 	incarnation uint64
 
 	document  atomic.Pointer[document.Document]
@@ -65,28 +67,28 @@
 	planner   *planner
 	control   *control.Control
 	exchange  *peer.Exchange
-	list      atomic.Pointer[pb.ListVMsResponse] // the newest
+	list      atomic.Pointer[pb.ListVMsResponse] // the newest VM list
 
-	listWanted  chan struct{} // asks for a read of the list
+	listWanted  chan struct{} // signals that the VM list should be read
 	superseding sync.Once
-	superseded  chan struct{} // closed: another start has taken the name
+	superseded  chan struct{} // closed when a later start has taken the name
 
 	listeners listeners
 	servers   []*http.Server
 	peerSide  *peer.Server
 	ready     atomic.Bool
-	listed    atomic.Bool // the last read of the platform's list was answered
-	leaving   atomic.Bool // a planned stop has begun: unready at the balancer
-	draining  atomic.Bool // nothing new is taken, leases are given back
+	listed    atomic.Bool // the last read of the platform's VM list succeeded
+	leaving   atomic.Bool // a planned stop has begun; reported as unready to the load balancer
+	draining  atomic.Bool // no new work is admitted and leases are released
 
 	cancel context.CancelFunc
 	duties sync.WaitGroup
 }
 
-// listeners are the VM's sockets.
+// listeners are the VM's listening sockets.
 type listeners struct{ caller, operator, peer net.Listener }
 
-// Start brings an entry VM up. It listens when Start returns, and turns ready
+// Start starts an entry VM. The VM listens when Start returns, and becomes ready
 // once it has a configuration and a list of VMs.
 func Start(s Settings) (*VM, error) {
 	if err := s.Validate(); err != nil {
@@ -146,7 +148,7 @@
 	}
 }
 
-// build creates the duties and wires them.
+// build creates the components and connects them.
 func (vm *VM) build() {
 	s := &vm.settings
 	vm.fleet = fleet.New()
@@ -208,7 +210,7 @@
 	})
 }
 
-// run starts the goroutines of the duties and the servers.
+// run starts the goroutines of the components and the servers.
 func (vm *VM) run(ctx context.Context) {
 	vm.duties.Go(func() { vm.home.Run(ctx) })
 	vm.duties.Go(func() { vm.holder.Run(ctx) })
@@ -240,19 +242,19 @@
 	})
 }
 
-// Document is the configuration in force, nil before there is one.
+// Document returns the current configuration, nil if there is none yet.
 func (vm *VM) Document() *document.Document { return vm.document.Load() }
 
-// Incarnation is this start's identity.
+// Incarnation returns the number that identifies this start of the VM.
 func (vm *VM) Incarnation() uint64 { return vm.incarnation }
 
-// CallerAddress is where callers connect.
+// CallerAddress returns the address that callers connect to.
 func (vm *VM) CallerAddress() string { return vm.listeners.caller.Addr().String() }
 
-// OperatorAddress is where operators connect.
+// OperatorAddress returns the address that operators connect to.
 func (vm *VM) OperatorAddress() string { return vm.listeners.operator.Addr().String() }
 
-// PeerAddress is where other entry VMs connect.
+// PeerAddress returns the address that other entry VMs connect to.
 func (vm *VM) PeerAddress() string {
 	if vm.settings.PeerAddress != "" {
 		return vm.settings.PeerAddress
@@ -260,7 +262,7 @@
 	return vm.listeners.peer.Addr().String()
 }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this VM.
 func (vm *VM) Ready() bool { return vm.ready.Load() && !vm.leaving.Load() }
 
 func (vm *VM) classOf(template string) fairness.Class {
--- a/internal/process/entry/settings.go
+++ b/internal/process/entry/settings.go
@@ -21,7 +21,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/home"
 )
 
-// Settings are what one entry VM is told at its start. Everything else comes
+// Settings are the startup settings of an entry VM. All other configuration comes
 // from the platform.
 type Settings struct {
 	Name   string `json:"name"`   // unique among the site's entry VMs
@@ -31,53 +31,54 @@
 	CallerListen   string `json:"caller_listen"`   // host:port
 	OperatorListen string `json:"operator_listen"` // host:port
 	PeerListen     string `json:"peer_listen"`     // host:port
-	// PeerAddress is what other entry VMs dial; empty: the peer listener's.
+	// PeerAddress is the address that other entry VMs dial; empty: that of the
+	// peer listener.
 	PeerAddress string `json:"peer_address,omitempty"`
 	Platform    string `json:"platform"` // base URL of the platform's service
-	// Peers are peer listeners of some other entry VMs, host:port. They are asked
-	// for the list of VMs at a start while the platform is out.
+	// Peers are addresses (host:port) of peer listeners of other entry VMs. They
+	// are asked for the list of VMs at startup if the platform is unavailable.
 	Peers []string `json:"peers,omitempty"`
 
 	TicketKey string `json:"ticket_key"` // shared by the site's entry VMs, at least 16 characters
 	PeerToken string `json:"peer_token"` // shared by the site's entry VMs, at least 16 characters
 
-	// TLS is for the operator and peer listeners and for dialling peers. Without
-	// it these listeners are allowed on loopback addresses only.
+	// TLS configures the operator and peer listeners and connections to peers.
+	// Without it, these listeners may use loopback addresses only.
 	TLS secure.Files `json:"tls,omitzero"`
 
 	TicketTTLMillis   uint32 `json:"ticket_ttl_millis"`
 	LeaseTTLMillis    uint32 `json:"lease_ttl_millis"`
-	BeatMillis        uint32 `json:"beat_millis"`         // heartbeats, to workers and peers
-	SilenceMillis     uint32 `json:"silence_millis"`      // a connection without a message is left after it
-	ListPollMillis    uint32 `json:"list_poll_millis"`    // at most between reads of the VM list; 0: the fleet takes turns
-	UnreadyMillis     uint32 `json:"unready_millis"`      // a planned stop takes requests so long after it turned unready
-	ShutdownMillis    uint32 `json:"shutdown_millis"`     // bound on a planned stop
-	RetainAnswerBytes int    `json:"retain_answer_bytes"` // final answers kept for callers that ask again
+	BeatMillis        uint32 `json:"beat_millis"`         // heartbeat interval, to workers and peers
+	SilenceMillis     uint32 `json:"silence_millis"`      // a connection without messages for this long is closed
+	ListPollMillis    uint32 `json:"list_poll_millis"`    // maximum interval between reads of the VM list; 0: entry VMs read it in turn
+	UnreadyMillis     uint32 `json:"unready_millis"`      // how long a planned stop still accepts requests while unready
+	ShutdownMillis    uint32 `json:"shutdown_millis"`     // time limit of a planned stop
+	RetainAnswerBytes int    `json:"retain_answer_bytes"` // final answers retained for callers that ask again
 	MaxQueuedTasks    int    `json:"max_queued_tasks"`
 	MaxBodyBytes      int64  `json:"max_body_bytes"`
-	BodyTimeoutMillis uint32 `json:"body_timeout_millis"` // for a caller's body to come
-	Timelines         int    `json:"timelines"`           // submissions that can be explained
-	ClaimsPerSecond   uint32 `json:"claims_per_second"`   // requests with an Idempotency-Key
+	BodyTimeoutMillis uint32 `json:"body_timeout_millis"` // timeout for reading a request body
+	Timelines         int    `json:"timelines"`           // submissions whose timeline is retained
+	ClaimsPerSecond   uint32 `json:"claims_per_second"`   // rate limit of requests with an Idempotency-Key
 
-	// Wrapper replaces each listener before it is used; nil: none is replaced.
+	// Wrapper wraps each listener before it is used; nil: none is wrapped.
 	Wrapper ListenerWrapper `json:"-"`
 	// Dialer opens the connections to other VMs and to the platform; nil: TCP.
 	Dialer Dialer `json:"-"`
 }
 
-// ListenerWrapper lets a tool count traffic at a VM's listeners. The role is
+// ListenerWrapper lets a tool measure traffic at a VM's listeners. The role is
 // "caller", "operator" or "peer".
 type ListenerWrapper interface {
 	WrapListener(role string, l net.Listener) net.Listener
 }
 
-// Dialer opens connections. A *net.Dialer is one; a tool passes one that injects
-// faults of the network.
+// Dialer opens connections. *net.Dialer implements it; tools can pass one that
+// injects network faults.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// dialer is how connections are opened; nil: TCP.
+// dialer returns the function that opens connections; nil: TCP.
 func (s *Settings) dialer() wire.Dialer {
 	if s.Dialer == nil {
 		return nil
@@ -85,7 +86,8 @@
 	return s.Dialer.DialContext
 }
 
-// DefaultSettings returns settings without names, addresses and secrets.
+// DefaultSettings returns the default settings, without names, the platform's
+// address and secrets.
 func DefaultSettings() Settings {
 	return Settings{
 		CallerListen:      "127.0.0.1:8080",
@@ -106,7 +108,7 @@
 	}
 }
 
-// SettingError names a setting that can not be used.
+// SettingError reports an invalid setting.
 type SettingError struct {
 	Path    string
 	Value   any
@@ -117,7 +119,7 @@
 	return fmt.Sprintf("setting %s is %v: allowed is %s", e.Path, e.Value, e.Allowed)
 }
 
-// LoadSettings reads a settings file over the defaults and validates it.
+// LoadSettings reads a settings file on top of the defaults and validates it.
 func LoadSettings(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -130,8 +132,8 @@
 	return s, nil
 }
 
-// ParseSettings reads settings over the defaults. Unknown fields are refused:
-// a misspelt name would otherwise leave the default in force unnoticed.
+// ParseSettings parses settings on top of the defaults. Unknown fields are
+// errors, because a misspelt name would otherwise silently leave the default.
 func ParseSettings(text []byte) (Settings, error) {
 	s := DefaultSettings()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -152,7 +154,7 @@
 	maxClaims   = 1000
 )
 
-// Validate reports all settings that can not be used.
+// Validate reports all invalid settings.
 func (s *Settings) Validate() error {
 	var errs []error
 	refuse := func(ok bool, path string, value any, allowed string) {
@@ -198,14 +200,14 @@
 
 const allowedPlain = "without tls a loopback address, such as 127.0.0.1:8082; with tls any"
 
-// plainAbroad reports whether a listener would take connections in the clear
-// from other hosts. An address that can not be read is refused elsewhere.
+// plainAbroad reports whether a listener would accept unencrypted connections
+// from other hosts. Invalid addresses are rejected elsewhere.
 func (s *Settings) plainAbroad(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err == nil && s.TLS.IsEmpty() && host != "localhost" && !net.ParseIP(host).IsLoopback()
 }
 
-// checkTLS reads the files that tls names.
+// checkTLS checks that the TLS files can be loaded.
 func (s *Settings) checkTLS() error {
 	_, err := s.TLS.Load()
 	var file *secure.FileError
@@ -219,7 +221,7 @@
 	return &SettingError{path, fmt.Sprintf("%q (%v)", file.Path, file.Err), file.Allowed}
 }
 
-// secret hides a secret's text in messages.
+// secret hides the text of a secret in messages.
 func secret(s string) string { return fmt.Sprintf("%d characters long", len(s)) }
 
 func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/process/entry/stop.go
+++ b/internal/process/entry/stop.go
@@ -9,10 +9,10 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// drainPoll is how often a planned stop looks whether everything has ended.
+// drainPoll is how often a planned stop checks whether all work has ended.
 const drainPoll = 20 * time.Millisecond
 
-// Kill ends the VM as a crash does: nothing is told to anyone, sockets close.
+// Kill stops the VM like a crash: it closes the sockets without notifying anyone.
 func (vm *VM) Kill() {
 	vm.cancel()
 	for _, s := range vm.servers {
@@ -26,20 +26,20 @@
 	vm.metrics.Close()
 }
 
-// Stop is the planned stop. First the VM turns unready, and goes on as before
-// until the balancer has noticed. Then it takes nothing new: tasks that have not
-// started go back to their homes, running ones end, every caller gets its
-// answer, and leases are given back as their workers turn idle. It ends at the
-// bound from the settings at the latest and reports whether everything was
-// finished by then.
+// Stop shuts the VM down gracefully. First the VM reports itself unready and goes
+// on serving until the load balancer has noticed. Then it admits no new work:
+// tasks that have not started return to their home VMs, running tasks complete,
+// every caller gets its answer, and worker leases are released as the workers
+// become idle. Stop ends after Settings.ShutdownMillis at the latest and reports
+// whether all work was finished by then.
 func (vm *VM) Stop(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, millis(vm.settings.ShutdownMillis))
 	defer cancel()
 	klog.InfoS(logPrefix+"stopping", "name", vm.settings.Name)
 	vm.leaving.Store(true)
 	vm.router.StopTickets()
-	// Without this wait the balancer would send callers here until its next
-	// look at readiness, and each would be refused as draining.
+	// Without this wait, the load balancer would send callers here until its next
+	// readiness check, and each would be refused as draining.
 	pause.For(ctx, millis(vm.settings.UnreadyMillis))
 	vm.draining.Store(true)
 	vm.control.Leave()
@@ -56,8 +56,8 @@
 	return finished
 }
 
-// waitIdle waits until no submission is open here, no task runs, and every
-// forwarded answer was sent.
+// waitIdle waits until no submission is open on this VM, no task runs, and every
+// forwarded answer has been sent.
 func (vm *VM) waitIdle(ctx context.Context) bool {
 	for vm.home.Busy() || vm.holder.Busy() || vm.peerSide.InFlightSubmits() > 0 {
 		if !pause.For(ctx, drainPoll) {
