--- a/internal/process/estimate/estimate.go
+++ b/internal/process/estimate/estimate.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// permilleFull is the whole of something, or full speed, in thousandths.
+// permilleFull is 100 percent, or full speed, in thousandths.
 const permilleFull = 1000
 
-// Declared is what a template or a request says one task uses.
+// Declared is what a template or request declares that one task uses.
 type Declared struct {
 	Time       time.Duration
 	Milliwatts uint32 // above idle
 	MemoryMiB  uint32
 }
 
-// Basis says which figure a charge rests on.
+// Basis says whether a charge is based on the declared or the learned value.
 type Basis string
 
 // Bases of an [Estimate].
@@ -21,13 +21,13 @@
 	ByMeasurement Basis = "learned"
 )
 
-// Estimate is what one task is expected to use at most.
+// Estimate is an upper estimate of what one task uses.
 type Estimate struct {
 	Time       time.Duration
 	Milliwatts uint32 // above idle; what admission charges
 	MemoryMiB  uint32
-	Samples    int   // that the estimate rests on, up to two windows
-	Basis      Basis // of the draw
+	Samples    int   // number of samples used, up to two windows
+	Basis      Basis // of Milliwatts
 }
 
 // Sample is what one ended task used.
@@ -35,32 +35,32 @@
 	Time       time.Duration
 	Milliwatts uint32 // above idle
 	MemoryMiB  uint32
-	// Permille is the speed the worker ran at, in thousandths; 0 stands for
-	// full speed. Time and draw are scaled to full speed, on the assumption
-	// that both go with speed; otherwise throttling would teach the estimator
-	// that tasks need little, and more of them would be started.
+	// Permille is the speed of the worker in thousandths; 0 is full speed. Time
+	// and power are scaled to full speed, assuming that speed changes both in
+	// proportion. Otherwise the estimator would learn from throttled workers
+	// that tasks need little power, and too many would be started.
 	Permille uint32
 }
 
-// Settings are the policy of an [Estimator].
+// Settings are the parameters of an [Estimator].
 type Settings struct {
 	// Window is the number of samples in a window, at most 255.
 	Window int
-	// Trust is the number of samples after which the declared figure counts
-	// for nothing.
+	// Trust is the number of samples after which the declared value is ignored.
 	Trust int
-	// MarginPermille is added to a declared figure without any sample.
+	// MarginPermille is the margin, in thousandths, added to a declared value.
 	MarginPermille int
-	// TimePermille, PowerPermille and MemoryPermille are the quantiles.
+	// TimePermille, PowerPermille and MemoryPermille are the quantiles that are
+	// charged, in thousandths.
 	TimePermille   int
 	PowerPermille  int
 	MemoryPermille int
-	// MaxKeys bounds the pairs of template and account.
+	// MaxKeys bounds the number of pairs of template and account.
 	MaxKeys int
 }
 
-// DefaultSettings follow a rise in draw after at most 20 samples and a fall
-// after at most 128.
+// DefaultSettings returns settings that follow a rise in power after at most 20
+// samples and a fall after at most 128.
 func DefaultSettings() Settings {
 	return Settings{
 		Window:         64,
@@ -73,16 +73,17 @@
 	}
 }
 
-// maxCorrection bounds the correction that [Estimator.Underestimated] makes.
+// maxCorrection bounds the correction by [Estimator.Underestimated], in
+// thousandths.
 const maxCorrection = 4 * permilleFull
 
-// refreshEvery is how many samples pass before a quantile is computed again.
+// refreshEvery is the number of samples after which quantiles are recomputed.
 const refreshEvery = 8
 
 // key names a template of a client account.
 type key struct{ template, account string }
 
-// entry is what is known of one key.
+// entry is the learned state of one key.
 type entry struct {
 	key     key
 	used    uint64    // value of the estimator's use counter
@@ -91,7 +92,7 @@
 	stale   int       // samples since the quantiles were computed
 	learned [3]uint32 // quantiles in microseconds, milliwatts, mebibytes
 	series  [3][2]window
-	// correction raises the learned draw, in thousandths.
+	// correction is the factor on the learned power, in thousandths.
 	correction uint32
 }
 
@@ -102,22 +103,22 @@
 	seriesMemory
 )
 
-// unitOf is the resolution of each series: the range reaches 41 s, 4 kW and
-// 256 GiB. Greater values share the last bucket and its greatest sample.
+// unitOf is the resolution of each series. It limits the range to 41 s, 4 kW and
+// 256 GiB; greater values share the last bucket and count as its greatest sample.
 var unitOf = [3]uint32{
 	seriesTime:   160, // microseconds
 	seriesPower:  16,  // milliwatts
 	seriesMemory: 1,   // mebibytes
 }
 
-// Estimator learns what tasks use.
+// Estimator learns the resource usage of tasks.
 type Estimator struct {
 	settings Settings
 	entries  map[key]*entry
 	uses     uint64
 }
 
-// New returns an estimator that has seen nothing.
+// New returns an estimator without samples.
 func New(settings Settings) *Estimator {
 	settings.Window = min(max(settings.Window, 1), maxWindow)
 	settings.Trust = max(settings.Trust, 1)
@@ -125,7 +126,7 @@
 	return &Estimator{settings: settings, entries: map[key]*entry{}}
 }
 
-// Charge says what to reserve for one task.
+// Charge returns what to reserve for one task.
 func (e *Estimator) Charge(template, account string, declared Declared) Estimate {
 	n := e.entries[key{template, account}]
 	if n == nil {
@@ -146,7 +147,7 @@
 	return estimate
 }
 
-// prior is the estimate without any sample.
+// prior returns the estimate for a key without samples.
 func (e *Estimator) prior(d Declared) Estimate {
 	return Estimate{
 		Time:       micros(e.withMargin(microsOf(d.Time))),
@@ -156,20 +157,20 @@
 	}
 }
 
-// withMargin adds the margin for a figure that nothing confirms.
+// withMargin adds the margin for a declared value.
 func (e *Estimator) withMargin(declared uint32) uint32 {
 	return clamp(uint64(declared) * uint64(permilleFull+e.settings.MarginPermille) / permilleFull)
 }
 
-// blend is the greater of the learned figure and of the declared one, which
-// counts for less with each sample.
+// blend returns the greater of the learned value and the declared one, whose weight
+// decreases with each sample.
 func (e *Estimator) blend(n *entry, declared, learned uint32) uint32 {
 	doubt := max(0, e.settings.Trust-n.seen)
 	rest := uint64(e.withMargin(declared)) * uint64(doubt) / uint64(e.settings.Trust)
 	return max(uint32(rest), learned)
 }
 
-// Observe learns from an ended task.
+// Observe records the usage of an ended task.
 func (e *Estimator) Observe(template, account string, s Sample) {
 	n := e.find(key{template, account})
 	if n.series[seriesPower][n.current].total >= uint8(e.settings.Window) {
@@ -201,7 +202,7 @@
 	}
 }
 
-// turn starts a new window in place of the older one.
+// turn replaces the older window with a new one.
 func (n *entry) turn() {
 	n.current = 1 - n.current
 	for i := range n.series {
@@ -209,8 +210,8 @@
 	}
 }
 
-// refresh computes the learned quantiles and takes a quarter off a correction,
-// since the samples show the draw themselves.
+// refresh recomputes the learned quantiles and reduces the correction by a quarter,
+// since new samples show the higher power themselves.
 func (e *Estimator) refresh(n *entry) {
 	n.stale = 0
 	n.correction -= (n.correction - permilleFull) / 4
@@ -225,9 +226,9 @@
 	}
 }
 
-// Underestimated tells that a worker which ran tasks of this key drew permille
-// thousandths of what was charged there. The learned draw is raised by as
-// much; a quarter of the correction goes with every 8 samples.
+// Underestimated records that a worker that ran tasks of this key used permille
+// thousandths of the power charged there. The learned power is raised by that
+// factor; every 8 samples reduce the correction by a quarter.
 func (e *Estimator) Underestimated(template, account string, permille uint32) {
 	n := e.entries[key{template, account}]
 	if n == nil || permille <= permilleFull {
@@ -236,10 +237,10 @@
 	n.correction = min(max(n.correction, permille), maxCorrection)
 }
 
-// Len is the number of keys that are kept.
+// Len returns the number of stored keys.
 func (e *Estimator) Len() int { return len(e.entries) }
 
-// find returns a key's entry, making room for it if it is new.
+// find returns a key's entry, creating it (and evicting another) if needed.
 func (e *Estimator) find(k key) *entry {
 	n := e.entries[k]
 	if n == nil {
@@ -253,13 +254,13 @@
 	return n
 }
 
-// touch notes a use.
+// touch marks an entry as most recently used.
 func (e *Estimator) touch(n *entry) {
 	e.uses++
 	n.used = e.uses
 }
 
-// evict drops the key that was not used for longest.
+// evict drops the least recently used key.
 func (e *Estimator) evict() {
 	var oldest *entry
 	for _, n := range e.entries {
@@ -270,7 +271,7 @@
 	delete(e.entries, oldest.key)
 }
 
-// corrected raises a learned draw.
+// corrected applies a correction to the learned power.
 func corrected(learned, permille uint32) uint32 {
 	return clamp(uint64(learned) * uint64(permille) / permilleFull)
 }
--- a/internal/process/estimate/window.go
+++ b/internal/process/estimate/window.go
@@ -3,19 +3,19 @@
 import "math/bits"
 
 const (
-	// subBits gives 16 buckets to the octave.
+	// subBits gives 16 buckets for each power of two.
 	subBits = 4
-	// rangeBits is the width of the values that are told apart: 262,144 units.
+	// rangeBits is the width of the values that are distinguished: 262,144 units.
 	rangeBits = 18
 	// buckets covers the range; values below 16 units are counted exactly.
 	buckets = (rangeBits - subBits + 1) << subBits
-	// maxWindow is the most samples that a counter can hold.
+	// maxWindow is the maximum number of samples that a byte counter can hold.
 	maxWindow = 255
 )
 
-// window counts up to 255 samples in logarithmic buckets, a byte each. An
-// HdrHistogram of the same width takes 8 bytes a bucket and does not fit the
-// memory that is allowed for each key.
+// window is a histogram of up to 255 samples in logarithmic buckets of one byte
+// each. An HdrHistogram of the same width takes 8 bytes per bucket, which exceeds
+// the memory allowed for each key.
 type window struct {
 	counts [buckets]uint8
 	total  uint8
@@ -49,8 +49,8 @@
 	w.max = max(w.max, v)
 }
 
-// quantileOf is the value that permille thousandths of the samples of both
-// windows do not pass, 0 without samples.
+// quantileOf returns the value that permille thousandths of the samples of both
+// windows do not exceed, 0 without samples.
 func quantileOf(a, b *window, permille int) uint32 {
 	total := int(a.total) + int(b.total)
 	if total == 0 {
--- a/internal/process/fairness/doc.go
+++ b/internal/process/fairness/doc.go
@@ -1,23 +1,23 @@
-// Package fairness decides whose tasks start next at an entry VM that holds
-// workers.
+// Package fairness decides which tasks start next on the workers that an entry VM
+// holds.
 //
-// Between client accounts it shares the scarce resource (slots or watts) by
-// weight, over a tree of accounts with quotas. Within an account it runs
-// multi-level feedback on attained service, because declared sizes are often
-// far off: a job sinks as it consumes, so a short job never waits for a long
-// one that came earlier.
+// Between client accounts it shares the scarce resource (slots or power) by
+// weight, over a tree of accounts with quotas. Within an account it uses a
+// multi-level feedback queue on attained service, because declared sizes are
+// often far off: a job drops to lower levels as it consumes service, so a short
+// job never waits for a long one that arrived earlier.
 //
 // # Contract
 //
-//   - A Queue is a deterministic core: it does no I/O, reads no clock, starts no
-//     goroutine and draws no random number. The same calls give the same picks.
-//   - It is not safe for concurrent use; one duty of the process owns it.
-//   - Times passed in must not go backwards. One that does is read as the latest
-//     time seen, so that a stepped clock cannot produce negative service.
-//   - Next changes no count. The caller either calls Start for the pick, or Park,
-//     and then asks again.
+//   - A Queue is deterministic: it does no I/O, reads no clock, starts no
+//     goroutine and uses no random numbers. The same calls give the same picks.
+//   - It is not safe for concurrent use; one goroutine owns it.
+//   - Times passed in should not go backwards. An earlier time is replaced by the
+//     latest one seen, so that a clock step cannot produce negative service.
+//   - Next does not count the pick as started. The caller calls either Start or
+//     Park for the pick before it calls Next again.
 //   - Service is counted in share-seconds: one share-second is the whole
 //     capacity of the scarce resource for one second.
-//   - A lent share is regained as tasks end: an account that becomes active is
-//     offered every freed slot until it holds its due.
+//   - Unused shares are lent to other accounts and returned as tasks end: an
+//     account that becomes active gets every freed slot until it has its share.
 package fairness
--- a/internal/process/fairness/park.go
+++ b/internal/process/fairness/park.go
@@ -6,13 +6,13 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// Park takes a job out of the order until Unpark, because no worker can take
-// one of its tasks now. why is kept for the status page.
+// Park excludes a job from the order until Unpark, because no worker can run one
+// of its tasks now. The reason why is shown on the status page.
 //
-// Without a bound, smaller tasks would take each freed slot and a large one
-// would wait for ever; one would see a parked job whose wait grows while others
-// start. A job parked for longer than the patience therefore holds the others
-// back until it is placed or the hold ends.
+// Without a time limit, smaller tasks would take each freed slot and a large task
+// would starve: a parked job's wait would grow while others start. Once a job has
+// been parked for longer than ParkPatience, other work is therefore held back
+// until the job is placed or ParkHold has passed.
 func (q *Queue[K]) Park(key K, why reason.Code) {
 	j := q.jobs[key]
 	if j == nil || j.list == nil || j.list == &q.parked {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Unpark puts all parked jobs back at the front of their levels, in their former
-// order. Each job costs constant time, paid for by its Park.
+// Unpark returns all parked jobs to the front of their levels in their previous
+// order. It takes constant time per parked job.
 func (q *Queue[K]) Unpark() {
 	for j := q.parked.tail; j != nil; j = q.parked.tail {
 		q.parked.remove(j)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Drop withdraws the queued tasks of a job and returns their count. Running
-// tasks stay accounted until Finish.
+// Drop removes the queued tasks of a job and returns their count. Running tasks
+// stay accounted until Finish.
 func (q *Queue[K]) Drop(key K) int {
 	j := q.jobs[key]
 	if j == nil {
@@ -69,8 +69,8 @@
 	return dropped
 }
 
-// Expire withdraws the queued tasks of the jobs whose deadline passed and
-// returns their keys. Running tasks stay accounted until Finish.
+// Expire removes the queued tasks of jobs whose deadline has passed and returns
+// the keys of these jobs. Running tasks stay accounted until Finish.
 func (q *Queue[K]) Expire(now time.Time) []K {
 	q.advance(now)
 	var keys []K
--- a/internal/process/fairness/queue.go
+++ b/internal/process/fairness/queue.go
@@ -32,9 +32,9 @@
 	holdUntil float64
 }
 
-// New returns an empty queue. It panics on settings that Validate refuses. Until
-// SetCapacity is called, the capacity counts as one slot and one milliwatt, which
-// keeps the shares right and the bounds in time far too tight.
+// New returns an empty queue. It panics on settings that Validate rejects. Until
+// SetCapacity is called, the capacity is one slot and one milliwatt: shares are
+// right then, but bounds expressed in time are far too tight.
 func New[K comparable](s Settings) *Queue[K] {
 	if err := s.Validate(); err != nil {
 		panic(err)
@@ -54,7 +54,7 @@
 	return q
 }
 
-// advance takes the caller's time.
+// advance moves the queue's clock forward to the caller's time.
 func (q *Queue[K]) advance(now time.Time) {
 	if q.epoch.IsZero() {
 		q.epoch = now
@@ -62,8 +62,8 @@
 	q.now = max(q.now, seconds(now, q.epoch))
 }
 
-// SetCapacity tells what the shared resource amounts to. Values of zero or less
-// leave the former value.
+// SetCapacity sets the total capacity of the shared resources. Values of zero or
+// less leave the previous value.
 func (q *Queue[K]) SetCapacity(now time.Time, c Capacity) {
 	q.advance(now)
 	if c.Slots > 0 {
@@ -75,15 +75,15 @@
 	q.rekey()
 }
 
-// SetScarce tells which resource accounts share by weight from now on.
+// SetScarce sets the resource that accounts share by weight from now on.
 func (q *Queue[K]) SetScarce(now time.Time, r Resource) {
 	q.advance(now)
 	q.scarce = r
 	q.rekey()
 }
 
-// Push adds tasks to a job, new or known. The fields of a known job that can
-// change (remaining tasks, deadline, expected time) are taken from j.
+// Push adds tasks to a new or existing job. For an existing job, the fields that
+// can change (remaining tasks, deadline, expected time) are updated from j.
 func (q *Queue[K]) Push(now time.Time, j Job[K], tasks int) {
 	q.advance(now)
 	if tasks <= 0 {
@@ -161,9 +161,9 @@
 	}
 }
 
-// Next returns the job whose tasks go next. It reports false when nothing can
-// go: nothing is queued, all of it is parked or over quota, or other work is
-// held back for a job that was parked too long.
+// Next returns the job whose tasks should start next. It reports false if no task
+// may start: nothing is queued, all work is parked or over quota, or it is held
+// back for a job that was parked too long.
 func (q *Queue[K]) Next(now time.Time) (Pick[K], bool) {
 	q.advance(now)
 	if q.arrivals != nil {
--- a/internal/process/fairness/service.go
+++ b/internal/process/fairness/service.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Start records that n tasks of a job were placed. It reports false, and
-// changes nothing, when the job does not have that many queued tasks.
+// Start records that n tasks of a job were started. If the job has fewer queued
+// tasks, it changes nothing and returns false.
 func (q *Queue[K]) Start(now time.Time, key K, n int) bool {
 	q.advance(now)
 	j := q.jobs[key]
@@ -63,8 +63,9 @@
 
 // Finish records that n running tasks of a job ended, whatever their outcome.
 // busy is the sum of their run times and milliwattSeconds the sum of their
-// energy; they replace the estimates that Start charged. An energy of 0 is not
-// known yet, since usage is reported with a lag: the declared power is charged.
+// energy; they replace the estimates that Start charged. An energy of 0 means
+// that it is not known yet, since usage is reported with a delay; the declared
+// power is charged then.
 func (q *Queue[K]) Finish(now time.Time, key K, n int, busy time.Duration, milliwattSeconds float64) bool {
 	q.advance(now)
 	j := q.jobs[key]
--- a/internal/process/fairness/settings.go
+++ b/internal/process/fairness/settings.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// Policy selects the order of work.
+// Policy selects how the queue orders work.
 type Policy string
 
 const (
-	// PolicyFair shares between accounts and runs feedback levels within one.
+	// PolicyFair shares by weight between accounts and uses feedback levels within
+	// an account.
 	PolicyFair Policy = "fair"
-	// PolicyFIFO starts jobs in order of arrival. It is the baseline of the
-	// measurements and honours neither weights nor quotas.
+	// PolicyFIFO starts jobs in order of arrival. It is a baseline for comparison
+	// and ignores weights and quotas.
 	PolicyFIFO Policy = "fifo"
 )
 
 // Settings are the tunable parameters of a Queue.
 type Settings struct {
 	Policy Policy `json:"policy"`
-	// Memory bounds how much past under-use or over-use counts: an account is
-	// never ahead of or behind its due by more than Memory of its due rate.
+	// Memory limits how long past under-use or over-use counts: an account is
+	// never ahead of or behind its share by more than it is due in this time.
 	Memory time.Duration `json:"memory"`
-	// OccupancyWeight is how long each slot in use counts in advance. A larger
-	// value gives a lent share back faster; a smaller one follows past service
-	// more closely.
+	// OccupancyWeight is the time of service charged in advance for each slot in
+	// use. A larger value returns a lent share faster; a smaller one follows past
+	// service more closely.
 	OccupancyWeight time.Duration `json:"occupancyWeight"`
-	// Quanta are the attained service, in slot-time, at which a job sinks from
-	// the short levels to the next one, and so on.
+	// Quanta are the amounts of attained service, in slot-time, at which a job
+	// drops to the next lower level, beginning with the short levels.
 	Quanta [quantumCount]time.Duration `json:"quanta"`
-	// AgeingShare is the part of an account's service that its deepest waiting
-	// level is given for certain, from 0 up to 1.
+	// AgeingShare is the guaranteed part of an account's service, from 0 up to 1,
+	// for its lowest level with waiting work.
 	AgeingShare float64 `json:"ageingShare"`
 	// TailTasks is the count of unfinished tasks at which a job counts as nearly
 	// finished and is preferred over longer ones.
 	TailTasks int `json:"tailTasks"`
 	// MaxBatch bounds the tasks of one pick.
 	MaxBatch int `json:"maxBatch"`
-	// ParkPatience is how long a job may be parked before others are held back
-	// for it, and ParkHold how long they are held at most.
+	// ParkPatience is how long a job may be parked before other work is held back
+	// for it. ParkHold is the maximum time of holding it back.
 	ParkPatience time.Duration `json:"parkPatience"`
 	ParkHold     time.Duration `json:"parkHold"`
 }
 
-// Defaults returns the settings measured in docs/measurements/order.md.
+// Defaults returns the default settings; docs/measurements/order.md describes
+// their effect.
 func Defaults() Settings {
 	return Settings{
 		Policy:          PolicyFair,
@@ -58,8 +60,8 @@
 	}
 }
 
-// quantumCount is one less than the number of levels by size; the urgent level
-// is for the same sizes as the short one.
+// quantumCount is one less than the number of size classes; the urgent level
+// holds jobs of the same sizes as the short one.
 const quantumCount = levelCount - 2
 
 // quantum is the service in slot-seconds at which a job leaves a level.
@@ -67,7 +69,7 @@
 	return s.Quanta[max(0, level-shortLevel)].Seconds()
 }
 
-// SettingError names the setting that cannot be used and why.
+// SettingError reports an invalid setting.
 type SettingError struct {
 	Setting string
 	Problem string
@@ -78,7 +80,7 @@
 	return fmt.Sprintf("fairness: setting %s %s", e.Setting, e.Problem)
 }
 
-// Validate reports the first setting that cannot be used, as a *SettingError.
+// Validate reports the first invalid setting, as a *SettingError.
 func (s Settings) Validate() error {
 	positive := []struct {
 		name  string
--- a/internal/process/fairness/types.go
+++ b/internal/process/fairness/types.go
@@ -6,47 +6,48 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// Class is how pressing a template's work is.
+// Class is the urgency of a template's work.
 type Class uint8
 
 const (
-	// Urgent work has a caller waiting on the line.
+	// Urgent work has a caller blocked on the answer.
 	Urgent Class = iota
-	// Normal work has a caller waiting, with some patience.
+	// Normal work has a caller that waits but tolerates some delay.
 	Normal
 	// Bulk work has no caller waiting.
 	Bulk
 )
 
-// Resource is what accounts share by weight.
+// Resource is the resource that accounts share by weight.
 type Resource uint8
 
 const (
 	// Slots is the default scarce resource.
 	Slots Resource = iota
-	// Watts is scarce when the power cap binds before the slots do.
+	// Watts is scarce when the power cap is reached before the slots are used up.
 	Watts
 )
 
-// Reasons for a pick, and for an account that has to wait.
+// Reasons for a pick and for the wait of an account.
 const (
 	// ShareDue: the account is furthest behind its weighted share.
 	ShareDue reason.Code = "share_due"
-	// Passed: short urgent work went first, within its account's due.
+	// Passed: short urgent work went first, within its account's share.
 	Passed reason.Code = "urgent_within_due"
-	// Aged: the job's level was owed service by the shorter jobs above it.
+	// Aged: the job's level has not had its guaranteed part (AgeingShare) of the
+	// account's service, because of shorter jobs.
 	Aged reason.Code = "aged"
-	// JobTail: only the last tasks of the job are left.
+	// JobTail: only the last tasks of the job remain.
 	JobTail reason.Code = "job_tail"
-	// Starved: the job was parked longer than the patience.
+	// Starved: the job was parked for longer than ParkPatience.
 	Starved reason.Code = "starved"
 	// ArrivalOrder: the policy is first-in-first-out.
 	ArrivalOrder reason.Code = "arrival_order"
-	// HeldBack: other work waits while a starved job is being placed.
+	// HeldBack: the work waits until a starved job has been placed.
 	HeldBack reason.Code = "held_back"
 	// Waiting: the account waits for its turn.
 	Waiting reason.Code = "waiting_for_share"
-	// Idle: the account has nothing queued.
+	// Idle: the account has no queued work.
 	Idle reason.Code = "nothing_queued"
 )
 
@@ -55,11 +56,11 @@
 	Name string
 	// Weight is relative to the siblings under the same parent; 0 counts as 1.
 	Weight uint32
-	// QuotaSlots bounds the slots in use of the account and those below it, over
+	// QuotaSlots bounds the slots in use by the account and its descendants over
 	// all entry VMs; 0 is no bound.
 	QuotaSlots uint32
-	// Parent is the name of the enclosing account, or "" at the top. A parent
-	// that is unknown or that forms a cycle counts as "".
+	// Parent is the name of the parent account, or "" at the top level. An
+	// unknown parent, or one that forms a cycle, counts as "".
 	Parent string
 }
 
@@ -73,37 +74,37 @@
 	Slots      uint32
 	Milliwatts uint32
 	// Expected is the declared run time of one task. It is used until run times
-	// of the same template and account have been seen.
+	// of the same template and account have been observed.
 	Expected time.Duration
-	// JobRemaining counts the unfinished tasks of the whole submission, also
-	// those at other entry VMs.
+	// JobRemaining counts the unfinished tasks of the whole submission,
+	// including those at other entry VMs.
 	JobRemaining int
-	// Deadline ends the waiting; the zero time is none.
+	// Deadline is when queued tasks expire; zero if there is none.
 	Deadline time.Time
 }
 
-// Pick is the answer of Next: up to Max tasks of the job Key go next.
+// Pick is the result of Next: up to Max tasks of the job Key should start next.
 type Pick[K comparable] struct {
 	Key K
 	Max int
 	Why reason.Code
 }
 
-// Usage is what one account uses at all other entry VMs together.
+// Usage is the total usage of one account at all other entry VMs.
 type Usage struct {
 	Account    string
 	Slots      float64
 	Milliwatts float64
 }
 
-// Capacity is what the workers held by this entry VM and by those reported
-// through SetRemoteUsage offer together.
+// Capacity is the total capacity of the workers held by this entry VM and by the
+// entry VMs reported through SetRemoteUsage.
 type Capacity struct {
 	Slots      float64
 	Milliwatts float64
 }
 
-// AccountStatus shows one account's standing, for the operators' status page.
+// AccountStatus is the state of one account, for the operators' status page.
 type AccountStatus struct {
 	Name   string
 	Weight uint32
@@ -114,11 +115,11 @@
 	QueuedTasks int
 	QueuedJobs  int
 	ParkedJobs  int
-	// Service is what the account was given, in share-seconds, and Due what its
-	// weight entitled it to while it was active. Service below Due with nothing
-	// queued means that the account asked for less.
+	// Service is the service that the account received, in share-seconds. Due is
+	// the service that its weight entitled it to while it was active. Service
+	// below Due with nothing queued means that the account requested less.
 	Service float64
 	Due     float64
-	// Why says why the account waits, or Idle.
+	// Why is the reason for which the account waits, or Idle.
 	Why reason.Code
 }
--- a/internal/process/fleet/fleet.go
+++ b/internal/process/fleet/fleet.go
@@ -1,9 +1,8 @@
-// Package fleet keeps what the platform's list of VMs said, as immutable
-// snapshots: which entry VMs and workers there are, and which workers are the
-// candidates of a ticket.
+// Package fleet stores the platform's list of VMs as immutable snapshots. It knows
+// which entry VMs and workers exist and derives the candidate workers of a ticket.
 //
-// The list lags and can be out of reach; nothing here decides that a VM is dead.
-// Snapshots only go forward in version: a stale read changes nothing.
+// The list lags behind and may be unavailable, so this package never decides that
+// a VM is dead. Snapshot versions only increase: a stale read is ignored.
 package fleet
 
 import (
@@ -15,14 +14,15 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Bounds on the candidates of a ticket: a recovery asks that many workers at
-// most, and a job has that many workers' slots at most.
+// Maximum number of candidate workers of a ticket in the home's failure domain and
+// in the others. They bound how many workers a recovery asks and a job can use.
 const (
 	CandidatesAtHome    = 48
 	CandidatesElsewhere = 48
 )
 
-// keptSnapshots is how many list versions are remembered for tickets.
+// keptSnapshots is how many list versions are retained to derive the candidates
+// of older tickets.
 const keptSnapshots = 8
 
 // VM is one entry of the list.
@@ -37,7 +37,7 @@
 	Since       uint64
 }
 
-// Snapshot is the list at one version.
+// Snapshot is one version of the list.
 type Snapshot struct {
 	Version uint64
 	Entries map[string]VM
@@ -45,18 +45,18 @@
 	pool    *ownership.Pool
 }
 
-// Fleet remembers snapshots. It is safe for concurrent use.
+// Fleet retains the latest snapshots. It is safe for concurrent use.
 type Fleet struct {
 	mu      sync.Mutex
 	history []*Snapshot // by version, the newest last
 }
 
-// New returns a Fleet that has seen no list.
+// New returns a Fleet with an empty list of version 0.
 func New() *Fleet {
 	return &Fleet{history: []*Snapshot{build(&pb.ListVMsResponse{})}}
 }
 
-// Update takes a list and reports whether it was newer than the last one.
+// Update stores a list and reports whether it was newer than the latest one.
 func (f *Fleet) Update(m *pb.ListVMsResponse) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +85,7 @@
 	return s
 }
 
-// refs names the workers that had joined by a list version.
+// refs returns the workers that had joined by a list version.
 func (s *Snapshot) refs(by uint64) []ownership.WorkerRef {
 	refs := make([]ownership.WorkerRef, 0, len(s.Workers))
 	for _, w := range s.Workers {
@@ -103,7 +103,8 @@
 	return f.history[len(f.history)-1]
 }
 
-// Choose draws the candidates of a new ticket, and their digest.
+// Choose returns the candidates of a new ticket, drawn pseudo-randomly by its ID,
+// and their digest.
 func (s *Snapshot) Choose(id ticket.ID, domain string) ([]ownership.WorkerRef, uint64) {
 	refs := candidates(s.pool, id, domain)
 	return refs, ownership.Digest(refs)
@@ -113,17 +114,17 @@
 	return pool.Candidates(id.Incarnation^id.Counter*goldenRatio, domain, CandidatesAtHome, CandidatesElsewhere)
 }
 
-// leastNarrow is how many candidates even the smallest job has.
+// leastNarrow is the minimum number of candidates of a job.
 const leastNarrow = 24
 
-// perTask is how many candidates a job has for each of its tasks.
+// perTask is the number of candidates for each task of a job.
 const perTask = 4
 
-// Narrow cuts a ticket's candidates to what a job of that many tasks can use, so
-// that a recovery asks that many workers only. Home and recoverer cut the same
-// way: it depends on the ticket's own candidates and on the number of tasks. The
-// home's failure domain and the others take turns, so that a job whose domain is
-// full can still go elsewhere.
+// Narrow reduces a ticket's candidates to those that a job with that many tasks can
+// use, so that a recovery has fewer workers to ask. The result depends only on the
+// ticket's candidates and the number of tasks, so the home and a recoverer get the
+// same one. Half of it comes from other failure domains where possible, so that a
+// job whose domain is full can still run elsewhere.
 func Narrow(refs []ownership.WorkerRef, homeDomain string, tasks int) []ownership.WorkerRef {
 	limit := max(leastNarrow, perTask*tasks)
 	if len(refs) <= limit {
@@ -143,9 +144,10 @@
 // goldenRatio spreads consecutive counters over the whole range.
 const goldenRatio = 0x9E3779B97F4A7C15
 
-// Candidates derives the workers of a ticket from what this VM knows. complete
-// is false when it can not be proven that they are all of them: the list of the
-// ticket's version is not known here, and workers have gone since.
+// Candidates derives the candidate workers of a ticket from the stored lists.
+// complete is false if their digest differs from the ticket's, so that workers may
+// be missing: this VM does not have the list of the ticket's version, and workers
+// have left since.
 func (f *Fleet) Candidates(t *ticket.Ticket) (refs []ownership.WorkerRef, complete bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
