--- a/internal/standin/mesh/mesh.go
+++ b/internal/standin/mesh/mesh.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// Cut separates a domain from the others: open connections fall silent, for good, and
+// SetCut separates a domain from the others: open connections fall silent, for good, and
 // new ones hang while the cut lasts.
 func (m *Mesh) SetCut(domain string, cut bool) {
 	m.mu.Lock()
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -151,7 +151,7 @@
 	return p.refused
 }
 
-// begin counts a call, applies the rate limit and the injected delay.
+// admitCall counts a call, applies the rate limit and the injected delay.
 func (p *Platform) admitCall(ctx context.Context, method Method, limiter *rate.Limiter) error {
 	p.mu.Lock()
 	p.calls[method]++
--- a/internal/standin/site/await.go
+++ b/internal/standin/site/await.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// unheld names the workers that live and that no entry VM holds.
+// unleasedWorkers names the workers that live and that no entry VM holds.
 func (s *Site) unleasedWorkers() []string {
 	held := make(map[string]bool)
 	for _, e := range s.Entries() {
--- a/internal/standin/site/partition.go
+++ b/internal/standin/site/partition.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// place notes the failure domain of a listener.
+// setDomain notes the failure domain of a listener.
 func (p *partition) setDomain(address, domain string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.domains[address] = domain
 }
 
-// set cuts a failure domain off from all others and from the platform, or heals
+// setCut cuts a failure domain off from all others and from the platform, or heals
 // the cut.
 func (p *partition) setCut(domain string, cut bool) {
 	p.mu.Lock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// separates reports whether a cut lies between two failure domains. The caller
+// isCut reports whether a cut lies between two failure domains. The caller
 // holds the lock.
 func (p *partition) isCut(from, to string) bool {
 	return from != to && (p.cut[from] || p.cut[to])
@@ -107,9 +107,9 @@
 	return c.Conn.Close()
 }
 
-// Cut cuts a failure domain off from the others and from the platform: its
+// CutDomain cuts a failure domain off from the others and from the platform: its
 // connections across the cut break, and new ones are refused.
 func (s *Site) CutDomain(domain string) { s.partition.setCut(domain, true) }
 
-// Heal ends a cut.
+// ReconnectDomain ends a cut.
 func (s *Site) ReconnectDomain(domain string) { s.partition.setCut(domain, false) }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -210,7 +210,7 @@
 	return e, nil
 }
 
-// peers are the peer listeners of some entry VMs that live.
+// seedPeers are the peer listeners of some entry VMs that live.
 func (s *Site) seedPeers() (addresses []string) {
 	for _, e := range s.Entries() {
 		if len(addresses) < maxSeedPeers {
@@ -223,7 +223,7 @@
 // maxSeedPeers is how many others an entry VM is told of in its settings.
 const maxSeedPeers = 3
 
-// relist tells the platform's list which VMs there are.
+// publishVMList tells the platform's list which VMs there are.
 func (s *Site) publishVMList() {
 	s.mu.Lock()
 	vms := slices.Clone(s.opt.ExternalEntryVMs)
--- a/internal/standin/worker/records.go
+++ b/internal/standin/worker/records.go
@@ -4,33 +4,33 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Traffic counts what passed over the streams of a worker's lease holders.
+// Traffic counts the messages on the streams of a worker's lease holders.
 type Traffic struct {
-	Received   int // messages, heartbeats among them
-	Sent       int // messages, answers to heartbeats among them
-	Refused    int // starts that were not accepted
-	Duplicates int // of them, starts of tasks that were started before
+	Received   int // messages, including heartbeats
+	Sent       int // messages, including answers to heartbeats
+	Refused    int // starts that were refused, duplicates included
+	Duplicates int // refused because the task had been started before
 }
 
-// Traffic returns the counts since the worker's start.
+// Traffic returns the counts since the worker was created.
 func (w *Worker) Traffic() Traffic {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.traffic
 }
 
-// Calls counts the control calls that were made to a worker.
+// Calls counts the control calls (Seal, Follow, StopSubmission) that a worker received.
 type Calls struct{ Seals, Follows, Stops int }
 
-// Calls returns how many control calls were made so far.
+// Calls returns the counts of control calls since the worker was created.
 func (w *Worker) Calls() Calls {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls
 }
 
-// Starts returns how often each task was started: the number of tasks, of
-// starts, and the highest count of one task.
+// Starts returns how many distinct tasks were started, how many starts there were
+// in total, and the highest number of starts of one task.
 func (w *Worker) Starts() (tasks, starts, highest int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,7 +42,8 @@
 	return tasks, starts, highest
 }
 
-// EachStart calls f for every task that was ever started here.
+// EachStart calls f for every task that was ever started here, with its number of
+// starts. f must not call the worker.
 func (w *Worker) EachStart(f func(id ticket.ID, index uint32, count int)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,8 +52,8 @@
 	}
 }
 
-// Draw returns the present and the highest draw in milliwatts, idle included. A
-// dead worker draws nothing.
+// Draw returns the current and the highest draw in milliwatts, idle draw
+// included. A killed worker draws nothing.
 func (w *Worker) Draw() (now, peak uint32) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,7 +63,8 @@
 	return w.draw(), w.peakDraw
 }
 
-// EachInUse calls f with the slots that each submission occupies here now.
+// EachInUse calls f for each submission with the number of slots it uses now. f
+// must not call the worker.
 func (w *Worker) EachInUse(f func(id ticket.ID, slots uint32)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,21 +73,21 @@
 	}
 }
 
-// PeakSlots returns the most slots that were ever in use at a time.
+// PeakSlots returns the highest number of slots that were in use at a time.
 func (w *Worker) PeakSlots() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.peakSlots
 }
 
-// occupy counts the slots of a task that starts. The caller holds mu.
+// reserveSlots adds the slots of a task that starts. The caller holds mu.
 func (w *Worker) reserveSlots(id ticket.ID, slots uint32) {
 	w.slots[id] += slots
 	w.slotsInUse += slots
 	w.peakSlots = max(w.peakSlots, w.slotsInUse)
 }
 
-// vacate counts the slots of a task that leaves. The caller holds mu.
+// releaseSlots subtracts the slots of a task that has ended. The caller holds mu.
 func (w *Worker) releaseSlots(id ticket.ID, slots uint32) {
 	w.slotsInUse -= slots
 	if w.slots[id] -= slots; w.slots[id] == 0 {
--- a/internal/standin/worker/service.go
+++ b/internal/standin/worker/service.go
@@ -18,20 +18,21 @@
 const (
 	eventQueueSize = 1 << 14
 	maxFollow      = 30 * time.Second
-	retryDivisor   = 4 // a denied holder asks again after a quarter of the rest
+	retryDivisor   = 4 // a denied holder is told to retry after a quarter of the remaining lease time
 )
 
-// event is one thing to tell the holder.
+// event is one item to send to the lease holder: a task result, the answer to a
+// heartbeat, or the confirmation of an allotment or throttle.
 type event struct {
 	id        ticket.ID
 	result    *pb.TaskResult
 	heartbeat uint64
-	// allotment and throttled confirm what a holder put in force.
+	// allotment and throttled confirm settings that the holder made.
 	allotment *pb.AllotmentAnswer
 	throttled *pb.Throttle
 }
 
-// stream is one holder's connection.
+// stream is the connection of one lease holder.
 type stream struct {
 	epoch  uint64
 	events *ring.Ring[event]
@@ -41,7 +42,7 @@
 	s.events.TryPush(event{id: id, result: r})
 }
 
-// Handler serves the worker's interface.
+// Handler returns the HTTP handler of the worker service.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := pumiceyardv1connect.NewWorkerServiceHandler(w, wire.HandlerOptions()...)
@@ -49,9 +50,10 @@
 	return mux
 }
 
-var errDead = connect.NewError(connect.CodeUnavailable, errors.New("worker is dead"))
+var errDead = connect.NewError(connect.CodeUnavailable, errors.New("the worker was killed"))
 
-// Hold implements the service.
+// Hold implements WorkerService: it grants or denies the lease and serves the
+// holder's stream.
 func (w *Worker) Hold(ctx context.Context, conn *connect.BidiStream[pb.HoldRequest, pb.HoldResponse]) error {
 	first, err := conn.Receive()
 	if err != nil {
@@ -68,7 +70,7 @@
 	return w.sendLoop(ctx, conn, s)
 }
 
-// receive is the stream's reading duty.
+// receiveLoop handles the holder's messages until the stream ends.
 func (w *Worker) receiveLoop(conn *connect.BidiStream[pb.HoldRequest, pb.HoldResponse], s *stream) {
 	defer s.events.Close()
 	for {
@@ -82,7 +84,8 @@
 	}
 }
 
-// sendLoop is the stream's writing duty: whatever waits goes out as one message.
+// sendLoop sends queued events to the holder; all that are queued go out as one
+// message.
 func (w *Worker) sendLoop(ctx context.Context, conn *connect.BidiStream[pb.HoldRequest, pb.HoldResponse], s *stream) error {
 	for {
 		select {
@@ -110,7 +113,8 @@
 	}
 }
 
-// gather turns waiting events into one message, one group per submission.
+// mergeEvents combines queued events into one message with one result group per
+// submission.
 func mergeEvents(events []event) *pb.HoldResponse {
 	if len(events) == 0 {
 		return nil
@@ -139,8 +143,8 @@
 	w.mu.Unlock()
 }
 
-// confirm puts an event that is no result into a message. A holder has one
-// allotment and one throttle under way at a time.
+// addTo adds an event that is not a task result to a message. One field each is
+// enough, as a holder has at most one allotment and one throttle in flight.
 func (e *event) addTo(m *pb.HoldResponse) {
 	m.Beat = max(m.Beat, e.heartbeat)
 	if e.allotment != nil {
@@ -167,8 +171,9 @@
 	}
 }
 
-// acquire decides who holds the lease. A holder keeps it until it gives it back
-// or lets it lapse on this worker's clock; only then the epoch advances.
+// acquire grants or denies the lease. Another entry VM gets it only after the
+// holder has released it or it has expired on this worker's clock. Each grant
+// advances the lease epoch, which is the fencing token of the holder's messages.
 func (w *Worker) acquire(now time.Time, a *pb.Acquire) (*stream, *pb.HoldResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,8 +210,8 @@
 	}}
 }
 
-// loads lists what still runs here for earlier holders, so that a new holder
-// counts slots and watts exactly.
+// runningLoads lists the tasks that run here, started by earlier holders, so that a
+// new holder accounts for their slots and watts exactly.
 func (w *Worker) runningLoads() []*pb.TaskLoad {
 	var loads []*pb.TaskLoad
 	for id, sub := range w.submissions {
@@ -228,7 +233,8 @@
 	}
 }
 
-// take handles one message of a holder and reports whether to go on.
+// handleRequest handles one message of a holder and reports whether the stream
+// goes on.
 func (w *Worker) handleRequest(now time.Time, s *stream, m *pb.HoldRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -269,8 +275,8 @@
 	return true
 }
 
-// handlePower handles what the lease's holder says about watts. A checkpoint is a
-// stop here: a task that was saved is not taken up again.
+// handlePower applies the power settings of the lease holder. A checkpoint is
+// treated as a stop: the stand-in does not resume checkpointed tasks.
 func (w *Worker) handlePower(now time.Time, s *stream, m *pb.HoldRequest) {
 	if m.Throttle != nil && m.Throttle.Permille > 0 {
 		s.events.TryPush(event{throttled: w.applyThrottle(now, m.Throttle)})
@@ -295,8 +301,8 @@
 	}
 }
 
-// Seal implements the service: the promise that no start under a lower
-// generation is accepted from now on, and the list of what did start.
+// Seal implements WorkerService. From now on the worker refuses starts under a
+// generation lower than the request's; it answers with the tasks that did start.
 func (w *Worker) Seal(ctx context.Context, req *connect.Request[pb.SealRequest]) (*connect.Response[pb.SealResponse], error) {
 	if w.isSilent() {
 		<-ctx.Done()
@@ -334,7 +340,7 @@
 	return out
 }
 
-// Follow implements the service.
+// Follow implements WorkerService: it waits until a requested task has ended.
 func (w *Worker) Follow(ctx context.Context, req *connect.Request[pb.FollowRequest]) (*connect.Response[pb.FollowResponse], error) {
 	wait := min(time.Duration(req.Msg.WaitMillis)*time.Millisecond, maxFollow)
 	timeout := time.NewTimer(wait)
@@ -359,9 +365,9 @@
 
 var errNoRecord = connect.NewError(connect.CodeNotFound, errors.New("no record of the task: the worker was restarted or the ticket has expired"))
 
-// endedTasks returns those of the named tasks that have ended. A task that is not
-// known is an error: nobody follows what did not start, so the worker was
-// restarted, and its caller would wait for the end of the task for ever.
+// endedTasks returns those of the requested tasks that have ended. An unknown task
+// is an error: only started tasks are followed, so the worker was restarted, and
+// without the error the caller would wait forever for the task to end.
 func (w *Worker) endedTasks(m *pb.FollowRequest) ([]*pb.TaskResult, <-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -386,7 +392,7 @@
 	return out, sub.changed, nil
 }
 
-// StopSubmission implements the service.
+// StopSubmission implements WorkerService.
 func (w *Worker) StopSubmission(_ context.Context, req *connect.Request[pb.StopSubmissionRequest]) (*connect.Response[pb.StopSubmissionResponse], error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,14 +1,15 @@
-// Package worker is a small stand-in for an upstream worker: it keeps a lease
-// with a growing epoch, runs tasks by waiting, remembers every start, and can
-// be made to die, fall silent, straggle or fail everything.
+// Package worker is an in-process stand-in for an upstream worker, for tests and
+// demonstrations. It grants its lease to one entry VM at a time, with an epoch that
+// grows with each grant, simulates tasks by timers, and counts every start. Tests
+// can kill it, silence it, slow its tasks down or let all of them fail.
 //
-// It is the arbiter the at-most-once protocol relies on. A start is accepted
-// only when no record of the task exists, for this incarnation of the worker,
-// under the current lease epoch, before the ticket's expiry, and under a
-// generation that is not sealed off.
+// The protocol that runs each task at most once relies on the worker: it accepts a
+// start only if it has no record of the task, the start is meant for its current
+// incarnation, the lease epoch is current, the ticket has not expired, and the
+// generation is not below the sealed one.
 //
-// It also keeps the record of its part of the power cap, and its guard keeps its
-// draw within the allotment, see power.go.
+// The worker also stores the allotment of its share of the power cap and keeps its
+// draw within it, see power.go.
 package worker
 
 import (
@@ -21,15 +22,15 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// Outcome is what running one task gives.
+// Outcome is the simulated result of one task.
 type Outcome struct {
-	Run        time.Duration // time in its slot
+	Run        time.Duration // run time at full speed
 	Output     []byte
 	Failure    string // empty when the task succeeds
-	Milliwatts uint32 // true draw above idle; 0: as declared
+	Milliwatts uint32 // real draw above idle; 0: as declared
 }
 
-// Behaviour decides how one task goes.
+// Behaviour returns the outcome of a task from its template and input.
 type Behaviour func(template string, input []byte) Outcome
 
 // Config describes one worker.
@@ -39,24 +40,25 @@
 	Capacity       *pb.Resources
 	IdleMilliwatts uint32
 	Behaviour      Behaviour
-	// RetainBytes bounds the outputs kept for tasks that ended.
+	// RetainBytes limits the total size of the outputs kept of ended tasks; 0 means
+	// 16 MiB.
 	RetainBytes int
-	// UsageLag is how old a usage report is when it is sent.
+	// UsageLag is the reported age of the usage figures in heartbeat answers.
 	UsageLag time.Duration
 }
 
-// Defaults of a Config.
+// Defaults and limits.
 const (
 	defaultRetainBytes = 16 << 20
 	maxTTL             = 10 * time.Second
-	// clockSkew is how far apart the clocks of an entry VM and of a worker may
-	// be. Records are kept that much past the ticket's expiry: a start that
-	// arrives later is refused by its expiry, so a forgotten record can not
-	// turn into a second start.
+	// clockSkew is the largest difference between the clocks of an entry VM and of
+	// a worker. Records are kept this long past the ticket's expiry: a start that
+	// arrives later is refused as expired, so that dropping a record cannot lead
+	// to a second start.
 	clockSkew = 5 * time.Second
 )
 
-// Worker is the state of one worker. It is safe for concurrent use.
+// Worker is a simulated worker. It is safe for concurrent use.
 type Worker struct {
 	cfg Config
 
@@ -86,11 +88,11 @@
 	peakSlots       uint32
 }
 
-// Faults are switched by tests and the demo.
+// Faults are the injected faults. The zero value is a healthy worker.
 type Faults struct {
-	Silent         bool    // messages are taken and never answered
+	Silent         bool    // messages are received and never answered
 	FailEverything bool    // each task fails at once
-	RunTimeFactor  float64 // run times are multiplied by it when above 0
+	RunTimeFactor  float64 // multiplies run times; 0 means 1
 }
 
 type taskKey struct {
@@ -113,11 +115,11 @@
 	reason           string
 	run              time.Duration
 	each             *pb.Resources
-	charged          uint32 // milliwatts under the cap
+	charged          uint32 // milliwatts charged against the allotment
 	draw             uint32 // milliwatts at full speed
 	started          time.Time
 	timer            *time.Timer
-	remaining        time.Duration // run time at full speed that was left at since
+	remaining        time.Duration // run time at full speed that remained at remainingAt
 	remainingAt      time.Time
 	fullSpeedRunTime time.Duration // run time at full speed
 	slowed           bool
@@ -128,7 +130,7 @@
 	size int
 }
 
-// New returns a worker that holds no lease and has run nothing.
+// New returns a worker whose lease nobody holds and that has run no tasks.
 func New(cfg Config) *Worker {
 	if cfg.RetainBytes == 0 {
 		cfg.RetainBytes = defaultRetainBytes
@@ -143,15 +145,15 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (w *Worker) SetFaults(f Faults) {
 	w.mu.Lock()
 	w.faults = f
 	w.mu.Unlock()
 }
 
-// Kill ends the worker as a crash does: tasks vanish, streams break, and every
-// later call fails.
+// Kill simulates a crash: running tasks are lost, the holder's stream ends, and
+// every later call fails.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,11 +170,11 @@
 	w.endStream()
 }
 
-// ID is the worker's name.
+// ID returns the worker's name.
 func (w *Worker) ID() string { return w.cfg.ID }
 
-// start decides one task and runs it when it may. It returns nil when the task
-// started and has not ended yet.
+// start accepts or refuses one task of a group and starts it if accepted. It
+// returns nil if the task has started and not ended yet.
 func (w *Worker) start(now time.Time, epoch uint64, g *pb.StartGroup, i int) *pb.TaskResult {
 	index := g.Index[i]
 	if code := w.refusalCode(now, epoch, g, index); code != "" {
@@ -207,12 +209,12 @@
 	return nil
 }
 
-// refusal returns why a start is not accepted, or "".
+// refusalCode returns why a start is refused, or "" if it is accepted.
 //
-// A record comes first: any other refusal tells the home that the task did not
-// start here. The incarnation is checked because a restarted worker has
-// forgotten its seals; without the check it would start what a recovering entry
-// VM has sealed off here and started elsewhere.
+// The check for an existing record comes first, since any other refusal tells the
+// home that the task did not start here. The incarnation is checked because a
+// restarted worker has lost its seals: without the check it could start a task that
+// a recovering entry VM had sealed here and started elsewhere.
 func (w *Worker) refusalCode(now time.Time, epoch uint64, g *pb.StartGroup, index uint32) reason.Code {
 	sub := w.submissions[wire.ID(g.Submission)]
 	if sub != nil && sub.tasks[index] != nil {
@@ -264,7 +266,7 @@
 	return sub
 }
 
-// end records the end of a running task. The caller holds mu.
+// finish records the outcome of a running task. The caller holds mu.
 func (w *Worker) finish(sub *submission, t *task, out Outcome) {
 	t.state = pb.TaskState_TASK_STATE_DONE
 	t.output = out.Output
@@ -276,7 +278,8 @@
 	w.retain(t)
 }
 
-// leave frees what a task occupied. The caller holds mu.
+// release frees the slots and the power of a task that has ended and wakes those
+// who follow its submission. The caller holds mu.
 func (w *Worker) release(sub *submission, t *task) {
 	t.run = time.Since(t.started)
 	w.running--
@@ -288,7 +291,7 @@
 	sub.changed = make(chan struct{})
 }
 
-// retain keeps an output and discards the oldest ones past the bound.
+// retain keeps an output and discards the oldest ones above RetainBytes.
 func (w *Worker) retain(t *task) {
 	w.retained = append(w.retained, retainedOutput{t, len(t.output)})
 	w.retainBytes += len(t.output)
@@ -303,7 +306,7 @@
 	}
 }
 
-// ended is called by a task's timer.
+// timerFired finishes a task whose run time is over; its timer calls it.
 func (w *Worker) timerFired(id ticket.ID, index uint32, out Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -320,8 +323,8 @@
 	w.push(id, t.result(index))
 }
 
-// push hands a result to the holder, if one is connected. A holder that is not
-// gets no results later: homes ask by submission instead.
+// push queues a result for the holder if it is connected. A disconnected holder does
+// not get the result later; homes ask for the results of a submission instead.
 func (w *Worker) push(id ticket.ID, r *pb.TaskResult) {
 	if w.stream != nil {
 		w.stream.push(id, r)
@@ -340,7 +343,8 @@
 	}
 }
 
-// stop ends a running task on request. The caller holds mu.
+// stop ends a running task on request and reports whether it was running. The
+// caller holds mu.
 func (w *Worker) stop(id ticket.ID, index uint32) bool {
 	sub := w.submissions[id]
 	if sub == nil {
@@ -359,7 +363,8 @@
 	return true
 }
 
-// sweep forgets submissions whose ticket has expired. The caller holds mu.
+// dropExpired drops the records of submissions whose ticket expired more than
+// clockSkew ago and that have no running task. The caller holds mu.
 func (w *Worker) dropExpired(now time.Time) {
 	if now.Before(w.nextExpiryCheck) {
 		return
--- a/internal/standin/worker/worker_test.go
+++ b/internal/standin/worker/worker_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Now()
 
-// held returns a worker whose lease an entry VM holds.
+// newLeasedWorker returns a worker that is leased to the entry VM vm1.
 func newLeasedWorker(t *testing.T) (*Worker, *stream) {
 	t.Helper()
 	w := New(Config{ID: "w1", Incarnation: 7, Capacity: &pb.Resources{Slots: 4}})
@@ -24,7 +24,7 @@
 	return w, s
 }
 
-// startOfTask0 is a start of task 0.
+// startOfTask0 returns a start of task 0 for an incarnation of the worker.
 func startOfTask0(incarnation uint64) *pb.StartGroup {
 	return &pb.StartGroup{
 		Submission:        &pb.SubmissionID{Incarnation: 1, Counter: 1},
@@ -36,9 +36,10 @@
 	}
 }
 
-// Symptom: a task runs on two workers. Sequence: an entry VM recovers a
-// submission and seals this worker; the worker is restarted; the home, which was
-// only cut off, sends a start here. Cause: the new incarnation knew no seal.
+// Guards against a task running on two workers. An entry VM recovers a submission
+// and seals it on this worker; the worker restarts; the home, which was only cut off,
+// sends a start. The new incarnation has lost the seal and has to refuse the start
+// by its incarnation.
 func TestRestartedWorkerRefusesOlderStarts(t *testing.T) {
 	w, s := newLeasedWorker(t)
 	r := w.start(now, s.epoch, startOfTask0(6), 0)
@@ -50,9 +51,9 @@
 	}
 }
 
-// Symptom: "not run" for a task that ran. Sequence: a start is accepted; a copy
-// of it comes under an epoch that has ended. Cause: the copy was refused as
-// stale, which tells the home that the task did not start here.
+// Guards against "not run" being reported for a task that ran. A start is accepted,
+// and a copy of it arrives under an earlier lease epoch. If the copy were refused as
+// stale, the home would conclude that the task did not start here.
 func TestDuplicateIsReportedBeforeStaleEpoch(t *testing.T) {
 	w, s := newLeasedWorker(t)
 	w.start(now, s.epoch, startOfTask0(7), 0)
@@ -61,11 +62,11 @@
 	}
 }
 
-// Symptom: a caller waits until its deadline although the worker that ran its
-// task was restarted long before. Sequence: a home follows a running task, the
-// worker restarts at the same address, the home asks again. Cause: a task without
-// a record looked like one that runs. The record made for the question, with a
-// short expiry, could also end that of a later start too early.
+// Guards against a caller waiting until its deadline although the worker that ran
+// its task restarted long before. A home follows a running task, the worker restarts
+// at the same address, and the home follows again: a task without a record must not
+// look like a running one. Follow must not create a record either: with its short
+// expiry, the record of a later start could be dropped too early.
 func TestFollowOfAnUnknownTaskFails(t *testing.T) {
 	w, _ := newLeasedWorker(t)
 	req := connect.NewRequest(&pb.FollowRequest{Submission: &pb.SubmissionID{Incarnation: 1, Counter: 1}, Index: []uint32{0}})
@@ -73,14 +74,14 @@
 		t.Fatalf("error %v, want not found", err)
 	}
 	if len(w.submissions) != 0 {
-		t.Fatal("the question left a record")
+		t.Fatal("Follow of an unknown task created a record")
 	}
 }
 
-// Symptom: a task runs under a holder that lost the worker. Sequence: a holder is
-// paused past its lease, another one gets the lease, the first wakes and sends
-// starts, doubled, and a heartbeat. Cause would be judging the lease on the
-// holder's clock, or renewing a lapsed one.
+// Guards against a task being started by a holder whose lease has expired. The holder
+// is paused past the end of its lease, another entry VM may have acquired it, and then
+// the holder sends the same start twice and a heartbeat. The worker must judge the
+// lease by its own clock and must not renew an expired one.
 func TestPausedHolderCannotStartOrRenew(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		w, old := newLeasedWorker(t)
@@ -92,10 +93,10 @@
 		w.handleRequest(later, old, late)
 		w.handleRequest(later, old, late)
 		if w.handleRequest(later, old, &pb.HoldRequest{Epoch: old.epoch, Beat: 1}) {
-			t.Error("a lapsed lease was renewed")
+			t.Error("an expired lease was renewed")
 		}
 		if _, starts, _ := w.Starts(); starts != 0 {
-			t.Errorf("%d starts under a lapsed lease, taken by another: %v", starts, taken)
+			t.Errorf("%d starts under an expired lease (acquired by another VM: %v)", starts, taken)
 		}
 	}
 }
