--- a/internal/standin/certificate/certificate.go
+++ b/internal/standin/certificate/certificate.go
@@ -1,5 +1,5 @@
-// Package certificate is a CA stand-in: it makes the certificates that tests of
-// TLS connections show each other.
+// Package certificate is a stand-in for a certificate authority. It issues the
+// certificates that tests of mutual TLS use.
 package certificate
 
 import (
@@ -18,16 +18,17 @@
 	"github.com/pumiceyard/pumiceyard/internal/connection/secure"
 )
 
-// fileMode lets nobody else read the keys.
+// fileMode allows only the owner to read the keys.
 const fileMode = 0o600
 
-// CA makes certificates.
+// CA issues certificates.
 type CA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewCA returns a CA that is valid around now.
+// NewCA returns a CA whose certificate is valid from an hour ago until an hour from
+// now.
 func NewCA() (*CA, error) {
 	key, err := newKey()
 	if err != nil {
@@ -50,8 +51,9 @@
 	return &CA{cert, key}, err
 }
 
-// Write makes a certificate for both ends of connections that ends at a time and
-// names an IP. It writes it, its key and the CA's certificate into a directory.
+// Write issues a certificate for an IP address, for use as a server and as a client,
+// that expires at end. It writes the certificate, its key and the CA's certificate
+// to dir.
 func (c *CA) Write(dir string, ip net.IP, end time.Time) (secure.Files, error) {
 	key, err := newKey()
 	if err != nil {
--- a/internal/standin/heap/heap.go
+++ b/internal/standin/heap/heap.go
@@ -1,5 +1,5 @@
-// Package heap measures how much memory a state holds, for the benchmarks that
-// docs/CAPACITY.md is worked out from.
+// Package heap measures how much heap memory a data structure holds, for the
+// benchmarks whose figures docs/CAPACITY.md uses.
 package heap
 
 import (
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// Report builds the state of a number of items once per iteration and reports
-// the bytes of live heap that it holds for each item. The unit names the item,
-// such as "worker".
+// Report calls build once per iteration and reports the live heap that the result
+// holds, divided by items, in bytes per unit. The unit names one item, such as
+// "worker".
 //
-// Run it with -benchtime 1x: the figure hardly depends on the number of
-// iterations, and not at all on the load of the machine.
+// Run it with -benchtime 1x: the result hardly depends on the number of iterations
+// and not at all on the load of the machine.
 func Report(b *testing.B, items int, unit string, build func() any) {
 	b.Helper()
 	var held float64
@@ -23,11 +23,12 @@
 		runtime.KeepAlive(state)
 	}
 	b.ReportMetric(held/float64(items), "B/"+unit)
-	b.ReportMetric(0, "ns/op") // leaves the time out: it is that of the collector
+	b.ReportMetric(0, "ns/op") // omits the time, which is mostly garbage collection
 }
 
-// live returns the bytes of the heap that are still in use. The second
-// collection frees what finalizers and pools of the first let go.
+// live returns the bytes of live heap. It collects twice, because objects that
+// finalizers and sync.Pool release in the first collection are freed only in the
+// second.
 func live() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/standin/mesh/mesh.go
+++ b/internal/standin/mesh/mesh.go
@@ -1,5 +1,5 @@
-// Package mesh is a stand-in for the network between entry VMs: listeners and
-// connections in memory, by address, where VMs die and domains are cut off.
+// Package mesh is an in-memory stand-in for the network between entry VMs. Tests can
+// kill VMs and cut failure domains off from each other.
 package mesh
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/pipe"
 )
 
-// Mesh joins VMs. It is safe for concurrent use.
+// Mesh connects VMs by address. It is safe for concurrent use.
 type Mesh struct {
 	mu        sync.Mutex
 	listeners map[string]*listener // by address
 	conns     map[*conn]struct{}
-	cut       map[string]bool // domains
+	cut       map[string]bool // by failure domain
 }
 
 // New returns a network without VMs.
@@ -52,7 +52,7 @@
 
 func (l *listener) Addr() net.Addr { return &net.IPAddr{} }
 
-// Listen opens a VM's listener.
+// Listen opens the listener of a VM in a failure domain.
 func (m *Mesh) Listen(address, domain string) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +61,8 @@
 	return l
 }
 
-// conn is one end of a connection between two VMs.
+// conn is one end of a connection between two VMs. Both ends have the same from and
+// to: the VM that dialed and the VM that listens.
 type conn struct {
 	*pipe.Conn
 	mesh       *Mesh
@@ -79,7 +80,8 @@
 
 var errRefused = errors.New("mesh: connection refused")
 
-// Dialer returns a VM's way to the others.
+// Dialer returns the dialer of a VM in a failure domain. Across a cut it blocks until
+// the context ends.
 func (m *Mesh) Dialer(address, domain string) wire.Dialer {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		m.mu.Lock()
@@ -94,24 +96,24 @@
 			return nil, errRefused
 		}
 		a, b := net.Pipe()
-		mine := &conn{Conn: pipe.Wrap(a), mesh: m, from: address, to: to, fromDomain: domain, toDomain: l.domain}
-		theirs := &conn{Conn: pipe.Wrap(b), mesh: m, from: address, to: to, fromDomain: domain, toDomain: l.domain}
+		clientEnd := &conn{Conn: pipe.Wrap(a), mesh: m, from: address, to: to, fromDomain: domain, toDomain: l.domain}
+		serverEnd := &conn{Conn: pipe.Wrap(b), mesh: m, from: address, to: to, fromDomain: domain, toDomain: l.domain}
 		select {
-		case l.accept <- theirs:
+		case l.accept <- serverEnd:
 		case <-l.closed:
 			return nil, errRefused
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 		m.mu.Lock()
-		m.conns[mine] = struct{}{}
-		m.conns[theirs] = struct{}{}
+		m.conns[clientEnd] = struct{}{}
+		m.conns[serverEnd] = struct{}{}
 		m.mu.Unlock()
-		return mine, nil
+		return clientEnd, nil
 	}
 }
 
-// Kill resets all connections of a VM and refuses new ones, as when its process dies.
+// Kill closes all connections of a VM and refuses new ones, as when its process dies.
 func (m *Mesh) Kill(address string) {
 	m.mu.Lock()
 	l := m.listeners[address]
@@ -131,8 +133,9 @@
 	}
 }
 
-// SetCut separates a domain from the others: open connections fall silent, for good, and
-// new ones hang while the cut lasts.
+// SetCut starts or ends the separation of a failure domain from the others. Open
+// connections across the cut drop all data for good, and dials across it block while
+// the cut lasts.
 func (m *Mesh) SetCut(domain string, cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/standin/network/network.go
+++ b/internal/standin/network/network.go
@@ -1,8 +1,9 @@
-// Package network is a small stand-in for the network between VMs, on a virtual
-// clock, for tests of deterministic cores.
+// Package network simulates the network between VMs on a virtual clock, for tests of
+// deterministic state machines.
 //
-// Messages are delivered in the order of their times and then of their sending,
-// so that a run with one seed is always the same. Loss and cuts are injected.
+// Messages are delivered in the order of their arrival times, and at equal times in
+// the order in which they were sent, so that runs with the same seed are identical.
+// Tests can inject message loss and cuts.
 package network
 
 import (
@@ -11,15 +12,17 @@
 	"time"
 )
 
-// Network delivers messages and runs timed actions. It is for one goroutine.
+// Network delivers messages and runs timed actions. It is not safe for concurrent
+// use.
 type Network struct {
 	// Now is the virtual time.
 	Now time.Time
-	// Delay is the time that a message takes one way.
+	// Delay is the one-way latency of a message.
 	Delay time.Duration
-	// Loss is the part of the messages that is lost, from 0 to 1.
+	// Loss is the probability that a message is lost, from 0 to 1.
 	Loss float64
-	// Cut reports whether messages between two VMs are lost; nil for none.
+	// Cut reports whether all messages from one VM to another are lost; nil means
+	// that none are.
 	Cut func(from, to string) bool
 
 	random  *rand.Rand
@@ -28,14 +31,14 @@
 	traffic map[string]*Traffic
 }
 
-// Traffic is what one VM sent and received.
+// Traffic counts what one VM sent and received.
 type Traffic struct {
 	Messages int // sent
 	Sent     int // bytes
 	Received int // bytes
 }
 
-// New returns a network whose losses are drawn from the seed.
+// New returns a network that draws message losses from a generator with this seed.
 func New(seed uint64, delay time.Duration) *Network {
 	return &Network{
 		Now:     time.Unix(0, 0),
@@ -56,7 +59,8 @@
 // ResetTraffic sets all counts to zero.
 func (n *Network) ResetTraffic() { clear(n.traffic) }
 
-// Send delivers a message of so many bytes, unless it is lost.
+// Send calls deliver after Delay, unless the message is lost. bytes is the size of the
+// message for the traffic counts.
 func (n *Network) Send(from, to string, bytes int, deliver func()) {
 	sender := n.Traffic(from)
 	sender.Messages++
@@ -70,13 +74,13 @@
 	})
 }
 
-// After runs an action once the time has passed.
+// After schedules an action to run after a delay.
 func (n *Network) After(wait time.Duration, action func()) {
 	n.order++
 	heap.Push(&n.pending, timed{at: n.Now.Add(wait), order: n.order, action: action})
 }
 
-// Every runs an action at an interval, for ever.
+// Every schedules an action to run at an interval, indefinitely.
 func (n *Network) Every(interval time.Duration, action func()) {
 	n.After(interval, func() {
 		action()
@@ -84,15 +88,15 @@
 	})
 }
 
-// Run moves the time on and runs what falls due.
+// Run advances the clock by span and runs the actions that become due.
 func (n *Network) Run(span time.Duration) {
 	end := n.Now.Add(span)
 	n.RunUntil(end, func() bool { return false })
 	n.Now = end
 }
 
-// RunUntil runs what falls due until the condition holds, and reports whether
-// it came to hold by the end.
+// RunUntil runs the actions that become due up to end, until the condition holds
+// after one of them, and reports whether it did.
 func (n *Network) RunUntil(end time.Time, condition func() bool) bool {
 	for len(n.pending) > 0 && !n.pending[0].at.After(end) {
 		next := heap.Pop(&n.pending).(timed)
@@ -111,7 +115,7 @@
 	action func()
 }
 
-// queue is a heap of actions by time.
+// queue is a heap of actions ordered by time and then by scheduling order.
 type queue []timed
 
 func (q queue) Len() int { return len(q) }
--- a/internal/standin/pipe/pipe.go
+++ b/internal/standin/pipe/pipe.go
@@ -1,5 +1,5 @@
 // Package pipe is a network stand-in for tests of connections: a listener and a
-// dialer over in-memory pipes, on which single connections can fall silent while
+// dialer over in-memory pipes. Open connections can be made to drop all data while
 // new ones work.
 package pipe
 
@@ -9,13 +9,13 @@
 	"sync"
 )
 
-// Network joins one server with its clients. It is safe for concurrent use.
+// Network connects one server with its clients. It is safe for concurrent use.
 type Network struct {
 	accept chan net.Conn
 	closed chan struct{}
 
 	mu    sync.Mutex
-	conns []*Conn // client sides, oldest first
+	conns []*Conn // client ends, oldest first
 }
 
 // New returns a network without connections.
@@ -40,15 +40,15 @@
 	}
 }
 
-// Dials is the number of connections opened so far.
+// Dials returns the number of connections opened so far.
 func (n *Network) Dials() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.conns)
 }
 
-// Silence makes all present connections swallow what either end writes, for
-// good, without an error. Later ones work.
+// Silence makes all current connections drop what either end writes, permanently and
+// without an error. Later connections work.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +76,7 @@
 // Addr implements net.Listener.
 func (n *Network) Addr() net.Addr { return &net.IPAddr{} }
 
-// Conn is one side of a connection, which can fall silent.
+// Conn is one end of a connection that can be silenced.
 type Conn struct {
 	net.Conn
 	once   sync.Once
@@ -85,12 +85,12 @@
 	ended  chan struct{}
 }
 
-// Wrap makes a connection one that can fall silent.
+// Wrap returns a Conn that uses c.
 func Wrap(c net.Conn) *Conn {
 	return &Conn{Conn: c, silent: make(chan struct{}), ended: make(chan struct{})}
 }
 
-// Silence makes the connection swallow what is written and what arrives, for good and
+// Silence makes the connection drop what is written and what arrives, permanently and
 // without an error.
 func (c *Conn) Silence() { c.once.Do(func() { close(c.silent) }) }
 
@@ -111,7 +111,8 @@
 	return c.Conn.Write(b)
 }
 
-// Read drops what arrives once the connection is silent, until it is closed.
+// Read implements net.Conn. Once the connection is silenced, Read drops what arrives and
+// blocks until the connection is closed.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for c.isSilent() && err == nil {
--- a/internal/standin/platform/list.go
+++ b/internal/standin/platform/list.go
@@ -9,7 +9,7 @@
 	pumiceyardv1 "github.com/pumiceyard/pumiceyard/api/pumiceyard/v1"
 )
 
-// SetVMs replaces the list of VMs. Readers see it once the lag has passed.
+// SetVMs replaces the list of VMs. Readers see the new list after Options.ListLag.
 func (p *Platform) SetVMs(vms []*pumiceyardv1.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,7 +29,7 @@
 	p.lists = append(p.lists, next)
 }
 
-// joinVersion is the list version at which this incarnation of the VM joined.
+// joinVersion returns the list version at which this incarnation of the VM was first listed.
 func joinVersion(before []*pumiceyardv1.VM, vm *pumiceyardv1.VM, now uint64) uint64 {
 	for _, old := range before {
 		if old.Id == vm.Id && old.Incarnation == vm.Incarnation {
@@ -39,7 +39,8 @@
 	return now
 }
 
-// ListVMs returns the newest list that the lag lets readers see.
+// ListVMs implements PlatformService. It returns the newest list that is older than
+// the list lag.
 func (p *Platform) ListVMs(ctx context.Context, _ *connect.Request[pumiceyardv1.ListVMsRequest]) (*connect.Response[pumiceyardv1.ListVMsResponse], error) {
 	if err := p.admitCall(ctx, MethodListVMs, p.reads); err != nil {
 		return nil, err
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform is a small stand-in for the platform's key-value service
+// Package platform is an in-memory stand-in for the platform's key-value service
 // and its list of VMs, for tests and demonstrations.
 //
-// It keeps everything in memory and injects the faults that the real service
-// is known for: outages, delay, answers lost after the write took effect,
-// watches that go silent, stale reads and a lagging list.
+// It injects the faults that the real service is known to have: outages, delays,
+// replies lost after the write took effect, watches that never answer, stale reads
+// and a VM list that lags behind.
 package platform
 
 import (
@@ -20,15 +20,15 @@
 	"github.com/pumiceyard/pumiceyard/api/pumiceyard/v1/pumiceyardv1connect"
 )
 
-// MaxValueBytes is the largest value the store holds.
+// MaxValueBytes is the size limit of a value.
 const MaxValueBytes = 1 << 20
 
-// MaxWatchWait bounds how long a watch may wait.
+// MaxWatchWait limits how long a Watch call waits for a change.
 const MaxWatchWait = time.Minute
 
 var errOutage = connect.NewError(connect.CodeUnavailable, errors.New("injected outage"))
 
-// Method names an operation in the count of calls.
+// Method names an operation in the call counts.
 type Method string
 
 // The operations.
@@ -41,29 +41,31 @@
 	MethodListVMs       Method = "list_vms"
 )
 
-// Options set up a stand-in. The zero value has no limits and no lag.
+// Options configure the stand-in. The zero value has no rate limits and no list lag.
 type Options struct {
 	// Now is the clock of leases, rate limits and the list's lag; time.Now
 	// when nil.
 	Now func() time.Time
-	// ReadsPerSecond bounds Get, Watch and ListVMs; 0 means no bound.
+	// ReadsPerSecond is the rate limit of Get, Watch and ListVMs together; 0 means
+	// none.
 	ReadsPerSecond float64
-	// WritesPerSecond bounds CompareAndSet, GrantLease and KeepAlive.
+	// WritesPerSecond is the rate limit of CompareAndSet, GrantLease and KeepAlive
+	// together; 0 means none.
 	WritesPerSecond float64
-	// ListLag is how long a change of the VM list stays invisible.
+	// ListLag is the time until readers see a change of the VM list.
 	ListLag time.Duration
 }
 
 // Faults are the injected faults. The zero value is a healthy service.
 type Faults struct {
-	Outage      bool          // each call fails, and waiting watches break
+	Outage      bool          // each call fails, waiting watches included
 	Delay       time.Duration // added before each call takes effect
-	LostReplies int           // the next so many writes take effect and fail
-	SilentWatch bool          // watches never answer until the caller gives up
-	StaleReads  bool          // reads answer with the value before the last write
+	LostReplies int           // number of following writes that take effect but report an error
+	SilentWatch bool          // watches do not answer until the caller gives up
+	StaleReads  bool          // reads return the value before the last write
 }
 
-// Platform implements the platform's service.
+// Platform implements PlatformService. It is safe for concurrent use.
 type Platform struct {
 	options Options
 	reads   *rate.Limiter
@@ -133,7 +135,7 @@
 	p.wakeWatches()
 }
 
-// Calls is how often each operation was called, refused calls included.
+// Calls returns how often each operation was called, refused calls included.
 func (p *Platform) Calls() map[Method]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,14 +146,15 @@
 	return counts
 }
 
-// Refused is how many calls came above the rate limits.
+// Refused returns how many calls exceeded the rate limits.
 func (p *Platform) Refused() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.refused
 }
 
-// admitCall counts a call, applies the rate limit and the injected delay.
+// admitCall counts a call and applies the rate limit, an injected outage and the
+// injected delay.
 func (p *Platform) admitCall(ctx context.Context, method Method, limiter *rate.Limiter) error {
 	p.mu.Lock()
 	p.calls[method]++
@@ -185,14 +188,14 @@
 	return connect.NewError(connect.CodeCanceled, ctx.Err())
 }
 
-// injectLostReply loses the answer of a write that took effect, when asked to.
-// The caller holds the lock.
+// injectLostReply returns an error for a write that took effect if the reply is to
+// be lost. The caller holds mu.
 func (p *Platform) injectLostReply() error {
 	if p.faults.LostReplies == 0 {
 		return nil
 	}
 	p.faults.LostReplies--
-	return connect.NewError(connect.CodeUnavailable, errors.New("injected loss of an answer"))
+	return connect.NewError(connect.CodeUnavailable, errors.New("injected loss of the reply"))
 }
 
 func (p *Platform) wakeWatches() {
@@ -200,7 +203,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Get reads a key.
+// Get implements PlatformService: it reads a key.
 func (p *Platform) Get(ctx context.Context, req *connect.Request[pumiceyardv1.GetRequest]) (*connect.Response[pumiceyardv1.GetResponse], error) {
 	if err := p.admitCall(ctx, MethodGet, p.reads); err != nil {
 		return nil, err
@@ -215,7 +218,7 @@
 	}), nil
 }
 
-// read is what readers see of a key. The caller holds the lock.
+// read returns the entry that readers of a key see. The caller holds mu.
 func (p *Platform) read(key string) entry {
 	p.expireLeases()
 	if p.faults.StaleReads {
@@ -224,7 +227,8 @@
 	return p.entries[key]
 }
 
-// CompareAndSet writes a key if its version is the expected one.
+// CompareAndSet implements PlatformService: it writes or deletes a key if its
+// version is the expected one.
 func (p *Platform) CompareAndSet(ctx context.Context, req *connect.Request[pumiceyardv1.CompareAndSetRequest]) (*connect.Response[pumiceyardv1.CompareAndSetResponse], error) {
 	if err := p.admitCall(ctx, MethodCompareAndSet, p.writes); err != nil {
 		return nil, err
@@ -250,8 +254,8 @@
 	return connect.NewResponse(&pumiceyardv1.CompareAndSetResponse{Swapped: true, Version: version}), nil
 }
 
-// write applies a granted compare-and-set and returns the key's new version.
-// The caller holds the lock.
+// write applies a compare-and-set whose conditions hold and returns the key's new
+// version, 0 after a deletion. The caller holds mu.
 func (p *Platform) write(msg *pumiceyardv1.CompareAndSetRequest) uint64 {
 	p.previous[msg.Key] = p.entries[msg.Key]
 	defer p.wakeWatches()
@@ -265,7 +269,8 @@
 	return p.lastVersion
 }
 
-// Watch waits until the key's version passes the given one.
+// Watch implements PlatformService: it waits until the key's version is greater than
+// the given one.
 func (p *Platform) Watch(ctx context.Context, req *connect.Request[pumiceyardv1.WatchRequest]) (*connect.Response[pumiceyardv1.WatchResponse], error) {
 	if err := p.admitCall(ctx, MethodWatch, p.reads); err != nil {
 		return nil, err
@@ -300,7 +305,8 @@
 	}
 }
 
-// GrantLease grants a lease, which ends unless it is kept alive.
+// GrantLease implements PlatformService: it grants a lease, which expires unless it
+// is kept alive.
 func (p *Platform) GrantLease(ctx context.Context, req *connect.Request[pumiceyardv1.GrantLeaseRequest]) (*connect.Response[pumiceyardv1.GrantLeaseResponse], error) {
 	if err := p.admitCall(ctx, MethodGrantLease, p.writes); err != nil {
 		return nil, err
@@ -316,7 +322,8 @@
 	return connect.NewResponse(&pumiceyardv1.GrantLeaseResponse{Lease: p.nextLease}), nil
 }
 
-// KeepAlive extends a lease by its time to live, unless it has expired.
+// KeepAlive implements PlatformService: it renews a lease for its time to live
+// unless it has expired.
 func (p *Platform) KeepAlive(ctx context.Context, req *connect.Request[pumiceyardv1.KeepAliveRequest]) (*connect.Response[pumiceyardv1.KeepAliveResponse], error) {
 	if err := p.admitCall(ctx, MethodKeepAlive, p.writes); err != nil {
 		return nil, err
@@ -335,8 +342,8 @@
 	return connect.NewResponse(&pumiceyardv1.KeepAliveResponse{Alive: alive}), nil
 }
 
-// expireLeases drops lapsed leases and the keys written under them. The caller
-// holds the lock.
+// expireLeases removes expired leases and the keys written under them. The caller
+// holds mu.
 func (p *Platform) expireLeases() {
 	now := p.options.Now()
 	for id, held := range p.leases {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -44,14 +44,14 @@
 		t.Fatalf("write under an old version: %v, %v", second, err)
 	}
 	if _, err := set(t, c, string(make([]byte, platform.MaxValueBytes+1)), first.Version, 0); connect.CodeOf(err) != connect.CodeInvalidArgument {
-		t.Errorf("value too large: %v", err)
+		t.Errorf("value above the size limit: %v, want code invalid argument", err)
 	}
 	if got := get(t, c); got != "a" {
 		t.Errorf("value = %q, want a", got)
 	}
 }
 
-func TestLeasedValueLapses(t *testing.T) {
+func TestLeasedValueExpires(t *testing.T) {
 	now := time.Unix(0, 0)
 	_, c := start(platform.Options{Now: func() time.Time { return now }})
 	granted, err := c.GrantLease(t.Context(), &pumiceyardv1.GrantLeaseRequest{TtlMillis: 1000})
@@ -102,10 +102,10 @@
 	}
 	service.SetFaults(platform.Faults{LostReplies: 1})
 	if _, err := set(t, c, "b", first.Version, 0); connect.CodeOf(err) != connect.CodeUnavailable {
-		t.Errorf("lost answer: %v", err)
+		t.Errorf("write whose reply is lost: %v, want code unavailable", err)
 	}
 	if got := get(t, c); got != "b" {
-		t.Errorf("the write whose answer was lost left %q", got)
+		t.Errorf("value after a write whose reply was lost = %q, want b", got)
 	}
 	service.SetFaults(platform.Faults{StaleReads: true})
 	if got := get(t, c); got != "a" {
@@ -113,7 +113,7 @@
 	}
 	service.SetFaults(platform.Faults{Outage: true})
 	if _, err := c.ListVMs(t.Context()); connect.CodeOf(err) != connect.CodeUnavailable {
-		t.Errorf("outage: %v", err)
+		t.Errorf("during an outage: %v, want code unavailable", err)
 	}
 }
 
--- a/internal/standin/site/await.go
+++ b/internal/standin/site/await.go
@@ -7,7 +7,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/pause"
 )
 
-// AwaitRevision waits until each entry VM has a revision in force.
+// AwaitRevision waits until every entry VM has applied at least this revision.
 func (s *Site) AwaitRevision(ctx context.Context, revision uint64) error {
 	return s.await(ctx, func(e *Entry) bool {
 		doc := e.VM.Document()
@@ -15,8 +15,8 @@
 	})
 }
 
-// AwaitReady waits until every entry VM is ready and reaches every other, every
-// worker is held, and watts are allotted for tasks.
+// AwaitReady waits until every entry VM is ready and connected to all others, every
+// worker is leased, and power is allotted for tasks.
 func (s *Site) AwaitReady(ctx context.Context) error {
 	if err := s.AwaitPeers(ctx); err != nil {
 		return err
@@ -24,7 +24,8 @@
 	return s.awaitLeases(ctx)
 }
 
-// awaitLeases waits until every worker that lives is held.
+// awaitLeases waits until every running worker is leased, and then until power is
+// allotted.
 func (s *Site) awaitLeases(ctx context.Context) error {
 	for {
 		unheld := s.unleasedWorkers()
@@ -32,12 +33,12 @@
 			return s.awaitPower(ctx)
 		}
 		if !pause.For(ctx, awaitPollInterval) {
-			return fmt.Errorf("nobody holds %v: %w", unheld, ctx.Err())
+			return fmt.Errorf("no entry VM holds the lease of %v: %w", unheld, ctx.Err())
 		}
 	}
 }
 
-// unleasedWorkers names the workers that live and that no entry VM holds.
+// unleasedWorkers returns the running workers whose lease no entry VM holds.
 func (s *Site) unleasedWorkers() []string {
 	held := make(map[string]bool)
 	for _, e := range s.Entries() {
@@ -54,7 +55,8 @@
 	return out
 }
 
-// awaitPower waits until every entry VM that holds workers has watts for tasks.
+// awaitPower waits until every entry VM that holds leases of workers has power to
+// allot to tasks.
 func (s *Site) awaitPower(ctx context.Context) error {
 	return s.await(ctx, func(e *Entry) bool {
 		status := e.VM.Status()
@@ -62,26 +64,28 @@
 	})
 }
 
-// AwaitPeers waits until every entry VM is ready and reaches every other.
+// AwaitPeers waits until every entry VM is ready and connected to all others.
 func (s *Site) AwaitPeers(ctx context.Context) error {
 	others := len(s.Entries()) - 1
 	return s.await(ctx, func(e *Entry) bool { return e.VM.Ready() && len(e.VM.Status().Peers) >= others })
 }
 
+// await waits until the condition holds for every running entry VM. The error names one
+// for which it does not.
 func (s *Site) await(ctx context.Context, done func(*Entry) bool) error {
 	for {
 		waiting := ""
 		for _, e := range s.Entries() {
 			if !done(e) {
 				s := e.VM.Status()
-				waiting = fmt.Sprintf("%s (ready %v, revision %d, reaches %v)", e.Name, s.Ready, s.Revision, s.Peers)
+				waiting = fmt.Sprintf("%s (ready %v, revision %d, peers %v)", e.Name, s.Ready, s.Revision, s.Peers)
 			}
 		}
 		if waiting == "" {
 			return nil
 		}
 		if !pause.For(ctx, awaitPollInterval) {
-			return fmt.Errorf("%s is not there yet: %w", waiting, ctx.Err())
+			return fmt.Errorf("entry VM %s has not reached the awaited state: %w", waiting, ctx.Err())
 		}
 	}
 }
--- a/internal/standin/site/bench_test.go
+++ b/internal/standin/site/bench_test.go
@@ -15,8 +15,9 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// benchSite is a site whose tasks end at once, so that only the path costs.
-func benchSite(b *testing.B) *client.Client {
+// newBenchSite returns a client of a new site whose tasks end at once, so that only the
+// request path is measured.
+func newBenchSite(b *testing.B) *client.Client {
 	b.Helper()
 	opt := Defaults([]string{"d1"})
 	opt.EntryVMs = 2
@@ -43,7 +44,7 @@
 	return c
 }
 
-// benchDocument has one template and one client account.
+// benchDocument returns a configuration with one template and one client account.
 func benchDocument() *document.Document {
 	return &document.Document{
 		Templates: []document.Template{{
@@ -62,13 +63,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkStart measures the whole path per task start: caller, entry VMs,
-// worker stand-ins, all in this process over loopback. Eight callers keep jobs
-// under way.
+// BenchmarkStart measures the cost per task start of the whole path: caller, entry
+// VMs and worker stand-ins, all in this process over loopback. GOMAXPROCS callers
+// submit jobs concurrently.
 func BenchmarkStart(b *testing.B) {
 	for _, tasks := range []int{1, 30, 920} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			c := benchSite(b)
+			c := newBenchSite(b)
 			j := client.Job{Template: "bench"}
 			for range tasks {
 				j.Tasks = append(j.Tasks, json.RawMessage(`{"part":"G1/4-24V","coil":2}`))
@@ -76,7 +77,7 @@
 			submit := func() {
 				a, err := c.Submit(context.Background(), j)
 				if err != nil || a.Outcome != client.Complete {
-					b.Errorf("answer %+v, error %v", a, err)
+					b.Errorf("answer %+v, error %v, want a complete answer", a, err)
 				}
 			}
 			for range 64 {
--- a/internal/standin/site/callers_test.go
+++ b/internal/standin/site/callers_test.go
@@ -31,17 +31,17 @@
 	deskKey       = "demo-desk-key"
 	foremenKey    = "demo-foremen-key"
 	bodyLimit     = 16 << 10
-	startBound    = 10 * time.Second
+	startTimeout  = 10 * time.Second
 )
 
-// rig is a small site and an HTTP client of its first entry VM.
-type rig struct {
+// testSite is a small site with the base URL of its first entry VM.
+type testSite struct {
 	t    *testing.T
 	site *site.Site
 	url  string
 }
 
-func newRig(t *testing.T) *rig {
+func newTestSite(t *testing.T) *testSite {
 	text, err := deploy.Files.ReadFile("tsagaan-shavar/document.json")
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
-	ctx, cancel := context.WithTimeout(t.Context(), startBound)
+	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
 	if _, err := s.Publish(ctx, doc, "test", "first"); err != nil {
 		t.Fatal(err)
@@ -75,10 +75,10 @@
 	if err := s.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	return &rig{t: t, site: s, url: s.Endpoints()[0]}
+	return &testSite{t: t, site: s, url: s.Endpoints()[0]}
 }
 
-// reply is an answer of either form.
+// reply is an HTTP response with either a problem or a result as its body.
 type reply struct {
 	status  int
 	kind    string
@@ -87,7 +87,7 @@
 	result  caller.Result
 }
 
-func (r *rig) do(method, path, key, body string, headers ...string) reply {
+func (r *testSite) do(method, path, key, body string, headers ...string) reply {
 	r.t.Helper()
 	req, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
 	if err != nil {
@@ -106,7 +106,7 @@
 	return r.read(resp)
 }
 
-func (r *rig) read(resp *http.Response) reply {
+func (r *testSite) read(resp *http.Response) reply {
 	r.t.Helper()
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
@@ -127,7 +127,7 @@
 	return out
 }
 
-func (r *rig) ticket(key string) string {
+func (r *testSite) ticket(key string) string {
 	r.t.Helper()
 	req, _ := http.NewRequest(http.MethodPost, r.url+"/v1/tickets", strings.NewReader(`{"count":1}`))
 	req.Header.Set("Authorization", "Bearer "+key)
@@ -143,7 +143,7 @@
 	return got.Tickets[0].Ticket
 }
 
-func (r *rig) starts() int {
+func (r *testSite) starts() int {
 	_, starts, _ := r.site.Starts()
 	return starts
 }
@@ -154,8 +154,8 @@
 	firstTask = `{"template":"crew-assignment","tasks":[1],"first":true}`
 )
 
-// used returns a ticket under which oneTask has run.
-func (r *rig) used() string {
+// usedTicket returns a ticket under which oneTask has run.
+func (r *testSite) usedTicket() string {
 	r.t.Helper()
 	token := r.ticket(deskKey)
 	if got := r.do(http.MethodPut, "/v1/submissions/"+token, deskKey, oneTask); got.status != http.StatusOK {
@@ -164,34 +164,35 @@
 	return token
 }
 
-func (r *rig) expired() string {
+func (r *testSite) expiredTicket() string {
 	vm := r.site.Entries()[0]
 	mint := ticket.NewMinter([]byte(testTicketKey), vm.Name, vm.Domain, vm.VM.Incarnation())
 	_, token := mint.Mint("desk", time.Now().Add(-time.Second), 1, 1)
 	return token
 }
 
-func (r *rig) tampered() string {
+func (r *testSite) tamperedTicket() string {
 	token := []byte(r.ticket(deskKey))
 	token[len(token)/2] ^= 1
 	return string(token)
 }
 
-func (r *rig) fresh() string   { return r.ticket(deskKey) }
-func (r *rig) foreign() string { return r.ticket(foremenKey) }
+func (r *testSite) freshTicket() string   { return r.ticket(deskKey) }
+func (r *testSite) foreignTicket() string { return r.ticket(foremenKey) }
 
-func nested(levels int) string {
+func nestedTask(levels int) string {
 	return fmt.Sprintf(`{"template":"crew-assignment","tasks":[%s%s],"first":true}`, strings.Repeat("[", levels), strings.Repeat("]", levels))
 }
 
-func many(tasks int) string {
+func manyTasks(tasks int) string {
 	return fmt.Sprintf(`{"template":"crew-assignment","tasks":[%s1],"first":true}`, strings.Repeat("1,", tasks-1))
 }
 
-// Whatever a caller sends, it gets a problem with the right status, a stable
-// reason and an outcome that is true; nothing runs, and the daemon goes on.
-func TestBadInputIsRefusedTruthfully(t *testing.T) {
-	r := newRig(t)
+// For every invalid request, the caller gets a problem with the right status, a
+// stable reason and a correct outcome. No task is started, and the daemon goes on to
+// serve requests.
+func TestInvalidRequestsGetCorrectProblems(t *testing.T) {
+	r := newTestSite(t)
 	const (
 		notRun  = reason.NotRun
 		unknown = reason.Unknown
@@ -209,39 +210,39 @@
 		outcome reason.Outcome
 		code    reason.Code
 	}{
-		{"malformed JSON", put, r.fresh, deskKey, `{"template":`, nil, 400, unknown, reason.MalformedRequest},
+		{"malformed JSON", put, r.freshTicket, deskKey, `{"template":`, nil, 400, unknown, reason.MalformedRequest},
 		{"malformed JSON, no ticket", post, nil, deskKey, `{"template":`, nil, 400, notRun, reason.MalformedRequest},
 		{"empty body", post, nil, deskKey, ``, nil, 400, notRun, reason.MalformedRequest},
 		{"unknown field", post, nil, deskKey, `{"template":"availability-check","tasks":[1],"frist":true}`, nil, 400, notRun, reason.MalformedRequest},
 		{"two values", post, nil, deskKey, oneCheck + oneCheck, nil, 400, notRun, reason.MalformedRequest},
 		{"not an object", post, nil, deskKey, `[1]`, nil, 400, notRun, reason.MalformedRequest},
 		{"negative deadline", post, nil, deskKey, `{"template":"availability-check","tasks":[1],"deadline_millis":-1}`, nil, 400, notRun, reason.MalformedRequest},
-		{"body over the limit", put, r.fresh, deskKey, `"` + strings.Repeat("x", bodyLimit) + `"`, nil, 413, unknown, reason.BodyTooLarge},
-		{"nesting too deep", put, r.fresh, deskKey, nested(33), nil, 400, notRun, reason.MalformedRequest},
+		{"body over the limit", put, r.freshTicket, deskKey, `"` + strings.Repeat("x", bodyLimit) + `"`, nil, 413, unknown, reason.BodyTooLarge},
+		{"nesting too deep", put, r.freshTicket, deskKey, nestedTask(33), nil, 400, notRun, reason.MalformedRequest},
 		{"nesting past the parser", post, nil, deskKey, strings.Repeat("[", bodyLimit-1), nil, 400, notRun, reason.MalformedRequest},
-		{"unknown template", put, r.fresh, deskKey, `{"template":"no-such","tasks":[1],"first":true}`, nil, 404, notRun, reason.UnknownTemplate},
-		{"unknown template, perhaps sent before", put, r.fresh, deskKey, `{"template":"no-such","tasks":[1]}`, nil, 404, unknown, reason.UnknownTemplate},
+		{"unknown template", put, r.freshTicket, deskKey, `{"template":"no-such","tasks":[1],"first":true}`, nil, 404, notRun, reason.UnknownTemplate},
+		{"unknown template, perhaps sent before", put, r.freshTicket, deskKey, `{"template":"no-such","tasks":[1]}`, nil, 404, unknown, reason.UnknownTemplate},
 		{"template missing", post, nil, deskKey, `{"tasks":[1]}`, nil, 400, notRun, reason.MalformedRequest},
-		{"empty tasks", put, r.fresh, deskKey, `{"template":"crew-assignment","tasks":[],"first":true}`, nil, 400, notRun, reason.MalformedRequest},
-		{"too many tasks for the template", put, r.fresh, deskKey, many(9), nil, 400, notRun, reason.TooManyTasks},
-		{"too many tasks for any template", post, nil, deskKey, many(4097), nil, 400, notRun, reason.TooManyTasks},
+		{"empty tasks", put, r.freshTicket, deskKey, `{"template":"crew-assignment","tasks":[],"first":true}`, nil, 400, notRun, reason.MalformedRequest},
+		{"too many tasks for the template", put, r.freshTicket, deskKey, manyTasks(9), nil, 400, notRun, reason.TooManyTasks},
+		{"too many tasks for any template", post, nil, deskKey, manyTasks(4097), nil, 400, notRun, reason.TooManyTasks},
 		{"wrong key", post, nil, "no-such-key", oneCheck, nil, 401, notRun, reason.WrongKey},
-		{"wrong key, perhaps sent before", put, r.used, "no-such-key", oneTask, nil, 401, unknown, reason.WrongKey},
+		{"wrong key, perhaps sent before", put, r.usedTicket, "no-such-key", oneTask, nil, 401, unknown, reason.WrongKey},
 		{"missing key", post, nil, "", oneCheck, nil, 401, notRun, reason.WrongKey},
 		{"bad ticket", put, func() string { return "no-ticket" }, deskKey, oneTask, nil, 400, notRun, reason.BadTicket},
-		{"tampered ticket", put, r.tampered, deskKey, oneTask, nil, 400, notRun, reason.BadTicket},
-		{"expired ticket", put, r.expired, deskKey, firstTask, nil, 400, notRun, reason.TicketExpired},
-		{"expired ticket, perhaps sent before", put, r.expired, deskKey, oneTask, nil, 400, unknown, reason.TicketExpired},
-		{"foreign ticket", put, r.foreign, deskKey, oneTask, nil, 403, notRun, reason.ForeignTicket},
-		{"foreign ticket's answer", http.MethodGet, r.foreign, deskKey, "", nil, 403, notRun, reason.ForeignTicket},
-		{"foreign ticket's timeline", http.MethodGet, func() string { return r.foreign() + "/timeline" }, deskKey, "", nil, 403, notRun, reason.ForeignTicket},
-		{"cancel of a foreign ticket", http.MethodDelete, r.foreign, deskKey, "", nil, 403, notRun, reason.ForeignTicket},
-		{"cancel of an unused ticket", http.MethodDelete, r.fresh, deskKey, "", nil, 404, unknown, reason.NoSuchSubmission},
-		{"answer of an unused ticket", http.MethodGet, r.fresh, deskKey, "", nil, 404, unknown, reason.NoSuchSubmission},
+		{"tampered ticket", put, r.tamperedTicket, deskKey, oneTask, nil, 400, notRun, reason.BadTicket},
+		{"expired ticket", put, r.expiredTicket, deskKey, firstTask, nil, 400, notRun, reason.TicketExpired},
+		{"expired ticket, perhaps sent before", put, r.expiredTicket, deskKey, oneTask, nil, 400, unknown, reason.TicketExpired},
+		{"foreign ticket", put, r.foreignTicket, deskKey, oneTask, nil, 403, notRun, reason.ForeignTicket},
+		{"foreign ticket's answer", http.MethodGet, r.foreignTicket, deskKey, "", nil, 403, notRun, reason.ForeignTicket},
+		{"foreign ticket's timeline", http.MethodGet, func() string { return r.foreignTicket() + "/timeline" }, deskKey, "", nil, 403, notRun, reason.ForeignTicket},
+		{"cancel of a foreign ticket", http.MethodDelete, r.foreignTicket, deskKey, "", nil, 403, notRun, reason.ForeignTicket},
+		{"cancel of an unused ticket", http.MethodDelete, r.freshTicket, deskKey, "", nil, 404, unknown, reason.NoSuchSubmission},
+		{"answer of an unused ticket", http.MethodGet, r.freshTicket, deskKey, "", nil, 404, unknown, reason.NoSuchSubmission},
 		{"not idempotent, no ticket", post, nil, deskKey, oneTask, nil, 422, notRun, reason.TicketRequired},
-		{"same ticket, other tasks", put, r.used, deskKey, `{"template":"crew-assignment","tasks":[2]}`, nil, 409, unknown, reason.PayloadMismatch},
-		{"same ticket, other template", put, r.used, deskKey, oneCheck, nil, 409, unknown, reason.PayloadMismatch},
-		{"same ticket, template that is not there", put, r.used, deskKey, `{"template":"no-such","tasks":[1]}`, nil, 409, unknown, reason.PayloadMismatch},
+		{"same ticket, other tasks", put, r.usedTicket, deskKey, `{"template":"crew-assignment","tasks":[2]}`, nil, 409, unknown, reason.PayloadMismatch},
+		{"same ticket, other template", put, r.usedTicket, deskKey, oneCheck, nil, 409, unknown, reason.PayloadMismatch},
+		{"same ticket, template that is not there", put, r.usedTicket, deskKey, `{"template":"no-such","tasks":[1]}`, nil, 409, unknown, reason.PayloadMismatch},
 		{"too long a key of the caller's own", post, nil, deskKey, oneTask, []string{"Idempotency-Key", strings.Repeat("k", 256)}, 400, unknown, reason.MalformedRequest},
 		{"no such path", post, func() string { return "x/y/z" }, deskKey, oneTask, nil, 404, unknown, reason.MalformedRequest},
 		{"no such method", http.MethodPatch, nil, deskKey, oneTask, nil, 405, notRun, reason.MalformedRequest},
@@ -258,25 +259,26 @@
 				t.Errorf("got %d %q %q (%s), want %d %q %q", got.status, p.Outcome, p.Reason, p.Detail, c.status, c.outcome, c.code)
 			}
 			if got.kind != "application/problem+json" || p.Status != got.status || p.Type == "" || p.Title == "" || p.Detail == "" {
-				t.Errorf("not a whole problem: %s %+v", got.kind, p)
+				t.Errorf("incomplete problem: %s %+v", got.kind, p)
 			}
 			if n := r.starts() - before; n != 0 {
 				t.Errorf("%d tasks were started", n)
 			}
 		})
 	}
-	r.used()
+	r.usedTicket()
 }
 
-// A body that comes a byte at a time ends at the read timeout, with an answer.
+// A request whose body does not arrive within the read timeout is answered with an
+// error.
 func TestSlowBodyIsRefused(t *testing.T) {
-	r := newRig(t)
+	r := newTestSite(t)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_, _ = fmt.Fprintf(conn, "PUT /v1/submissions/%s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{", r.fresh(), deskKey)
+	_, _ = fmt.Fprintf(conn, "PUT /v1/submissions/%s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{", r.freshTicket(), deskKey)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodPut})
 	if err != nil {
 		t.Fatal(err)
@@ -288,15 +290,16 @@
 	if resp.StatusCode != http.StatusRequestTimeout || p.Reason != reason.BodyTooSlow || p.Outcome != reason.Unknown {
 		t.Errorf("got %d %+v", resp.StatusCode, p)
 	}
-	r.used()
+	r.usedTicket()
 }
 
-// A caller with a key of its own repeats a request whose answer was lost: the
-// second attaches to the first, and the work runs once. Other work under the key
-// is told so. While the store is out nothing runs under keys, and "not run" is
-// said only to a caller that never sent the key before.
+// A caller repeats a request with an idempotency key after the answer was lost: the
+// repeat attaches to the first request, and the work runs once. Different work under
+// the same key is refused. While the store is down, nothing runs under idempotency
+// keys, and the outcome is "not run" only if the caller declares that it has not sent
+// the key before.
 func TestIdempotencyKey(t *testing.T) {
-	r := newRig(t)
+	r := newTestSite(t)
 	submit := func(key, body string) reply {
 		return r.do(http.MethodPost, "/v1/submissions", deskKey, body, "Idempotency-Key", key)
 	}
@@ -317,7 +320,7 @@
 	if second := submit("k2", oneTask); second.status != http.StatusOK || second.ticket == first.ticket {
 		t.Errorf("another key: %+v", second)
 	}
-	tooMany := many(9)
+	tooMany := manyTasks(9)
 	for body, outcome := range map[string]reason.Outcome{tooMany: reason.NotRun, strings.Replace(tooMany, "true", "false", 1): reason.Unknown} {
 		if p := submit("k-"+string(outcome), body).problem; p.Reason != reason.TooManyTasks || p.Outcome != outcome {
 			t.Errorf("refused under a new key: %+v, want %s", p, outcome)
@@ -333,16 +336,16 @@
 	if n := r.starts(); n != 2 {
 		t.Errorf("%d starts, want 2", n)
 	}
-	r.used() // tickets need no store
+	r.usedTicket() // submissions under tickets do not need the store
 }
 
-// Symptom: callers are refused at each planned stop. Sequence: the entry VM turns
-// unready; until its next look the balancer goes on sending callers to it. Cause:
-// it refuses at once. It has to go on with submissions meanwhile, and give out no
-// tickets that it would refuse afterwards.
-func TestPlannedStopTakesRequestsUntilBalancerSees(t *testing.T) {
-	r := newRig(t)
-	token, vm := r.fresh(), r.site.Entries()[0]
+// Guards against callers being refused at each planned stop. After the entry VM has
+// become unready, the load balancer goes on sending requests to it until the next
+// health check. In that time the entry VM must still accept submissions, but issue no
+// tickets, as it would refuse them afterwards.
+func TestPlannedStopAcceptsSubmissionsUntilUnreadyIsSeen(t *testing.T) {
+	r := newTestSite(t)
+	token, vm := r.freshTicket(), r.site.Entries()[0]
 	ctx, seen := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
 	go func() {
@@ -358,7 +361,7 @@
 		ready = resp.StatusCode == http.StatusOK
 	}
 	if got := r.do(http.MethodPut, "/v1/submissions/"+token, deskKey, oneTask); got.status != http.StatusOK {
-		t.Errorf("a submission before the balancer sees: %+v", got)
+		t.Errorf("submission before the load balancer has noticed: %+v", got)
 	}
 	if p := r.do(http.MethodPost, "/v1/tickets", deskKey, `{"count":1}`).problem; p.Reason != reason.Draining || p.Outcome != reason.NotRun {
 		t.Errorf("tickets: %+v", p)
@@ -367,11 +370,11 @@
 	<-stopped
 }
 
-// The platform's list may leave incarnations open, where daemons are started by
-// hand and take their own. Entry VMs then find a ticket's home by the incarnation
-// that answers.
+// The platform's list may lack incarnations, where daemons are started by hand and
+// choose their own. Entry VMs then find the home of a ticket by the incarnation that
+// their peers report.
 func TestListWithoutIncarnations(t *testing.T) {
-	r := newRig(t)
+	r := newTestSite(t)
 	entries := r.site.Entries()
 	var listed []*pb.VM
 	for _, e := range entries {
@@ -379,27 +382,28 @@
 	}
 	before := entries[1].VM.Status().ListVersion
 	r.site.Platform.SetVMs(listed)
-	ctx, cancel := context.WithTimeout(t.Context(), startBound)
+	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
 	for st := entries[1].VM.Status(); st.ListVersion == before || len(st.Peers) == 0; st = entries[1].VM.Status() {
 		if ctx.Err() != nil {
-			t.Fatalf("no peer answers: %+v", st)
+			t.Fatalf("no peer is connected under the new list: %+v", st)
 		}
 		runtime.Gosched()
 	}
-	token := r.fresh()
+	token := r.freshTicket()
 	r.url = r.site.Endpoints()[1]
 	ask := func() reply {
 		return r.do(http.MethodPut, "/v1/submissions/"+token, deskKey, `{"template":"no-such","tasks":[1],"first":true}`)
 	}
 	got := ask()
-	// The new list shows a little before the link by the old one is replaced;
-	// until then the home can not be reached and the answer is "unknown".
+	// The new list takes effect shortly before the link that was opened under the
+	// old one is replaced. Until then the home is unreachable and the outcome is
+	// "unknown".
 	for got.problem.Outcome == reason.Unknown && ctx.Err() == nil {
 		runtime.Gosched()
 		got = ask()
 	}
 	if got.problem.Outcome != reason.NotRun || got.problem.Reason != reason.UnknownTemplate {
-		t.Errorf("not the home's answer: %+v", got)
+		t.Errorf("got %+v, want the answer of the ticket's home", got)
 	}
 }
--- a/internal/standin/site/control_bench_test.go
+++ b/internal/standin/site/control_bench_test.go
@@ -16,23 +16,23 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// trafficCount counts the bytes at the listeners of each role, both ways.
+// trafficCount counts the traffic in both directions at the listeners of each role.
 type trafficCount struct {
 	bytes map[string]*atomic.Uint64
-	calls map[string]*atomic.Uint64 // reads that brought something: about one a message
+	reads map[string]*atomic.Uint64 // calls of Read, about one per message
 }
 
 func newTrafficCount() *trafficCount {
 	c := &trafficCount{make(map[string]*atomic.Uint64), make(map[string]*atomic.Uint64)}
 	for _, role := range []string{"caller", "operator", "peer", "platform", "worker"} {
-		c.bytes[role], c.calls[role] = new(atomic.Uint64), new(atomic.Uint64)
+		c.bytes[role], c.reads[role] = new(atomic.Uint64), new(atomic.Uint64)
 	}
 	return c
 }
 
 // WrapListener implements entry.ListenerWrapper.
 func (c *trafficCount) WrapListener(role string, l net.Listener) net.Listener {
-	return countedListener{l, c.bytes[role], c.calls[role]}
+	return countedListener{l, c.bytes[role], c.reads[role]}
 }
 
 type countedListener struct {
@@ -67,15 +67,15 @@
 }
 
 const (
-	controlSpan   = 10 * time.Second
-	controlSettle = 3 * time.Second
+	controlDuration   = 10 * time.Second
+	controlSettleTime = 3 * time.Second
 )
 
-// BenchmarkControl measures what one entry VM of a site of 8 costs without load:
-// idle, and with a publication each second. Bytes between entry VMs count once
-// at the sender and once at the receiver. Processor time and memory are those of
-// the process over its entry VMs, the workers' stand-ins included; memory is
-// against a site without entry VMs.
+// BenchmarkControl measures the cost of one entry VM of a site of 8 without jobs,
+// both idle and with a configuration published every second. Bytes between entry VMs
+// count at the sender and at the receiver. CPU time and memory are those of the
+// process, worker stand-ins included, divided by the number of entry VMs; memory is
+// the increase over the same site without entry VMs.
 //
 //	go test -run '^$' -bench Control -benchtime 1x ./internal/standin/site
 func BenchmarkControl(b *testing.B) {
@@ -108,7 +108,7 @@
 		b.Fatal(err)
 	}
 	defer s.Stop()
-	before := heap()
+	before := heapAndStacks()
 	for i := range nodes {
 		if _, err := s.AddEntry(opt.Domains[i%len(opt.Domains)]); err != nil {
 			b.Fatal(err)
@@ -122,12 +122,12 @@
 	if err := s.AwaitReady(ctx); err != nil {
 		b.Fatal(err)
 	}
-	time.Sleep(controlSettle)
-	perNode := func(n uint64) float64 { return float64(n) / controlSpan.Seconds() / float64(nodes) }
+	time.Sleep(controlSettleTime)
+	perNode := func(n uint64) float64 { return float64(n) / controlDuration.Seconds() / float64(nodes) }
 	start := snapshot(count)
 	cpu := processorTime(b)
 	began := time.Now()
-	for i := range int(controlSpan / time.Second) {
+	for i := range int(controlDuration / time.Second) {
 		if publishing {
 			doc.Revision = uint64(i) + 1
 			if _, err := s.PublishOnly(ctx, doc, "bench", fmt.Sprint("change-", i)); err != nil {
@@ -142,8 +142,8 @@
 	b.ReportMetric(2*perNode(end.reads["peer"]-start.reads["peer"]), "peer-reads/s")
 	b.ReportMetric(perNode(end.bytes["platform"]-start.bytes["platform"]), "platform-bytes/s")
 	b.ReportMetric(perNode(end.bytes["worker"]-start.bytes["worker"]), "lease-bytes/s")
-	b.ReportMetric(100*used.Seconds()/controlSpan.Seconds()/float64(nodes), "%core")
-	b.ReportMetric(float64(heap()-before)/float64(nodes)/(1<<20), "heap-MB")
+	b.ReportMetric(100*used.Seconds()/controlDuration.Seconds()/float64(nodes), "%core")
+	b.ReportMetric(float64(heapAndStacks()-before)/float64(nodes)/(1<<20), "heap-MB")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -152,13 +152,13 @@
 func snapshot(c *trafficCount) trafficSnapshot {
 	s := trafficSnapshot{make(map[string]uint64), make(map[string]uint64)}
 	for role := range c.bytes {
-		s.bytes[role], s.reads[role] = c.bytes[role].Load(), c.calls[role].Load()
+		s.bytes[role], s.reads[role] = c.bytes[role].Load(), c.reads[role].Load()
 	}
 	return s
 }
 
-// heap is the live heap and the stacks in use.
-func heap() uint64 {
+// heapAndStacks returns the bytes of heap and stacks in use after a collection.
+func heapAndStacks() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/standin/site/idle_bench_test.go
+++ b/internal/standin/site/idle_bench_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// meter counts the bytes that pass listeners of one role, both ways.
-type meter struct{ byRole map[string]*atomic.Int64 }
+// roleByteCounts counts the bytes in both directions at the listeners of each role.
+type roleByteCounts struct{ byRole map[string]*atomic.Int64 }
 
-func newMeter() *meter {
-	m := &meter{byRole: make(map[string]*atomic.Int64)}
+func newRoleByteCounts() *roleByteCounts {
+	m := &roleByteCounts{byRole: make(map[string]*atomic.Int64)}
 	for _, role := range []string{"caller", "operator", "peer", "worker", "platform"} {
 		m.byRole[role] = new(atomic.Int64)
 	}
 	return m
 }
 
-func (m *meter) WrapListener(role string, l net.Listener) net.Listener {
+func (m *roleByteCounts) WrapListener(role string, l net.Listener) net.Listener {
 	return meteredListener{l, m.byRole[role]}
 }
 
@@ -52,23 +52,23 @@
 	return n, err
 }
 
-// BenchmarkIdle is what a site without any work costs in a second, and the
-// memory it holds, stand-ins included. The slopes of a peer link and of a lease
-// are differences between two of its sizes: see docs/CAPACITY.md.
+// BenchmarkIdle measures the CPU time and traffic per second of a site without jobs
+// and the memory that it holds, stand-ins included. The cost of one peer link and of
+// one lease follows from the differences between sizes: see docs/CAPACITY.md.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range []struct{ entryVMs, workers int }{{2, 0}, {8, 0}, {16, 0}, {2, 50}, {2, 150}} {
 		b.Run(fmt.Sprintf("entry=%d/workers=%d", size.entryVMs, size.workers), func(b *testing.B) {
-			idle(b, size.entryVMs, size.workers)
+			measureIdle(b, size.entryVMs, size.workers)
 		})
 	}
 }
 
-// settleTime lets what a start leaves behind end before the measurement.
-const settleTime = 2 * time.Second
+// idleSettleTime is the wait before the measurement, in which start-up work ends.
+const idleSettleTime = 2 * time.Second
 
-func idle(b *testing.B, entryVMs, workers int) {
+func measureIdle(b *testing.B, entryVMs, workers int) {
 	opt := Defaults([]string{"d1"})
-	m := newMeter()
+	m := newRoleByteCounts()
 	opt.EntryVMs, opt.Workers, opt.Wrapper = entryVMs, workers, m
 	s, err := Start(opt)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err := s.AwaitReady(ctx); err != nil {
 		b.Fatal(err)
 	}
-	time.Sleep(settleTime)
+	time.Sleep(idleSettleTime)
 	before := make(map[string]int64)
 	for role, n := range m.byRole {
 		before[role] = n.Load()
--- a/internal/standin/site/kill_bench_test.go
+++ b/internal/standin/site/kill_bench_test.go
@@ -17,9 +17,9 @@
 
 const killKey = "kill-key-for-tests"
 
-// killSite is a site of Tsagaan Shavar's size whose tasks run as long as their
-// input says, in microseconds.
-func killSite(b *testing.B) (*Site, *client.Client) {
+// newKillSite returns a new site of the size of Tsagaan Shavar's, and a client of it.
+// The input of a task is its run time in microseconds.
+func newKillSite(b *testing.B) (*Site, *client.Client) {
 	b.Helper()
 	opt := Defaults([]string{"d1", "d2", "d3", "d4"})
 	opt.Behaviour = func(_ string, input []byte) worker.Outcome {
@@ -55,25 +55,25 @@
 	return s, c
 }
 
-// killRun is what became of the jobs of one run.
-type killRun struct {
+// killResults counts the outcomes of the jobs that the kill affected.
+type killResults struct {
 	mu                          sync.Mutex
-	killed                      time.Time
+	killedAt                    time.Time
 	affected, complete, unknown int
 	failed, notRun, unresolved  int
-	delays                      []float64 // ms past the ideal, of jobs that were under way
+	delays                      []float64 // of complete jobs: ms above the run time of the longest task
 	sent                        int
-	worst                       float64 // delay of the job whose ticket follows
+	maxDelay                    float64 // the largest of delays, of the job worstTicket
 	worstTicket                 string
 }
 
-// ended counts a job that was under way at the kill and that the kill can have
-// touched.
-func (r *killRun) ended(began time.Time, longest time.Duration, a *client.Answer, err error, touched func(home string) bool) {
+// recordAnswer counts the answer of a job if it was in flight at the kill and the kill
+// can have affected it.
+func (r *killResults) recordAnswer(began time.Time, longest time.Duration, a *client.Answer, err error, touched func(home string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if r.killed.IsZero() || now.Before(r.killed) || began.After(r.killed) {
+	if r.killedAt.IsZero() || now.Before(r.killedAt) || began.After(r.killedAt) {
 		return
 	}
 	if err != nil {
@@ -92,8 +92,8 @@
 		r.complete++
 		delay := float64((now.Sub(began) - longest).Microseconds()) / 1000
 		r.delays = append(r.delays, delay)
-		if delay > r.worst {
-			r.worst, r.worstTicket = delay, a.Ticket
+		if delay > r.maxDelay {
+			r.maxDelay, r.worstTicket = delay, a.Ticket
 		}
 	case client.Unknown:
 		r.unknown++
@@ -104,9 +104,9 @@
 	}
 }
 
-// load keeps a mix of jobs under way until stop is closed: mostly 2 tasks of
-// 50 ms, some of 8 tasks of 300 ms, few of 60 tasks of one second.
-func (r *killRun) load(c *client.Client, stop <-chan struct{}, touched func(home string) bool) {
+// runLoad keeps 60 jobs in flight until stop is closed. Most have 2 tasks of about
+// 50 ms, some 8 tasks of 300 ms, and few 60 tasks of one second.
+func (r *killResults) runLoad(c *client.Client, stop <-chan struct{}, touched func(home string) bool) {
 	var jobs sync.WaitGroup
 	for i := range 60 {
 		jobs.Go(func() {
@@ -136,42 +136,42 @@
 				began := time.Now()
 				a, err := c.Submit(ctx, j)
 				cancel()
-				r.ended(began, longest, a, err, touched)
+				r.recordAnswer(began, longest, a, err, touched)
 			}
 		})
 	}
 	jobs.Wait()
 }
 
-// benchKill measures what one kill does to the jobs that were under way.
+// benchKill measures the effect of one kill on the jobs in flight.
 func benchKill(b *testing.B, kill func(s *Site) (touched func(home string) bool)) {
-	total := &killRun{}
+	total := &killResults{}
 	var seals, follows int
-	var rehold time.Duration
+	var reacquireTime time.Duration
 	for range b.N {
-		s, c := killSite(b)
-		r := &killRun{}
+		s, c := newKillSite(b)
+		r := &killResults{}
 		var touched func(string) bool
 		stop := make(chan struct{})
 		done := make(chan struct{})
 		go func() {
-			r.load(c, stop, func(home string) bool { return touched(home) })
+			r.runLoad(c, stop, func(home string) bool { return touched(home) })
 			close(done)
 		}()
 		time.Sleep(1500 * time.Millisecond)
 		before := s.ControlCalls()
 		r.mu.Lock()
-		r.killed = time.Now()
+		r.killedAt = time.Now()
 		touched = kill(s)
 		r.mu.Unlock()
-		rehold += awaitHeld(b, s)
+		reacquireTime += awaitLeases(b, s)
 		close(stop)
 		<-done
 		after := s.ControlCalls()
 		seals += after.Seals - before.Seals
 		follows += after.Follows - before.Follows
 		if testing.Verbose() {
-			explain(b, c, r)
+			logWorstTimeline(b, c, r)
 		}
 		if _, _, highest := s.Starts(); highest > 1 {
 			b.Errorf("a task was started %d times", highest)
@@ -196,7 +196,7 @@
 	per(total.sent, "repeats")
 	per(seals, "seals")
 	per(follows, "follows")
-	b.ReportMetric(float64(rehold.Milliseconds())/float64(b.N), "rehold-ms")
+	b.ReportMetric(float64(reacquireTime.Milliseconds())/float64(b.N), "rehold-ms")
 	slices.Sort(total.delays)
 	if n := len(total.delays); n > 0 {
 		b.ReportMetric(total.delays[n/2], "delay-p50-ms")
@@ -204,9 +204,9 @@
 	}
 }
 
-// awaitLeases waits until every worker that lives is held by an entry VM that
-// lives, at least 1.5 s, and returns how long it took.
-func awaitHeld(b *testing.B, s *Site) time.Duration {
+// awaitLeases waits until every running worker is leased by a running entry VM and
+// returns how long that took. It takes at least 1.5 s in all.
+func awaitLeases(b *testing.B, s *Site) time.Duration {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -218,20 +218,20 @@
 	return took
 }
 
-// explain prints the timeline of the job with the longest delay.
-func explain(b *testing.B, c *client.Client, r *killRun) {
+// logWorstTimeline logs the timeline of the job with the largest delay.
+func logWorstTimeline(b *testing.B, c *client.Client, r *killResults) {
 	steps, err := c.Timeline(context.Background(), r.worstTicket)
 	if err != nil || len(steps) == 0 {
 		return
 	}
-	b.Logf("delay %.0f ms:", r.worst)
+	b.Logf("delay %.0f ms:", r.maxDelay)
 	for _, s := range steps {
 		b.Logf("%9.1f ms  %s %s %s %s", float64(s.UnixMicros-steps[0].UnixMicros)/1000, s.EntryVM, s.Step, s.Reason, s.Detail)
 	}
 }
 
-// BenchmarkKillEntryVM kills one of eight entry VMs. Affected are the jobs under
-// way whose home it was.
+// BenchmarkKillEntryVM kills one of eight entry VMs. The affected jobs are those in
+// flight whose home it was.
 func BenchmarkKillEntryVM(b *testing.B) {
 	benchKill(b, func(s *Site) func(string) bool {
 		victim := s.Entries()[2]
@@ -240,8 +240,8 @@
 	})
 }
 
-// BenchmarkKillWorker kills one of fifty workers. Affected are all jobs under
-// way: any may have had a task there.
+// BenchmarkKillWorker kills one of fifty workers. All jobs in flight count as
+// affected, since each may have had a task there.
 func BenchmarkKillWorker(b *testing.B) {
 	benchKill(b, func(s *Site) func(string) bool {
 		s.KillWorker(s.Workers()[7])
--- a/internal/standin/site/partition.go
+++ b/internal/standin/site/partition.go
@@ -9,12 +9,12 @@
 
 var errPartition = errors.New("injected partition: the failure domains are cut off from each other")
 
-// partition injects network partitions between failure domains. All connections
-// between VMs, and to the platform, are opened through its dialers. It refuses
-// new ones across a cut and breaks those that are open.
+// partition injects network partitions between failure domains. Entry VMs open their
+// connections to other VMs and to the platform through its dialers. Across a cut, it
+// closes open connections and refuses new ones.
 type partition struct {
 	mu      sync.Mutex
-	domains map[string]string // failure domain by listening address; none: the platform
+	domains map[string]string // failure domain by listening address; the platform has none
 	cut     map[string]bool   // failure domains that are cut off
 	open    map[*partitionConn]struct{}
 }
@@ -27,15 +27,15 @@
 	}
 }
 
-// setDomain notes the failure domain of a listener.
+// setDomain records the failure domain of a listener.
 func (p *partition) setDomain(address, domain string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.domains[address] = domain
 }
 
-// setCut cuts a failure domain off from all others and from the platform, or heals
-// the cut.
+// setCut cuts a failure domain off from all others and from the platform, or
+// reconnects it.
 func (p *partition) setCut(domain string, cut bool) {
 	p.mu.Lock()
 	p.cut[domain] = cut
@@ -51,13 +51,13 @@
 	}
 }
 
-// isCut reports whether a cut lies between two failure domains. The caller
-// holds the lock.
+// isCut reports whether two failure domains are cut off from each other. The caller
+// holds mu.
 func (p *partition) isCut(from, to string) bool {
 	return from != to && (p.cut[from] || p.cut[to])
 }
 
-// dialer opens the connections of one failure domain's VMs.
+// dialer returns the dialer for the VMs of a failure domain.
 func (p *partition) dialer(domain string) *partitionDialer {
 	return &partitionDialer{partition: p, domain: domain}
 }
@@ -93,7 +93,7 @@
 	return c, nil
 }
 
-// partitionConn is an open connection between two failure domains.
+// partitionConn is an open connection, with the failure domains of its ends.
 type partitionConn struct {
 	net.Conn
 	partition *partition
@@ -107,9 +107,9 @@
 	return c.Conn.Close()
 }
 
-// CutDomain cuts a failure domain off from the others and from the platform: its
-// connections across the cut break, and new ones are refused.
+// CutDomain cuts a failure domain off from the others and from the platform: open
+// connections across the cut are closed, and new ones are refused.
 func (s *Site) CutDomain(domain string) { s.partition.setCut(domain, true) }
 
-// ReconnectDomain ends a cut.
+// ReconnectDomain ends the cut of a failure domain.
 func (s *Site) ReconnectDomain(domain string) { s.partition.setCut(domain, false) }
--- a/internal/standin/site/records.go
+++ b/internal/standin/site/records.go
@@ -2,8 +2,8 @@
 
 import "github.com/pumiceyard/pumiceyard/internal/request/ticket"
 
-// Records are the workers' own records of starts, put together over all
-// workers, dead ones too.
+// Records are the start counts that the workers themselves keep, summed over
+// workers, including killed ones.
 type Records struct {
 	tasks, starts, highest int
 
@@ -15,12 +15,12 @@
 	index uint32
 }
 
-// Records reads the records of starts.
+// Records returns the start counts of all workers.
 func (s *Site) Records() *Records {
 	return s.RecordsWhere(func(*Worker) bool { return true })
 }
 
-// RecordsWhere reads the records of the workers that match.
+// RecordsWhere returns the start counts of the matching workers.
 func (s *Site) RecordsWhere(match func(*Worker) bool) *Records {
 	counts := make(map[taskKey]int)
 	for _, w := range s.Workers() {
@@ -38,14 +38,15 @@
 	return r
 }
 
-// Starts counts tasks and starts, and how often the task with the most starts
-// was started.
+// Starts returns how many distinct tasks were started, how many starts there were in
+// total, and the highest number of starts of one task.
 func (r *Records) Starts() (tasks, starts, highest int) { return r.tasks, r.starts, r.highest }
 
-// StartsOf returns how many starts there were under a ticket of the site.
+// StartsOf returns how many task starts there were under a ticket of the site.
 func (r *Records) StartsOf(token string) int { return r.bySubmission[SubmissionID(token)] }
 
-// SubmissionID returns the identity in a ticket of the site.
+// SubmissionID returns the submission ID in a ticket of the site. It panics if the
+// ticket was not issued by the site.
 func SubmissionID(token string) ticket.ID {
 	t, err := ticket.Parse([]byte(ticketKey), token)
 	if err != nil {
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,6 +1,6 @@
-// Package site starts a small site in one process: the platform stand-in, worker
-// stand-ins and entry VMs, each with sockets of its own on loopback. The demo,
-// the load tool's self test and end-to-end tests use it.
+// Package site runs a complete small site in one process: the platform stand-in,
+// worker stand-ins and entry VMs, which talk to each other over loopback sockets. The
+// demo, the load tool and end-to-end tests use it.
 package site
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/publication"
 )
 
-// Options describe a site.
+// Options configure a site.
 type Options struct {
 	Domains          []string
 	EntryVMs         int
@@ -34,15 +34,16 @@
 	IdleMilliwatts   uint32
 	Behaviour        worker.Behaviour
 	ListLag          time.Duration
-	PlatformListen   string                // address of the platform's service; empty: any on loopback
-	ExternalEntryVMs []*pb.VM              // entry VMs that run elsewhere
-	AdjustSettings   func(*entry.Settings) // changes the settings of each entry VM; may be nil
-	// Wrapper replaces each listener before it is used, those of the roles
-	// "worker" and "platform" too; nil: none is replaced.
+	PlatformListen   string                // address of the platform service; empty: any port on loopback
+	ExternalEntryVMs []*pb.VM              // entry VMs of other processes, added to the platform's list
+	AdjustSettings   func(*entry.Settings) // adjusts the settings of each entry VM before it starts; may be nil
+	// Wrapper wraps each listener before it is used, including those of the
+	// roles "worker" and "platform"; nil: none is wrapped.
 	Wrapper entry.ListenerWrapper
 }
 
-// Defaults returns a site of the users' present size.
+// Defaults returns the options of a site as large as those of present users: 8
+// entry VMs and 50 workers.
 func Defaults(domains []string) Options {
 	return Options{
 		Domains:        domains,
@@ -100,7 +101,7 @@
 	alive  bool
 }
 
-// Start brings a site up.
+// Start starts a site. It does not wait until the site is ready.
 func Start(opt Options) (*Site, error) {
 	s := &Site{
 		opt:       opt,
@@ -129,7 +130,7 @@
 	return s, nil
 }
 
-// anyLoopback lets the system pick a port.
+// anyLoopback is a loopback address with a port that the system picks.
 const anyLoopback = "127.0.0.1:0"
 
 func (s *Site) listen(role, address string, handler http.Handler) (string, *http.Server, error) {
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// AddEntry starts one more entry VM in a failure domain and lists it.
+// AddEntry starts another entry VM in a failure domain and adds it to the platform's
+// list.
 func (s *Site) AddEntry(domain string) (*Entry, error) {
 	s.mu.Lock()
 	s.sequence++
@@ -210,7 +212,7 @@
 	return e, nil
 }
 
-// seedPeers are the peer listeners of some entry VMs that live.
+// seedPeers returns the peer addresses of up to maxSeedPeers running entry VMs.
 func (s *Site) seedPeers() (addresses []string) {
 	for _, e := range s.Entries() {
 		if len(addresses) < maxSeedPeers {
@@ -220,10 +222,10 @@
 	return addresses
 }
 
-// maxSeedPeers is how many others an entry VM is told of in its settings.
+// maxSeedPeers is the number of peer addresses in an entry VM's settings.
 const maxSeedPeers = 3
 
-// publishVMList tells the platform's list which VMs there are.
+// publishVMList updates the platform's VM list to the VMs that are running.
 func (s *Site) publishVMList() {
 	s.mu.Lock()
 	vms := slices.Clone(s.opt.ExternalEntryVMs)
@@ -249,10 +251,10 @@
 	s.Platform.SetVMs(vms)
 }
 
-// PlatformURL is where entry VMs find the platform.
+// PlatformURL returns the base URL of the platform service.
 func (s *Site) PlatformURL() string { return s.platformURL }
 
-// Entries returns the entry VMs that live.
+// Entries returns the running entry VMs.
 func (s *Site) Entries() []*Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,20 +267,20 @@
 	return out
 }
 
-// Workers returns all workers, dead ones too.
+// Workers returns all workers, including killed ones.
 func (s *Site) Workers() []*Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.workers)
 }
 
-// Endpoints are the callers' base URLs of the entry VMs to which the balancer
-// sends callers: those that live, without those that are being stopped.
+// Endpoints returns the base URLs, for callers, of the entry VMs to which a load
+// balancer would send requests: those that are running and not being stopped.
 func (s *Site) Endpoints() []string {
 	return s.EndpointsWhere(func(*Entry) bool { return true })
 }
 
-// EndpointsWhere is Endpoints of the entry VMs that match.
+// EndpointsWhere is Endpoints restricted to the matching entry VMs.
 func (s *Site) EndpointsWhere(match func(*Entry) bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,10 +293,11 @@
 	return out
 }
 
-// Endpoint is the callers' base URL of the entry VM.
+// Endpoint returns the base URL of the entry VM for callers.
 func (e *Entry) Endpoint() string { return "http://" + e.VM.CallerAddress() }
 
-// KillEntry ends an entry VM as a crash does. The list shows it with its lag.
+// KillEntry simulates a crash of an entry VM. The platform's list drops it after the
+// list lag.
 func (s *Site) KillEntry(e *Entry) {
 	s.mu.Lock()
 	e.alive = false
@@ -303,7 +306,8 @@
 	s.publishVMList()
 }
 
-// StopEntry stops an entry VM as planned and reports whether it finished.
+// StopEntry shuts an entry VM down gracefully and reports whether all
+// its work ended before the shutdown time limit.
 func (s *Site) StopEntry(ctx context.Context, e *Entry) bool {
 	s.mu.Lock()
 	e.leaving = true
@@ -317,7 +321,7 @@
 	return finished
 }
 
-// KillWorker ends a worker as a crash does.
+// KillWorker simulates a crash of a worker.
 func (s *Site) KillWorker(w *Worker) {
 	s.mu.Lock()
 	w.alive = false
@@ -327,7 +331,8 @@
 	s.publishVMList()
 }
 
-// Publish puts a document in force and waits until each entry VM has it.
+// Publish publishes a configuration document, waits until every entry VM has applied
+// it, and returns its revision.
 func (s *Site) Publish(ctx context.Context, d *document.Document, author, change string) (uint64, error) {
 	receipt, err := s.PublishOnly(ctx, d, author, change)
 	if err != nil {
@@ -336,8 +341,8 @@
 	return receipt.Revision, s.AwaitRevision(ctx, receipt.Revision)
 }
 
-// PublishOnly puts a document in force and does not wait. It asks the platform
-// itself.
+// PublishOnly publishes a configuration document without waiting for the entry VMs. It
+// writes to the platform's store directly, not through an entry VM.
 func (s *Site) PublishOnly(ctx context.Context, d *document.Document, author, change string) (publication.Receipt, error) {
 	httpClient := wire.NewClient(nil, nil)
 	defer httpClient.CloseAll()
@@ -352,11 +357,12 @@
 
 const awaitPollInterval = 20 * time.Millisecond
 
-// Starts counts tasks and starts over all workers, dead ones too, and how often
-// the task with the most starts was started.
+// Starts returns, over all workers including killed ones, how many distinct tasks
+// were started, how many starts there were in total, and the highest number of
+// starts of one task.
 func (s *Site) Starts() (tasks, starts, highest int) { return s.Records().Starts() }
 
-// ControlCalls sums the control calls that were made to all workers.
+// ControlCalls returns the counts of control calls, summed over all workers.
 func (s *Site) ControlCalls() worker.Calls {
 	var sum worker.Calls
 	for _, w := range s.Workers() {
@@ -368,7 +374,7 @@
 	return sum
 }
 
-// Stop ends everything.
+// Stop kills all entry VMs and workers and closes the platform's listener.
 func (s *Site) Stop() {
 	var stops sync.WaitGroup
 	for _, e := range s.Entries() {
--- a/internal/standin/worker/service.go
+++ b/internal/standin/worker/service.go
@@ -181,11 +181,11 @@
 		return nil, nil
 	}
 	if w.holder != 0 && w.holder != a.Incarnation && now.Before(w.leaseUntil) {
-		left := w.leaseUntil.Sub(now)
+		remaining := w.leaseUntil.Sub(now)
 		return nil, &pb.HoldResponse{Denied: &pb.Denied{
 			Reason:           "held",
 			Holder:           w.holderName,
-			RetryAfterMillis: uint32((left / retryDivisor).Milliseconds()) + 1,
+			RetryAfterMillis: uint32((remaining / retryDivisor).Milliseconds()) + 1,
 		}}
 	}
 	w.endStream()
