--- a/internal/process/entry/local.go
+++ b/internal/process/entry/local.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-// collect joins the timelines of all entry VMs that answer, in order of time.
+// collect merges the timelines of all entry VMs that answer, in order of time.
 func collect(ctx context.Context, vm *VM, id ticket.ID) []caller.NamedStep {
 	var mu sync.Mutex
 	steps := vm.steps(id)
--- a/internal/process/entry/operator.go
+++ b/internal/process/entry/operator.go
@@ -30,8 +30,8 @@
 		Incarnation: vm.incarnation,
 		Ready:       vm.Ready(),
 		Draining:    vm.draining.Load(),
-		// The list is read all the time. Without it, a VM that is cut off shows its
-		// store as up until enough calls have failed, and few are made.
+		// The VM list is read continuously. Without this condition, a partitioned VM
+		// would show its store as up until enough of its few store calls have failed.
 		StoreUp:     vm.store.Up() && vm.listed.Load(),
 		ListVersion: vm.fleet.Latest().Version,
 		FreeSlots:   advert.FreeSlots,
@@ -63,7 +63,7 @@
 	return s
 }
 
-// powerStatus sums up a ledger's state.
+// powerStatus summarizes the state of a ledger.
 func powerStatus(s *power.Status) operator.Power {
 	out := operator.Power{
 		Revision: s.Revision,
@@ -85,7 +85,7 @@
 	return out
 }
 
-// unreachable names the listed entry VMs that do not answer, by name.
+// unreachable returns the names of the listed entry VMs that do not answer, sorted.
 func (vm *VM) unreachable() []operator.Unreachable {
 	var out []operator.Unreachable
 	for _, e := range vm.Fleet().Entries {
--- a/internal/process/entry/peers.go
+++ b/internal/process/entry/peers.go
@@ -16,7 +16,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/ticket"
 )
 
-// peerSet keeps the links to the other entry VMs and knows which of them live.
+// peerSet manages the links to the other entry VMs and tracks which are reachable.
 type peerSet struct {
 	vm    *VM
 	calls *peer.Calls
@@ -32,7 +32,7 @@
 	vm    membership.Fact
 	link  *peer.Link
 	up    bool
-	drain bool      // it takes nothing new and gives its leases back
+	drain bool      // it admits no new work and releases its leases
 	since time.Time // the link was opened
 	// answering is the incarnation that answered last. The list may leave it
 	// open with a 0, when VMs take their incarnation themselves.
@@ -56,8 +56,8 @@
 	}
 }
 
-// reconcile opens links to the entry VMs that are known and closes the others.
-// It does not wait for those that it closes.
+// reconcile opens links to the known entry VMs and closes all other links, without
+// waiting for them to close.
 func (p *peerSet) reconcile(others []membership.Fact) {
 	known := make(map[string]membership.Fact, len(others))
 	for _, o := range others {
@@ -75,7 +75,7 @@
 	}
 }
 
-// takeUnknown takes the links that lead to no known VM out of the set.
+// takeUnknown removes the links to unknown VMs from the set and returns them.
 func (p *peerSet) takeUnknown(known map[string]membership.Fact) map[string]*peerLink {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,8 +89,8 @@
 	return taken
 }
 
-// leadsTo reports whether the link is to this start of the VM. A list may leave
-// the incarnation open with a 0; then it is the one that answers.
+// leadsTo reports whether the link is to this incarnation of the VM. Incarnation 0
+// in a list is unspecified and matches the one that answers.
 func (l *peerLink) leadsTo(vm membership.Fact) bool {
 	if l.vm.Address != vm.Address {
 		return false
@@ -98,10 +98,10 @@
 	return vm.Incarnation == l.vm.Incarnation || (l.vm.Incarnation == 0 && vm.Incarnation == l.answering)
 }
 
-// end closes a link that was taken out of the set, without waiting for it. The
-// home hears of the loss here, and of nothing else from this link: its own end
-// may come after the next link to the same name is up, and would mark that one
-// as lost for good. One would see an entry VM that never answers this one again.
+// end closes a link that was removed from the set, without waiting for it. It
+// reports the loss to the home and suppresses all later events of the link. The
+// link's own end event may arrive after the next link to the same name is up and
+// would mark that one as lost for good: the peer would never be used again.
 func (p *peerSet) end(name string, l *peerLink) {
 	p.ended.Go(l.link.Stop)
 	l.reporting.Lock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// lost tells everyone who counts on an owner that it is gone.
+// lost notifies the components that depend on an owner of its loss.
 func (p *peerSet) lost(owner, why string) {
 	p.vm.home.OwnerLost(owner, why)
 	p.vm.shares.lost(owner)
@@ -155,15 +155,17 @@
 	}
 }
 
-// liveInDomain names the entry VMs that should hold this failure domain's
-// workers: this one, those that answer, and those that have not had the time to
-// answer yet. Leaving ones are out, so that their workers move before they stop.
+// liveInDomain returns the entry VMs that should hold this failure domain's
+// workers: this one, those that answer, and those that have not had time to answer
+// yet. Leaving VMs are excluded, so that their workers are handed over before they
+// stop.
 //
-// A link that is lost is a faster sign than the membership's. Once lost it counts
-// until the VM answers again or another member is known to hear it: then only the
-// way from here is broken. What another member says can be old, or its own guess
-// about a VM that it never heard, so it does not count against the platform's list
-// either: a dead VM would be kept live for good, and nobody would hold its workers.
+// A lost link reveals a failure sooner than the membership does. It counts until
+// the VM answers again or another member is known to hear from it, in which case
+// only the path from this VM is broken. Reports of another member may be outdated,
+// or a guess about a VM that it never heard from, and do not override the
+// platform's list either. Otherwise a dead VM would count as live for good, and
+// no VM would hold its workers.
 func (p *peerSet) liveInDomain(v membership.View) []string {
 	vouched := make(map[string]bool)
 	for _, s := range v.Suspects {
@@ -248,7 +250,7 @@
 	return slices.Sorted(maps.Values(p.addresses()))
 }
 
-// addresses returns the peers that can be reached, by name.
+// addresses returns the addresses of the reachable peers, by name.
 func (p *peerSet) addresses() map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,7 +263,7 @@
 	return out
 }
 
-// peerEvents passes what one link reports to the home, until the link is ended.
+// peerEvents forwards the events of one link to the home until the link is ended.
 type peerEvents struct {
 	p *peerSet
 	l *peerLink
@@ -322,9 +324,10 @@
 	return &pb.TimelineResponse{Steps: h.vm.steps(id)}
 }
 
-// localSession joins this VM's home to its own holder. Neither loop may wait for
-// the other: both could wait for each other for ever. Offers that do not fit are
-// refused, and results pass through a ring that a goroutine of its own empties.
+// localSession connects this VM's home to its own holder. Neither event loop may
+// wait for the other, because that could deadlock. Offers are refused when the
+// queue is full, and results pass through a ring buffer that a separate goroutine
+// drains.
 type localSession struct {
 	vm    *VM
 	out   *ring.Ring[*pb.RunResponse]
--- a/internal/process/entry/plan.go
+++ b/internal/process/entry/plan.go
@@ -18,23 +18,24 @@
 )
 
 const (
-	planLook    = 100 * time.Millisecond // between looks whether a plan is due
-	planEvery   = time.Second            // between plans, but for a changed part
-	planSettle  = 500 * time.Millisecond // for which a change of the workers has to last
-	unheldGrace = 3 * time.Second        // in which a worker changes hands
-	coldStart   = 2 * time.Second        // for the first plan to wait for workers
-	planTimeout = 2 * time.Second        // for the calls of one plan
+	planLook    = 100 * time.Millisecond // interval of checks whether a plan is due
+	planEvery   = time.Second            // minimum time between plans, unless the domain's part changed
+	planSettle  = 500 * time.Millisecond // how long a change of the workers must last to need a plan
+	unheldGrace = 3 * time.Second        // time allowed for a worker to get a new holder
+	coldStart   = 2 * time.Second        // how long the first plan waits for workers
+	planTimeout = 2 * time.Second        // timeout of the store calls for one plan
 )
 
-// planner makes and follows the plans of this VM's failure domain.
+// planner makes and applies the power plans of this VM's failure domain.
 //
-// The first plan. A worker without a record may draw no more than when idle, so
-// nothing that draws power starts before there is a plan. The entry VM of the
-// lowest name makes it once the document is known and every listed worker of the
-// domain is leased, or after coldStart with the ceilings of the others set
-// aside. Later ones follow a changed part of the document, a changed set of
-// workers, or watts that a plan would bring back. Two makers race on the key's
-// version, so one of them wins. While the store is out, the plan in force stays.
+// A worker that no plan covers may use no more power than when idle, so no task
+// that needs power starts before the first plan. The entry VM with the lowest name
+// makes that plan once the configuration is known and every listed worker of the
+// domain is leased, or after coldStart with power reserved for the others. A new
+// plan follows when the domain's part in the configuration or the set of workers
+// changes, or when a plan would recover unused power. If two VMs make a plan at
+// once, the version of its key lets only one be stored. While the store is
+// unavailable, the current plan remains in effect.
 type planner struct {
 	vm *VM
 
@@ -52,14 +53,14 @@
 	confirmed uint64 // revision of which the store knows that it is complete
 }
 
-// workerFacts is what is known of a worker that was leased in this domain.
+// workerFacts is what is known about a worker that was leased in this domain.
 type workerFacts struct {
 	incarnation   uint64
 	idle, ceiling power.Milliwatts
 	held          time.Time // last seen leased
 }
 
-// heldWorkers is what a peer holds, at a version of its list.
+// heldWorkers is one version of the list of workers that a peer holds.
 type heldWorkers struct {
 	version uint64
 	workers []*pb.HeldWorker
@@ -73,15 +74,14 @@
 	}
 }
 
-// wanted takes the ledger's wish for a plan.
+// wanted records the ledger's request for a plan.
 func (p *planner) wanted(w power.PlanWanted) {
 	p.mu.Lock()
 	p.recoverAfter = w.After
 	p.mu.Unlock()
 }
 
-// heard takes a peer's list of held workers. Adverts leave it out when it has
-// not changed.
+// heard processes a peer's list of held workers. Adverts omit an unchanged list.
 func (p *planner) heard(owner string, m *pb.Advert) {
 	if m.Domain != p.vm.settings.Domain {
 		return
@@ -98,7 +98,7 @@
 	watchRetry = 300 * time.Millisecond
 )
 
-// follow puts each newer plan of the domain in force.
+// follow applies each newer plan of the domain.
 func (p *planner) follow(ctx context.Context) {
 	version := uint64(0)
 	for ctx.Err() == nil {
@@ -115,9 +115,9 @@
 	}
 }
 
-// askPeers takes the plan of another entry VM of the domain, when this one has
-// none and the store is out. Without it a VM that starts during an outage would
-// hold leases of workers on which it may start nothing until the outage ends.
+// askPeers gets the plan from another entry VM of the domain when this one has no
+// plan and the store is unavailable. Otherwise a VM that starts during an outage
+// would hold leases of workers on which it may start nothing until the outage ends.
 func (p *planner) askPeers(ctx context.Context) {
 	if p.revision() > 0 {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// last is the plan in force as the store holds it.
+// last returns the current plan in its stored form.
 func (p *planner) last() *pb.LastPlanResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +151,8 @@
 	p.apply(plan)
 }
 
-// apply puts a plan in force if it is newer: a stale read never brings an
-// earlier one back.
+// apply applies a plan if it is newer, so that a stale read cannot restore an
+// earlier one.
 func (p *planner) apply(plan power.Plan) {
 	p.mu.Lock()
 	newer := plan.Revision > p.plan.Revision
@@ -167,7 +167,7 @@
 	}
 }
 
-// run looks again and again whether this VM has to make a plan.
+// run periodically checks whether this VM has to make a plan.
 func (p *planner) run(ctx context.Context) {
 	ticks := time.NewTicker(planLook)
 	defer ticks.Stop()
@@ -181,7 +181,7 @@
 	}
 }
 
-// look makes a plan if one is due and this VM is the maker.
+// look makes a plan if one is due and this VM is the maker of the domain's plans.
 func (p *planner) look(ctx context.Context, now time.Time) {
 	snapshot := p.vm.fleet.Latest()
 	p.refresh(now, snapshot)
@@ -216,7 +216,7 @@
 	return len(live) > 0 && slices.Min(live) == p.vm.settings.Name
 }
 
-// refresh notes what holders know of their workers.
+// refresh updates what is known about the workers from their holders.
 func (p *planner) refresh(now time.Time, s *fleet.Snapshot) {
 	live := p.vm.peers.addresses()
 	p.mu.Lock()
@@ -249,10 +249,10 @@
 	}
 }
 
-// candidates are the listed workers of the domain. One that nobody leases for
-// longer than a lease takes to change hands counts as unreachable: its ceiling is
-// set aside. Of a worker that was never leased the ceiling is not known; it is
-// taken to be the greatest of the others.
+// candidates returns the listed workers of the domain. A worker that has had no
+// lease holder for unheldGrace counts as unreachable, and its power ceiling stays
+// reserved. The ceiling of a worker that was never leased is unknown; the greatest
+// ceiling of the others is assumed.
 func (p *planner) candidates(now time.Time, s *fleet.Snapshot) []power.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -283,12 +283,12 @@
 	return out
 }
 
-// wish says why a plan is due.
+// wish is the reason for which a plan is due.
 type wish int
 
 const (
 	noPlan wish = iota
-	// higherPart: only if other domains have given up what is to be had.
+	// higherPart: make a plan only if other domains have given up power for it.
 	higherPart
 	newPlan
 )
@@ -319,8 +319,8 @@
 	return noPlan
 }
 
-// settled reports whether a difference has lasted, so that workers that come one
-// after the other need one plan.
+// settled reports whether a difference has lasted for planSettle, so that workers
+// that join one after another need only one plan.
 func (p *planner) settled(now time.Time, differs bool) bool {
 	if !differs {
 		p.changed = time.Time{}
@@ -336,9 +336,9 @@
 	return !slices.ContainsFunc(candidates, func(c power.Candidate) bool { return c.Incarnation == 0 })
 }
 
-// differs reports whether workers came, went, or are leased that the plan does
-// not reach. A worker that nobody leases any more is no reason for a plan: it
-// would lose its share, and most come back.
+// differs reports whether workers joined, left, or are leased without being covered
+// by the plan. A worker that is no longer leased is no reason for a plan: it would
+// lose its share, and most such workers return.
 func differs(plan power.Plan, candidates []power.Candidate) bool {
 	planned := make(map[string]uint64, len(plan.Workers))
 	for _, w := range plan.Workers {
@@ -353,9 +353,9 @@
 	return len(planned) != len(candidates)
 }
 
-// make publishes the next plan. The plan's key is read before the site's: a plan
-// that another maker publishes in between changes the key's version, so that
-// this one, made from an older division of the cap, is not stored.
+// make publishes the next plan. The plan's key is read before the site's key: a plan
+// that another VM publishes in between changes the version of the plan's key, so
+// that this plan, made from an older division of the cap, is not stored.
 func (p *planner) make(ctx context.Context, wish wish, wanted, siteCap power.Milliwatts, candidates []power.Candidate) error {
 	domain := p.vm.settings.Domain
 	stored, version, err := readPlan(ctx, p.vm.store, domain)
@@ -397,8 +397,8 @@
 	return p.plan.Revision
 }
 
-// confirm tells the store once that the domain is under its plan, so that other
-// domains may use what this one gave up.
+// confirm records in the store, once, that the whole domain follows its plan, so
+// that other domains may use the power that this one gave up.
 func (p *planner) confirm(ctx context.Context) {
 	status := p.vm.holder.PowerStatus()
 	if !status.Complete || status.Revision == p.confirmed {
--- a/internal/process/entry/plan_store.go
+++ b/internal/process/entry/plan_store.go
@@ -12,32 +12,32 @@
 
 // Keys of the power cap in the platform's store.
 const (
-	// siteKey holds what each failure domain may have in force.
+	// siteKey is the key of the storedSite.
 	siteKey = "pumiceyard/power/site"
-	// planKeyPrefix and a failure domain's name hold the domain's plan.
+	// planKeyPrefix with the name of a failure domain is the key of its plan.
 	planKeyPrefix = "pumiceyard/power/plan/"
 )
 
-// storedSite is the division of the cap. A plan is published only after its
-// revision and part were reserved here, so that two makers of plans in two
-// domains cannot count the same watts.
+// storedSite is the division of the power cap between failure domains. A plan is
+// published only after its revision and part have been reserved here, so that the
+// plans of two domains cannot use the same power twice.
 type storedSite struct {
 	Domains map[string]domainPart `json:"domains"`
 }
 
 // domainPart is one failure domain's entry of a storedSite.
 type domainPart struct {
-	Revision uint64           `json:"revision"`        // the plan that was reserved last
+	Revision uint64           `json:"revision"`        // of the last reserved plan
 	Part     power.Milliwatts `json:"part_milliwatts"` // of that plan
-	// Held is the greatest part of any plan that workers of the domain may
-	// still be under. It is lowered to Part only when every present worker is
-	// known to be under the plan of Revision.
+	// Held is the greatest part of any plan that workers of the domain may still
+	// follow. It is lowered to Part only when every present worker is known to
+	// follow the plan of Revision.
 	Held power.Milliwatts `json:"held_milliwatts"`
 }
 
-// allowed is the part that a domain's next plan may divide: what the document
-// says, or less while other domains hold watts that they have to give up first.
-// What the domain holds now stays free to use.
+// allowed returns the part of the cap that a domain's next plan may distribute: the
+// configured part, or less while other domains still hold power that they have to
+// give up. The domain may always use what it already holds.
 func (s *storedSite) allowed(domain string, wanted, siteCap power.Milliwatts) power.Milliwatts {
 	held := s.Domains[domain].Held
 	if wanted <= held {
@@ -52,7 +52,7 @@
 	return min(wanted, max(held, free))
 }
 
-// reserve notes the next plan of a domain.
+// reserve records the next plan of a domain.
 func (s *storedSite) reserve(domain string, revision uint64, part power.Milliwatts) {
 	if s.Domains == nil {
 		s.Domains = make(map[string]domainPart)
@@ -61,8 +61,8 @@
 	s.Domains[domain] = domainPart{Revision: revision, Part: part, Held: held}
 }
 
-// confirm notes that every present worker of the domain is under a plan, and
-// reports whether that gives anything up.
+// confirm records that every present worker of the domain follows a plan, and
+// reports whether this frees any power.
 func (s *storedSite) confirm(domain string, revision uint64) bool {
 	entry := s.Domains[domain]
 	if entry.Revision != revision || entry.Held <= entry.Part {
@@ -73,12 +73,12 @@
 	return true
 }
 
-// siteTries bounds how often a change of the site's division is tried when the
-// makers of other domains come first, as they do at a cold start.
+// siteTries is the maximum number of attempts to change the division of the cap when
+// other domains change it at the same time, as they do at a cold start.
 const siteTries = 8
 
-// changeSite applies a change by compare-and-set. It reports false when others
-// came first each time; the caller looks again later.
+// changeSite applies a change by compare-and-set. It reports false if every attempt
+// conflicted with another change; the caller retries later.
 func changeSite(ctx context.Context, store *storeclient.Client, apply func(*storedSite) bool) (bool, error) {
 	for range siteTries {
 		found, err := store.Get(ctx, storeclient.ForPower, siteKey, 0)
@@ -102,8 +102,8 @@
 	return false, nil
 }
 
-// swap writes a value as JSON if the key is at the expected version. A write
-// whose answer was lost counts as made only if exactly it is read back.
+// swap writes a value as JSON if the key has the expected version. A write whose
+// reply was lost counts as successful only if the same value is read back.
 func swap(ctx context.Context, store *storeclient.Client, key string, value any, expected uint64) (bool, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/process/entry/shares.go
+++ b/internal/process/entry/shares.go
@@ -11,8 +11,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/holder"
 )
 
-// shares adds up what the other entry VMs offer and what client accounts occupy
-// there, from their heartbeats, and tells the holder.
+// shares sums up the capacity of the other entry VMs and the usage of client
+// accounts there, as reported in heartbeats, and passes the sums to the holder.
 type shares struct {
 	holder *holder.Holder
 
@@ -21,10 +21,11 @@
 	told   time.Time
 }
 
-// tellEvery bounds how often the holder shares the quotas out anew.
+// tellEvery is the minimum interval between updates to the holder, each of which
+// redistributes the quotas.
 const tellEvery = 200 * time.Millisecond
 
-// ownerShare is one other entry VM's part.
+// ownerShare is the contribution of one other entry VM.
 type ownerShare struct {
 	slots uint32
 	usage []*pb.AccountUsage
@@ -34,7 +35,7 @@
 	return &shares{holder: h, owners: make(map[string]*ownerShare)}
 }
 
-// heard takes an advert. Only those on heartbeats name what accounts use.
+// heard processes an advert. Only adverts in heartbeats contain account usage.
 func (s *shares) heard(owner string, m *pb.Advert) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +54,8 @@
 	}
 }
 
-// lost drops an entry VM that can not be heard: what was used there is not known
-// any more, and its workers count where they are held next.
+// lost removes an unreachable entry VM: its usage is no longer known, and its
+// workers count for the VM that holds them next.
 func (s *shares) lost(owner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +63,7 @@
 	s.tell()
 }
 
-// tell passes the sums on. The caller holds mu.
+// tell passes the sums to the holder. The caller holds mu.
 func (s *shares) tell() {
 	r := holder.Remote{Waiting: make(map[string]int)}
 	sums := make(map[string]fairness.Usage)
--- a/internal/process/entry/workers.go
+++ b/internal/process/entry/workers.go
@@ -13,7 +13,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/ownership"
 )
 
-// workerSet keeps the links to the workers that this VM should hold, and makes
+// workerSet manages the links to the workers that this VM should hold, and makes
 // control calls to any worker.
 type workerSet struct {
 	vm      *VM
@@ -30,7 +30,7 @@
 type workerLink struct {
 	vm       fleet.VM
 	link     *upstream.Link
-	retiring bool // the lease is given back once nothing runs there
+	retiring bool // the lease is released once nothing runs on the worker
 }
 
 func newWorkerSet(vm *VM) *workerSet {
@@ -44,7 +44,7 @@
 	}
 }
 
-// reconcile holds what this VM should hold now, and gives the rest back.
+// reconcile acquires the workers that this VM should hold and releases all others.
 func (w *workerSet) reconcile() {
 	s := w.vm.fleet.Latest()
 	view := w.vm.control.View()
@@ -79,8 +79,9 @@
 	}
 }
 
-// retire gives a lease back once nothing runs on the worker, or at the bound of
-// a planned stop: a task that runs on would keep the worker from its next holder.
+// retire releases a lease once nothing runs on the worker, or at the time limit
+// of a planned stop, since a long task would otherwise keep the worker from its
+// next holder.
 func (w *workerSet) retire(id string, l *workerLink) {
 	idle := make(chan struct{}, 1)
 	w.vm.holder.Retire(id, func() {
@@ -130,7 +131,7 @@
 	return l != nil && l.link.Send(m)
 }
 
-// release gives all leases back and stops.
+// release releases all leases and stops.
 func (w *workerSet) release() {
 	links := w.takeAll()
 	var done sync.WaitGroup
@@ -140,7 +141,7 @@
 	done.Wait()
 }
 
-// stop drops everything without telling the workers.
+// stop closes all links without notifying the workers.
 func (w *workerSet) stop() {
 	w.cancel()
 	for _, l := range w.takeAll() {
@@ -161,7 +162,7 @@
 
 var errNotListed = errors.New("the worker is not in the platform's list")
 
-// call runs a control call in a goroutine of its own.
+// call runs a control call in a new goroutine.
 func (w *workerSet) call(worker string, f func(ctx context.Context, address string), missing func()) {
 	listed, ok := w.vm.fleet.Latest().Workers[worker]
 	w.calls.Go(func() {
