--- a/internal/process/fairness/accounts.go
+++ b/internal/process/fairness/accounts.go
@@ -7,19 +7,20 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// defaultWeight is the weight of an account that no configuration names.
+// defaultWeight is the weight of an account without configuration.
 const defaultWeight = 1
 
-// SetAccounts replaces the sharing parameters. Accounts that are not listed
-// count as top-level with weight 1. The standing of accounts is kept.
+// SetAccounts replaces the sharing parameters. Accounts that are not listed are
+// top-level accounts with weight 1. The service that accounts have received, relative
+// to their due, is preserved.
 func (q *Queue[K]) SetAccounts(now time.Time, accounts []Account) {
 	q.advance(now)
 	q.accounts = slices.Clone(accounts)
 	q.rebuild()
 }
 
-// SetRemoteUsage replaces what accounts use at the other entry VMs. The usage
-// reported before is charged for the time it was in force.
+// SetRemoteUsage replaces the usage of accounts at the other entry VMs. The previous
+// usage is charged for the time since it was reported.
 func (q *Queue[K]) SetRemoteUsage(now time.Time, usage []Usage) {
 	q.advance(now)
 	q.chargeRemote()
@@ -79,7 +80,7 @@
 	}
 }
 
-// laneOf returns the lane of an account, made at need.
+// laneOf returns the lane of an account, creating it if needed.
 func (q *Queue[K]) laneOf(account string) *lane[K] {
 	if l := q.lanes[account]; l != nil {
 		return l
@@ -91,11 +92,11 @@
 	return l
 }
 
-// ownName names the leaf for the work of an account that also encloses others.
-// A NUL byte keeps it apart from all configured names.
+// ownName returns the name of the leaf for the own work of an account that has child
+// accounts. A NUL byte distinguishes it from all configured names.
 func ownName(account string) string { return account + "\x00own" }
 
-// leafOf returns the leaf that holds an account's own work, made at need.
+// leafOf returns the leaf for an account's own work, creating it if needed.
 func (q *Queue[K]) leafOf(account string) *node[K] {
 	n := q.nodes[account]
 	if n == nil {
@@ -111,7 +112,7 @@
 	return n
 }
 
-// addNode hangs a new node below a parent, at the parent's clock.
+// addNode adds a new node below a parent, with the parent's clock as virtual time.
 func (q *Queue[K]) addNode(name string, a Account, parent *node[K]) *node[K] {
 	n := &node[K]{
 		name:   name,
@@ -127,9 +128,9 @@
 	return n
 }
 
-// rebuild makes the tree anew from the accounts and hangs the lanes into it.
-// Changes are rare, and a tree that is changed in place would have to move work,
-// occupancy and standing between nodes one case at a time.
+// rebuild builds a new tree from the accounts and attaches the lanes to it. Changes
+// are rare, and an update in place would need separate code for each way of moving
+// work, occupancy and virtual time between nodes.
 func (q *Queue[K]) rebuild() {
 	former := q.nodes
 	q.root = &node[K]{index: noIndex}
@@ -178,7 +179,7 @@
 	return false
 }
 
-// pruneLanes forgets accounts that have no work.
+// pruneLanes removes the lanes of accounts without work.
 func (q *Queue[K]) pruneLanes() {
 	for name, l := range q.lanes {
 		if !l.active() {
@@ -202,7 +203,7 @@
 	return lanes
 }
 
-// restore carries over how far each account was from its due.
+// restore copies from the old tree how far each account was from its due.
 func (q *Queue[K]) restore(former map[string]*node[K]) {
 	for name, n := range q.nodes {
 		old := former[name]
@@ -216,7 +217,7 @@
 	}
 }
 
-// hang counts a lane's occupancy and work into the tree.
+// hang adds a lane's occupancy and work to the tree.
 func (q *Queue[K]) hang(l *lane[K]) {
 	for n := l.leaf; n.parent != nil; n = n.parent {
 		n.slots += l.slots
@@ -229,7 +230,7 @@
 	q.refreshPass(l)
 }
 
-// Snapshot returns the standing of all accounts by name.
+// Snapshot returns the status of all accounts, sorted by name.
 func (q *Queue[K]) Snapshot(now time.Time) []AccountStatus {
 	q.advance(now)
 	lanes := q.lanesInOrder()
@@ -240,7 +241,7 @@
 	return out
 }
 
-// status describes one account.
+// status returns the status of one account.
 func (q *Queue[K]) status(l *lane[K]) AccountStatus {
 	n := l.leaf
 	return AccountStatus{
@@ -257,8 +258,8 @@
 	}
 }
 
-// WaitReason says why an account's work is not starting, Idle for an account
-// that has none queued.
+// WaitReason returns the reason for which an account's work is not starting, Idle if
+// it has no queued work.
 func (q *Queue[K]) WaitReason(account string) reason.Code {
 	if l := q.lanes[account]; l != nil {
 		return q.waitReason(l)
--- a/internal/process/fairness/lane.go
+++ b/internal/process/fairness/lane.go
@@ -10,12 +10,12 @@
 const levelCount = 5
 
 const (
-	// urgentLevel is for short urgent jobs alone, which would otherwise wait
-	// behind a burst of short jobs for which nobody holds the line.
+	// urgentLevel is only for short urgent jobs, which would otherwise wait
+	// behind a burst of short jobs without a blocked caller.
 	urgentLevel = 0
 	// shortLevel is the highest level of normal work.
 	shortLevel = 1
-	// tailLevel is where the last tasks of a long job go.
+	// tailLevel is for the last tasks of a long job.
 	tailLevel = 2
 	// bulkLevel is the highest level of bulk work.
 	bulkLevel = 3
@@ -47,7 +47,7 @@
 	timerPrev, timerNext *job[K]
 }
 
-// jobList is a doubly linked list, so that any job leaves it in constant time.
+// jobList is a doubly linked list, so that any job can be removed in constant time.
 type jobList[K comparable] struct {
 	head, tail *job[K]
 	count      int
@@ -90,9 +90,9 @@
 	l.count--
 }
 
-// lane is the work of one account, in feedback levels. Each level is in order
-// of arrival and runs its first job to the end, so that two wide jobs of one
-// account finish one after the other and not both late.
+// lane holds the work of one account, in feedback levels. Each level is in order of
+// arrival and starts all tasks of its first job before the next one, so that of two
+// jobs with many tasks one finishes early instead of both late.
 type lane[K comparable] struct {
 	account string
 	leaf    *node[K]
@@ -108,8 +108,8 @@
 	runningJobs int
 	slots       int64
 	milliwatts  int64
-	// owed is service, in slot-seconds, that the shorter levels owe the deepest
-	// waiting one.
+	// owed is the service, in slot-seconds, that the higher levels owe the lowest
+	// level with waiting work (Settings.AgeingShare).
 	owed      float64
 	parkedWhy reason.Code // of the job parked last
 }
@@ -130,7 +130,7 @@
 	l.ready--
 }
 
-// shallowest returns the first level with work.
+// shallowest returns the highest level with work.
 func (l *lane[K]) shallowest() int {
 	for level := range l.levels {
 		if l.levels[level].head != nil {
@@ -140,7 +140,7 @@
 	panic("fairness: an account without ready jobs was picked")
 }
 
-// deepest returns the last level with work.
+// deepest returns the lowest level with work.
 func (l *lane[K]) deepest() int {
 	for level := levelCount - 1; level > 0; level-- {
 		if l.levels[level].head != nil {
@@ -163,7 +163,7 @@
 	return j, ShareDue
 }
 
-// settle moves service owed between levels after slotSeconds went to a level.
+// settle updates the service owed after a level received slotSeconds.
 func (l *lane[K]) settle(level int, slotSeconds, share float64) {
 	deepest := l.deepest()
 	if l.ready == 0 || level == deepest {
@@ -199,9 +199,9 @@
 }
 
 // attainedBy returns the job's service up to now, in slot-seconds. Running tasks
-// count with what they were expected to take or with what they have taken,
-// whichever is more, so that neither a wide job nor a job of wrongly declared
-// size stays among the short ones until its first task ends.
+// count with their expected or their elapsed time, whichever is more. Otherwise a
+// job with many tasks, or with a wrongly declared size, would stay in the short
+// levels until its first task ends.
 func (j *job[K]) attainedBy(now float64) float64 {
 	if j.running == 0 {
 		return j.attained
@@ -211,11 +211,11 @@
 	return j.attained + max(elapsed, expected)*float64(j.Slots)
 }
 
-// sizeBy returns the least that the job's whole service can be expected to be,
-// in slot-seconds. Before run times of its kind have been seen this is what it
-// has attained, since a declared size proves nothing. Afterwards the waiting
-// tasks count too: without them, each wide job would begin among the short ones
-// and pass the older wide jobs, so that all of them end late.
+// sizeBy returns the minimum expected total service of the job, in slot-seconds.
+// Until run times of its template and account are known, this is its attained
+// service, since declared sizes are unreliable. Afterwards the waiting tasks count
+// too: without them, each job with many tasks would begin in the short levels and
+// overtake older large jobs, so that all of them would end late.
 func (j *job[K]) sizeBy(now float64) float64 {
 	attained := j.attainedBy(now)
 	if !j.learnt.known() {
@@ -243,14 +243,14 @@
 	return level
 }
 
-// nearlyDone reports whether only the last tasks of a begun job are left. Its
-// response time is that of its slowest task, so finishing it frees a caller for
-// little service.
+// nearlyDone reports whether only the last tasks of a started job remain. Its
+// response time is that of its slowest task, so finishing it serves a caller at
+// little cost.
 func (j *job[K]) nearlyDone(s *Settings) bool {
 	return j.attained > 0 && j.JobRemaining <= s.TailTasks
 }
 
-// quantumTasks returns how many tasks the job may start before it sinks.
+// quantumTasks returns how many tasks the job may start before it drops a level.
 func (j *job[K]) quantumTasks(now float64, s *Settings) int {
 	if j.level >= levelCount-1 {
 		return j.queued
--- a/internal/process/fairness/pass.go
+++ b/internal/process/fairness/pass.go
@@ -1,27 +1,27 @@
 package fairness
 
-// Short urgent work of all accounts may pass the fair order, each account up to
-// its due.
+// This file implements the pass: short urgent work may overtake the fair order, for
+// each account up to its share (its due).
 //
-// Without this, an account whose builds used more than its share would have its
-// own checks wait until its turn comes; one would see the response time of its
-// checks rise with its builds. Bounded by the due, the pass takes nothing from
-// others: the service is charged to the account like any other, and an account
-// that sends more short work than its due falls back to the fair order.
+// Without it, an account whose long builds used more than its share would have its
+// own short checks wait for its turn, so that their response time would rise with
+// its builds. The pass takes nothing from other accounts: the service is charged as
+// usual, and an account with more short work than its share falls back to the fair
+// order.
 //
-// A lane's pass is a node below q.passes. Its virtual time is the lane's short
-// urgent service in units of its due, and the clock of q.passes is the service
-// given to all accounts. A lane that is not ahead of the clock may pass.
+// The pass of a lane is a node below q.passes. Its virtual time is the lane's short
+// urgent service in units of its due; the clock of q.passes is the service given to
+// all accounts. A lane may pass while its virtual time is not ahead of the clock.
 
-// addPass gives a lane its pass.
+// addPass creates the pass node of a lane.
 func (q *Queue[K]) addPass(l *lane[K]) {
 	l.pass = &node[K]{name: l.account, parent: q.passes, weight: 1, index: noIndex, order: l.leaf.order}
 	l.pass.vt = q.passes.clock
 	l.pass.key = l.pass.vt
 }
 
-// refreshPass brings a lane's pass into or out of the order, as it has short
-// urgent work or not.
+// refreshPass adds a lane's pass to the order if the lane has short urgent work and
+// removes it otherwise.
 func (q *Queue[K]) refreshPass(l *lane[K]) {
 	work := l.levels[urgentLevel].head != nil && !l.passBlocked && q.withinDue(l)
 	in := l.pass.index != noIndex
@@ -35,7 +35,7 @@
 
 // withinDue reports whether a lane's running short urgent tasks leave a part of
 // its due unused. The virtual time alone would let a burst take all slots at
-// once, which others would notice as a rise of their response times.
+// once and raise the response times of other accounts.
 func (q *Queue[K]) withinDue(l *lane[K]) bool {
 	use := q.share(l.pass.slots, l.pass.milliwatts)
 	return l.pass.slots == 0 || use < l.leaf.fraction()
@@ -65,7 +65,7 @@
 	}
 }
 
-// nextPass offers the front short urgent job among the lanes that may pass.
+// nextPass returns the first short urgent job of the lanes that may pass.
 func (q *Queue[K]) nextPass() (Pick[K], bool) {
 	for len(q.passes.heap) > 0 && q.passes.heap[0].key <= q.passes.clock {
 		l := q.lanes[q.passes.heap[0].node.name]
@@ -84,7 +84,7 @@
 	return Pick[K]{}, false
 }
 
-// blockPass takes a lane's pass out of the order until its account is unblocked.
+// blockPass removes a lane's pass from the order until its account is unblocked.
 func (q *Queue[K]) blockPass(blocked *node[K], l *lane[K]) {
 	if l.passBlocked {
 		return
@@ -94,7 +94,7 @@
 	blocked.passes = append(blocked.passes, l)
 }
 
-// unblockPasses brings back the passes that an account's quota kept out.
+// unblockPasses restores the passes that an account's quota excluded.
 func (q *Queue[K]) unblockPasses(n *node[K]) {
 	for _, l := range n.passes {
 		l.passBlocked = false
--- a/internal/process/fairness/queue.go
+++ b/internal/process/fairness/queue.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// enlist puts a job that has queued tasks among the ready ones.
+// enlist adds a job with queued tasks to the list of ready jobs of its level.
 func (q *Queue[K]) enlist(j *job[K]) {
 	if q.arrivals != nil {
 		q.arrivals.add(j, 0)
@@ -145,7 +145,7 @@
 	j.lane.leaf.refresh()
 }
 
-// delist takes a job out of whichever list holds it.
+// delist removes a job from the list that holds it.
 func (q *Queue[K]) delist(j *job[K]) {
 	switch {
 	case j.list == nil:
@@ -187,7 +187,7 @@
 	return Pick[K]{}, false
 }
 
-// nextArrival returns the job that came first.
+// nextArrival returns the job that arrived first.
 func (q *Queue[K]) nextArrival() (Pick[K], bool) {
 	j := q.arrivals.levels[0].head
 	if j == nil {
@@ -196,9 +196,9 @@
 	return Pick[K]{j.Key, min(j.queued, q.settings.MaxBatch), ArrivalOrder}, true
 }
 
-// nextStarved offers the job that others are held back for, and ends the hold
-// when it took too long: a job that can be placed nowhere must not stop the
-// others for ever.
+// nextStarved returns the job for which other work is held back. It ends the hold
+// after ParkHold, so that a job that no worker can run does not block the others
+// forever.
 func (q *Queue[K]) nextStarved() (Pick[K], bool) {
 	j := q.starved
 	if j == nil {
@@ -215,8 +215,8 @@
 	return Pick[K]{j.Key, 1, Starved}, true
 }
 
-// nextShare offers the front job of the account furthest behind its due. It
-// reports false after a step that changed the order: a job sank, or an account
+// nextShare returns the first job of the account furthest behind its due. It reports
+// false if it changed the order instead, because a job dropped a level or an account
 // reached its quota.
 func (q *Queue[K]) nextShare() (Pick[K], bool) {
 	n := q.root
@@ -240,8 +240,8 @@
 	return Pick[K]{j.Key, most, why}, true
 }
 
-// sink moves a ready job to the level it belongs to by now, and reports whether
-// it moved.
+// sink moves a ready job to the level for its current size and reports whether the
+// level changed.
 func (q *Queue[K]) sink(j *job[K]) bool {
 	level := j.levelBy(q.now, &q.settings)
 	if level == j.level {
@@ -262,9 +262,9 @@
 	return room
 }
 
-// block takes the account whose quota is used up out of the order until slots
-// are given back. A job larger than the quota itself is parked instead, or it
-// would block the account for ever.
+// block removes the account whose quota is used up from the order until slots are
+// freed. A job larger than the quota itself is parked instead, since it would block
+// the account forever.
 func (q *Queue[K]) block(j *job[K]) {
 	for n := j.lane.leaf; n.parent != nil; n = n.parent {
 		if n.room() >= int64(j.Slots) {
--- a/internal/process/fairness/tree.go
+++ b/internal/process/fairness/tree.go
@@ -4,7 +4,7 @@
 const noIndex = -1
 
 // node is one account in the tree, or the root. The heap of a node holds the
-// children that have work to offer, least served first.
+// children that have work to start, least served first.
 //
 // Each node keeps a virtual time, vt: its service divided by its weight. Its
 // parent's clock is the virtual time of a child served exactly its due. Children
@@ -12,8 +12,8 @@
 type node[K comparable] struct {
 	name   string
 	parent *node[K]
-	passes []*lane[K] // kept out while the node is blocked
-	inner  bool       // has nodes below it
+	passes []*lane[K] // excluded while the node is blocked
+	inner  bool       // has child nodes
 	lane   *lane[K]   // work of a leaf; nil before it has any
 	weight int64
 	quota  int64 // slots; 0 is none
@@ -38,7 +38,7 @@
 	serviceGiven float64 // share-seconds
 }
 
-// room returns how many more slots the quota admits.
+// room returns how many more slots the quota allows.
 func (n *node[K]) room() int64 {
 	if n.quota == 0 {
 		return maxRoom
@@ -59,7 +59,7 @@
 	return len(n.heap) > 0
 }
 
-// refresh brings the node and its ancestors into or out of their heaps.
+// refresh adds the node and its ancestors to their heaps or removes them.
 func (n *node[K]) refresh() {
 	for ; n.parent != nil; n = n.parent {
 		in := n.index != noIndex
@@ -93,8 +93,8 @@
 	}
 }
 
-// due returns the share-seconds the node was entitled to of what its parent was
-// given, over the time it was active.
+// due returns the node's entitled part, in share-seconds, of the service that its
+// parent received while the node was active.
 func (n *node[K]) due() float64 {
 	if !n.busy {
 		return n.dueBefore
@@ -124,8 +124,8 @@
 // is in seconds.
 //
 // The parent's clock advances with the service given, so that light accounts
-// stay behind it and go first. No child is further from the clock than memory
-// allows, so that neither a long idle time nor a long loan is repaid for ever.
+// stay behind it and go first. memory bounds the distance of a child from the clock,
+// so that neither a long idle time nor a long over-use is compensated forever.
 func (n *node[K]) charge(cost, memory float64) {
 	fraction := n.fraction()
 	for ; n.parent != nil; n = n.parent {
@@ -140,7 +140,7 @@
 	}
 }
 
-// catchUp moves the clock to the least served child that waits. Without it, the
+// catchUp moves the clock to the least served waiting child. Without it, the
 // clock would fall behind when light accounts leave their share unused: heavy
 // accounts would all reach the bound on their lead, and their order among
 // themselves would be lost.
