--- a/internal/tool/advice/advice.go
+++ b/internal/tool/advice/advice.go
@@ -1,6 +1,6 @@
-// Package advice says what each stable reason code means and what to do about
-// it. The command-line tool prints it beside errors, and docs/OPERATIONS.md
-// holds it as tables.
+// Package advice lists, for each stable reason code, its meaning and what to do
+// about it. The command-line tool prints the advice with errors, and
+// docs/OPERATIONS.md contains the list as tables.
 package advice
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/pumiceyard/pumiceyard/internal/request/reason"
 )
 
-// Group says who meets a code.
+// Group is the heading under which reason codes are listed: the situation in
+// which they occur.
 type Group string
 
 // The groups, in the order in which they are printed.
@@ -27,7 +28,7 @@
 	Membership    Group = "Why an entry VM is in doubt"
 )
 
-// Groups lists the groups in the order in which they are printed.
+// Groups returns all groups in the order in which they are printed.
 func Groups() []Group {
 	return []Group{Refused, NotCompleted, TimelineStep, Operator, Placement, QueueOrder, PeerSelection, WorkerHealth, Power, Membership}
 }
@@ -40,7 +41,7 @@
 	Action  string
 }
 
-// For returns what is known of a code; false when nothing is.
+// For returns the entry of a code, and false if there is none.
 func For(code reason.Code) (Entry, bool) {
 	for _, e := range entries {
 		if e.Code == code {
@@ -50,10 +51,10 @@
 	return Entry{}, false
 }
 
-// All returns all entries, in the order of their groups.
+// All returns all entries in the order of their groups.
 func All() []Entry { return entries }
 
-// Markdown renders one table for each group.
+// Markdown renders the entries as one table for each group.
 func Markdown() string {
 	var b strings.Builder
 	for _, g := range Groups() {
--- a/internal/tool/advice/advice_test.go
+++ b/internal/tool/advice/advice_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-const root = "../../.."
+const repoRoot = "../../.."
 
-// Every reason code that the project defines is explained once, and nothing
-// that it does not define.
+// Every reason code that the code defines has exactly one entry, and there is no
+// entry for a code that is not defined.
 func TestEveryCodeIsExplained(t *testing.T) {
 	defined := definedCodes(t)
 	if len(defined) < 50 {
@@ -28,7 +28,7 @@
 		}
 		explained[string(e.Code)] = true
 		if defined[string(e.Code)] == "" {
-			t.Errorf("%s is explained and not defined", e.Code)
+			t.Errorf("%s is explained but not defined", e.Code)
 		}
 		if e.Meaning == "" || e.Action == "" {
 			t.Errorf("%s has no meaning or action", e.Code)
@@ -41,22 +41,22 @@
 	}
 }
 
-// The page holds the tables as they are printed by `pumiceyard reasons --markdown`.
+// docs/OPERATIONS.md has to contain the output of `pumiceyard reasons --markdown`.
 func TestOperationsPage(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(root, "docs/OPERATIONS.md"))
+	page, err := os.ReadFile(filepath.Join(repoRoot, "docs/OPERATIONS.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), Markdown()) {
-		t.Error("the tables of docs/OPERATIONS.md are stale: paste what `go run ./cmd/pumiceyard reasons --markdown` prints")
+		t.Error("the tables of docs/OPERATIONS.md are out of date: replace them by the output of `go run ./cmd/pumiceyard reasons --markdown`")
 	}
 }
 
-// definedCodes finds the constants of the types Code and Reason, and the files
-// that define them.
+// definedCodes returns the values of all string constants of the types Code and
+// Reason under internal/, each with the file that defines it.
 func definedCodes(t *testing.T) map[string]string {
 	codes := make(map[string]string)
-	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(repoRoot, "internal"), func(path string, d fs.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -65,7 +65,7 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if spec, ok := n.(*ast.ValueSpec); ok && isCode(spec.Type) {
+			if spec, ok := n.(*ast.ValueSpec); ok && isCodeType(spec.Type) {
 				for _, v := range spec.Values {
 					if literal, ok := v.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 						code, _ := strconv.Unquote(literal.Value)
@@ -83,7 +83,7 @@
 	return codes
 }
 
-func isCode(e ast.Expr) bool {
+func isCodeType(e ast.Expr) bool {
 	switch e := e.(type) {
 	case *ast.Ident:
 		return e.Name == "Code" || e.Name == "Reason"
--- a/internal/tool/advice/entries.go
+++ b/internal/tool/advice/entries.go
@@ -1,6 +1,7 @@
 package advice
 
-// entries explains every code. The test finds codes that are missing here.
+// entries explains every reason code, in the order of the groups. A test checks
+// that no code is missing and that docs/OPERATIONS.md has the same texts.
 var entries = []Entry{
 	{Refused, "malformed_request", "the request is not in the form that is expected; the detail names the place", "mend the caller"},
 	{Refused, "body_too_large", "the body is over `max_body_bytes`", "split the job, or raise the setting on every entry VM"},
--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -33,16 +33,16 @@
 	Fleet     *fleet.Fleet
 	StoreAddr string
 
-	servers []io.Closer
-	listed  sync.Map // addresses at which workers are listed, by their own
+	servers    []io.Closer
+	advertised sync.Map // addresses at which workers are listed, by their own
 }
 
 // Figures of the stand-ins.
 const (
-	storeDelay   = 2 * time.Millisecond // of each call, about a synced write
-	workerCores  = 16
-	workerMemory = 64 << 10 // MB
-	bodyMost     = 16 << 20 // bytes
+	storeCallDelay = 2 * time.Millisecond // of each call, about a synced write
+	workerCores    = 16
+	workerMemoryMB = 64 << 10 // MB
+	maxBodyBytes   = 16 << 20 // bytes
 )
 
 // Service is what the stand-in's workers run.
@@ -66,13 +66,13 @@
 // their own, such as those of proxies.
 func StartProxied(listen string, domains []string, perDomain int, front func(address string) (string, error)) (*Site, error) {
 	s := &Site{Store: kvstore.New(), Fleet: fleet.New()}
-	s.Fleet.OnRestart(s.listAgain)
+	s.Fleet.OnRestart(s.advertiseRestarted)
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
 	s.StoreAddr = l.Addr().String()
-	door := s.Store.NewTransport(storeDelay)
+	door := s.Store.NewTransport(storeCallDelay)
 	server := &http.Server{Handler: storeHandler(door)}
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }()
@@ -104,7 +104,7 @@
 		Address:  l.Addr().String(),
 		Domain:   domain,
 		CPUMilli: workerCores * 1000,
-		MemMB:    workerMemory,
+		MemMB:    workerMemoryMB,
 	}
 	s.Fleet.Add(info)
 	server := runhost.NewServer(info, s.Fleet.ClientFrom(domain))
@@ -119,13 +119,13 @@
 		return err
 	}
 	s.Store.Put(daemon.WorkerPrefix+id, value)
-	s.listed.Store(info.Address, listed.Address)
+	s.advertised.Store(info.Address, listed.Address)
 	return nil
 }
 
-// listAgain lists the next life of a worker in place of the one that has crashed.
-func (s *Site) listAgain(old, next worker.Info) {
-	if front, known := s.listed.Load(next.Address); known {
+// advertiseRestarted lists the next life of a worker in place of the one that has crashed.
+func (s *Site) advertiseRestarted(old, next worker.Info) {
+	if front, known := s.advertised.Load(next.Address); known {
 		next.Address = front.(string)
 	}
 	value, err := json.Marshal(next)
@@ -147,7 +147,7 @@
 
 func storeHandler(door *kvstore.Transport) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -184,9 +184,9 @@
 // one that accepted the submission and runs it is killed, the other ends it.
 func Demo(ctx context.Context, out io.Writer) error {
 	oplog.Start(io.Discard, 0) // the lines below tell the story
-	began := time.Now()
-	say := func(format string, args ...any) {
-		fmt.Fprintf(out, "%6.2fs  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
+	start := time.Now()
+	logf := func(format string, args ...any) {
+		fmt.Fprintf(out, "%6.2fs  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
 	}
 	s, err := Start("127.0.0.1:0", []string{"hall"}, 4)
 	if err != nil {
@@ -221,18 +221,18 @@
 		vms[name] = d
 		endpoints[name] = "http://" + address
 	}
-	say("kept submissions: two entry VMs, 4 workers, a store")
+	logf("kept submissions: two entry VMs, 4 workers, a store")
 	if err := awaitReady(ctx, vms); err != nil {
 		return err
 	}
-	return outlive(ctx, s, vms, endpoints, say)
+	return demonstrateFailover(ctx, s, vms, endpoints, logf)
 }
 
 // FreeAddress returns a loopback address that nothing listens on, with an IP of its own:
 // on a shared one another socket may be given the port before it is used.
 func FreeAddress() (string, error) {
 	pid := os.Getpid()
-	ip := net.IPv4(127, byte(64+pid>>8&63), byte(pid), byte(1+addresses.Add(1)%250))
+	ip := net.IPv4(127, byte(64+pid>>8&63), byte(pid), byte(1+addressCount.Add(1)%250))
 	l, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
 	if err != nil {
 		return "", err
@@ -241,12 +241,12 @@
 	return l.Addr().String(), nil
 }
 
-var addresses atomic.Uint32 // given out by this process
+var addressCount atomic.Uint32 // given out by this process
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
 func awaitReady(ctx context.Context, vms map[string]*daemon.Daemon) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, d := range vms {
 		for !d.VM.Ready() {
@@ -262,12 +262,12 @@
 
 // outlive submits at the holder of the shard, kills it, and waits for the end at the
 // other VM.
-func outlive(ctx context.Context, s *Site, vms map[string]*daemon.Daemon, endpoints map[string]string, say func(string, ...any)) error {
-	doomed, survivor := "k1", "k2"
+func demonstrateFailover(ctx context.Context, s *Site, vms map[string]*daemon.Daemon, endpoints map[string]string, say func(string, ...any)) error {
+	killed, survivor := "k1", "k2"
 	if vms["k2"].VM.HoldsShard("hall/0") {
-		doomed, survivor = survivor, doomed
+		killed, survivor = survivor, killed
 	}
-	first, err := client.NewKeptClient(endpoints[doomed])
+	first, err := client.NewKeptClient(endpoints[killed])
 	if err != nil {
 		return err
 	}
@@ -284,11 +284,11 @@
 	if _, err := first.Submit(ctx, work); err != nil {
 		return err
 	}
-	say("%s has accepted submission %s of 6 tasks, 0.9 s each: it is stored", doomed, demoKey)
+	say("%s has accepted submission %s of 6 tasks, 0.9 s each: it is stored", killed, demoKey)
 	time.Sleep(300 * time.Millisecond)
-	vms[doomed].Kill()
-	delete(vms, doomed)
-	say("%s, which holds the workers, is killed", doomed)
+	vms[killed].Kill()
+	delete(vms, killed)
+	say("%s, which holds the workers, is killed", killed)
 	state, err := second.Wait(ctx, demoKey)
 	if err != nil {
 		return err
--- a/internal/tool/keys/keys.go
+++ b/internal/tool/keys/keys.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	prefix      = "py_"
+	keyPrefix   = "py_"
 	randomBytes = 32
 )
 
@@ -25,7 +25,7 @@
 	if _, err := rand.Read(random[:]); err != nil {
 		return err
 	}
-	key := prefix + base64.RawURLEncoding.EncodeToString(random[:])
+	key := keyPrefix + base64.RawURLEncoding.EncodeToString(random[:])
 	_, err := fmt.Fprintf(w, "key       %s\nkey_hash  %s\n", key, document.KeyHash(key))
 	return err
 }
--- a/internal/tool/submit/submit.go
+++ b/internal/tool/submit/submit.go
@@ -25,7 +25,7 @@
 }
 
 // answer is what is printed.
-type answer struct {
+type printedAnswer struct {
 	Ticket   string            `json:"ticket"`
 	Outcome  client.Outcome    `json:"outcome"`
 	Outputs  []json.RawMessage `json:"outputs,omitempty"`
@@ -75,18 +75,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, opt.Timeout)
 	defer cancel()
-	a, err := drive(ctx, c, &opt)
+	a, err := submitOrResume(ctx, c, &opt)
 	if err != nil {
 		return explainError(err)
 	}
-	out := answer{a.Ticket, a.Outcome, a.Outputs, a.Reason, a.Detail, a.Revision, a.Sent}
+	out := printedAnswer{a.Ticket, a.Outcome, a.Outputs, a.Reason, a.Detail, a.Revision, a.Sent}
 	if err := Print(opt.Out, out); err != nil {
 		return err
 	}
 	return outcomeError(a)
 }
 
-func drive(ctx context.Context, c *client.Client, opt *Options) (*client.Answer, error) {
+func submitOrResume(ctx context.Context, c *client.Client, opt *Options) (*client.Answer, error) {
 	if opt.Ticket != "" {
 		return c.Resume(ctx, opt.Ticket, opt.Job)
 	}
@@ -113,7 +113,7 @@
 	return errors.New(message)
 }
 
-var codes = map[client.Outcome]int{
+var exitCodes = map[client.Outcome]int{
 	client.NotRun:  exit.NotRun,
 	client.Failed:  exit.Failed,
 	client.Unknown: exit.Unknown,
@@ -123,7 +123,7 @@
 	if a.Outcome == client.Complete {
 		return nil
 	}
-	code, ok := codes[a.Outcome]
+	code, ok := exitCodes[a.Outcome]
 	if !ok {
 		code = exit.Other
 	}
--- a/internal/tool/verdict/draw.go
+++ b/internal/tool/verdict/draw.go
@@ -41,7 +41,7 @@
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				add(sumDraw(s))
+				add(totalDraw(s))
 			}
 		}
 	}()
@@ -51,7 +51,7 @@
 	}
 }
 
-func sumDraw(s *site.Site) uint64 {
+func totalDraw(s *site.Site) uint64 {
 	var sum uint64
 	for _, w := range s.Workers() {
 		now, _ := w.Draw()
--- a/internal/tool/verdict/verdict.go
+++ b/internal/tool/verdict/verdict.go
@@ -33,20 +33,20 @@
 
 // Check returns a *ViolationError when a promise did not hold.
 func (c Counts) Check() error {
-	var broken []string
-	note := func(bad bool, format string, args ...any) {
+	var violated []string
+	check := func(bad bool, format string, args ...any) {
 		if bad {
-			broken = append(broken, fmt.Sprintf(format, args...))
+			violated = append(violated, fmt.Sprintf(format, args...))
 		}
 	}
-	note(c.MaxStartsPerTask > 1, "a task was started %d times", c.MaxStartsPerTask)
-	note(c.WrongAnswers > 0, "%d answers were wrong or partial", c.WrongAnswers)
-	note(c.FalseNotRun > 0, "%d jobs were answered not run and had run", c.FalseNotRun)
-	note(c.ConflictingAnswers > 0, "%d jobs got two different answers", c.ConflictingAnswers)
-	note(c.Unanswered > 0, "%d jobs got no answer", c.Unanswered)
-	note(c.PeakToCapRatio > 1, "the site drew %.3f times its power cap", c.PeakToCapRatio)
-	if broken != nil {
-		return &ViolationError{broken}
+	check(c.MaxStartsPerTask > 1, "a task was started %d times", c.MaxStartsPerTask)
+	check(c.WrongAnswers > 0, "%d answers were wrong or partial", c.WrongAnswers)
+	check(c.FalseNotRun > 0, "%d jobs were answered not run and had run", c.FalseNotRun)
+	check(c.ConflictingAnswers > 0, "%d jobs got two different answers", c.ConflictingAnswers)
+	check(c.Unanswered > 0, "%d jobs got no answer", c.Unanswered)
+	check(c.PeakToCapRatio > 1, "the site drew %.3f times its power cap", c.PeakToCapRatio)
+	if violated != nil {
+		return &ViolationError{violated}
 	}
 	return nil
 }
