--- a/internal/tool/exit/exit.go
+++ b/internal/tool/exit/exit.go
@@ -1,4 +1,5 @@
-// Package exit holds the exit codes of the command-line tool.
+// Package exit defines the exit codes of the command-line tool and the errors that
+// carry them.
 package exit
 
 import (
@@ -9,16 +10,16 @@
 	"github.com/pumiceyard/pumiceyard/internal/tool/advice"
 )
 
-// The exit codes. Scripts rely on them.
+// Exit codes. They must not change, since scripts rely on them.
 const (
-	Complete = 0 // the job is complete, or the request was carried out
-	Other    = 1 // wrong usage, or any other error
-	NotRun   = 2 // nothing of the job has run or will run
-	Failed   = 3 // the job ended, and something of it may have run
-	Unknown  = 4 // it can not be said whether something of the job ran
+	Complete = 0 // the job completed, or the command succeeded
+	Other    = 1 // usage error, or any error without a code of its own
+	NotRun   = 2 // no task of the job has run or will run
+	Failed   = 3 // the job ended without completing, and some of its tasks may have run
+	Unknown  = 4 // it is unknown whether any task of the job ran
 )
 
-// Error is an error with an exit code of its own.
+// Error is an error that sets the exit code.
 type Error struct {
 	Code int
 	Err  error
@@ -28,7 +29,7 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Code is the exit code of an error.
+// Code returns the exit code for err; nil is Complete.
 func Code(err error) int {
 	var coded *Error
 	switch {
@@ -40,7 +41,7 @@
 	return Other
 }
 
-// WithAdvice adds to a message what to do about a reason code.
+// WithAdvice appends to a message the advice for a reason code, if there is any.
 func WithAdvice(message, code string) string {
 	if e, ok := advice.For(reason.Code(code)); ok && e.Action != "nothing" {
 		return fmt.Sprintf("%s\n  what to do: %s", message, e.Action)
--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -1,5 +1,5 @@
-// Package keptsite runs stand-ins for the store and the workers of kept submissions, for
-// trying daemons by hand, and a demonstration on them.
+// Package keptsite runs an in-process store and simulated workers for kept submissions, so
+// that daemons can be tried by hand, and a demonstration of failover that uses them.
 package keptsite
 
 import (
@@ -27,28 +27,28 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/kvstore"
 )
 
-// Site is a running store with workers.
+// Site is a running store with simulated workers.
 type Site struct {
 	Store     *kvstore.Store
 	Fleet     *fleet.Fleet
 	StoreAddr string
 
 	servers    []io.Closer
-	advertised sync.Map // addresses at which workers are listed, by their own
+	advertised sync.Map // listed addresses of the workers, by their own addresses
 }
 
-// Figures of the stand-ins.
+// Properties of the store and the simulated workers.
 const (
-	storeCallDelay = 2 * time.Millisecond // of each call, about a synced write
+	storeCallDelay = 2 * time.Millisecond // added to each call: about the time of a synced write
 	workerCores    = 16
 	workerMemoryMB = 64 << 10 // MB
 	maxBodyBytes   = 16 << 20 // bytes
 )
 
-// Service is what the stand-in's workers run.
+// Service is the service that the simulated workers run.
 const Service = "booking-desk"
 
-// Queues are those of the stand-in's configuration.
+// Queues returns the queue catalog that is put into the store.
 func Queues() daemon.Catalog {
 	return daemon.Catalog{Version: 1, Queues: []daemon.Queue{
 		{Name: "availability-check", Service: Service, Priority: 0, Attempts: 2, Stretch: 1.6, TargetMillis: 60},
@@ -56,15 +56,15 @@
 	}}
 }
 
-// Start runs the stand-ins on loopback: a store at an address and workers of each
-// failure domain at ports of the system's choice.
+// Start runs a store that listens on the given address, and perDomain workers for each
+// failure domain on loopback ports that the system chooses.
 func Start(listen string, domains []string, perDomain int) (*Site, error) {
 	return StartProxied(listen, domains, perDomain, func(address string) (string, error) { return address, nil })
 }
 
-// StartProxied runs the stand-ins with workers that are listed at other addresses than
-// their own, such as those of proxies.
-func StartProxied(listen string, domains []string, perDomain int, front func(address string) (string, error)) (*Site, error) {
+// StartProxied is like Start, but lists each worker in the store at the address that
+// advertise returns for the worker's own address, such as that of a proxy.
+func StartProxied(listen string, domains []string, perDomain int, advertise func(address string) (string, error)) (*Site, error) {
 	s := &Site{Store: kvstore.New(), Fleet: fleet.New()}
 	s.Fleet.OnRestart(s.advertiseRestarted)
 	l, err := net.Listen("tcp", listen)
@@ -72,8 +72,8 @@
 		return nil, err
 	}
 	s.StoreAddr = l.Addr().String()
-	door := s.Store.NewTransport(storeCallDelay)
-	server := &http.Server{Handler: storeHandler(door)}
+	transport := s.Store.NewTransport(storeCallDelay)
+	server := &http.Server{Handler: storeHandler(transport)}
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }()
 	catalog, err := json.Marshal(Queues())
@@ -83,7 +83,7 @@
 	s.Store.Put(daemon.CatalogKey, catalog)
 	for _, d := range domains {
 		for i := range perDomain {
-			if err := s.addWorker(d, fmt.Sprintf("%s-%d", d, i+1), front); err != nil {
+			if err := s.addWorker(d, fmt.Sprintf("%s-%d", d, i+1), advertise); err != nil {
 				s.Stop()
 				return nil, err
 			}
@@ -92,7 +92,7 @@
 	return s, nil
 }
 
-func (s *Site) addWorker(domain, id string, front func(string) (string, error)) error {
+func (s *Site) addWorker(domain, id string, advertise func(string) (string, error)) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -110,27 +110,28 @@
 	server := runhost.NewServer(info, s.Fleet.ClientFrom(domain))
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }()
-	listed := info
-	if listed.Address, err = front(info.Address); err != nil {
+	entry := info
+	if entry.Address, err = advertise(info.Address); err != nil {
 		return err
 	}
-	value, err := json.Marshal(listed)
+	value, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
 	s.Store.Put(daemon.WorkerPrefix+id, value)
-	s.advertised.Store(info.Address, listed.Address)
+	s.advertised.Store(info.Address, entry.Address)
 	return nil
 }
 
-// advertiseRestarted lists the next life of a worker in place of the one that has crashed.
+// advertiseRestarted replaces the store's entry of a crashed worker by that of its
+// restarted incarnation.
 func (s *Site) advertiseRestarted(old, next worker.Info) {
-	if front, known := s.advertised.Load(next.Address); known {
-		next.Address = front.(string)
+	if address, known := s.advertised.Load(next.Address); known {
+		next.Address = address.(string)
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
-		panic("keptsite: a worker has no JSON form: " + err.Error())
+		panic("keptsite: cannot encode a worker as JSON: " + err.Error())
 	}
 	s.Store.Put(daemon.WorkerPrefix+next.ID, value)
 	if next.ID != old.ID {
@@ -138,30 +139,30 @@
 	}
 }
 
-// Stop ends the stand-ins.
+// Stop closes the store's and the workers' servers.
 func (s *Site) Stop() {
 	for _, c := range s.servers {
 		_ = c.Close()
 	}
 }
 
-func storeHandler(door *kvstore.Transport) http.Handler {
+func storeHandler(transport *kvstore.Transport) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		reply, err := door.Do(r.Context(), relay.Call{Method: r.Method, Target: r.URL.Path, Body: body})
+		reply, err := transport.Do(r.Context(), relay.Call{Method: r.Method, Target: r.URL.Path, Body: body})
 		if err != nil {
-			return // the caller has gone
+			return // the caller has disconnected
 		}
 		w.WriteHeader(reply.Status)
 		_, _ = w.Write(reply.Body)
 	})
 }
 
-// Serve runs the stand-ins until ctx ends.
+// Serve runs the store and the workers until ctx ends.
 func Serve(ctx context.Context, listen string, domains []string, perDomain int, out io.Writer) error {
 	s, err := Start(listen, domains, perDomain)
 	if err != nil {
@@ -173,17 +174,17 @@
 	return nil
 }
 
-// Broken is a promise that the demonstration saw broken.
+// Violation reports a guarantee that did not hold in the demonstration.
 type Violation struct{ Guarantee string }
 
-func (b *Violation) Error() string { return "broken promise: " + b.Guarantee }
+func (b *Violation) Error() string { return "guarantee violated: " + b.Guarantee }
 
 var errNotReady = errors.New("no entry VM became ready")
 
-// Demo shows a kept submission that outlives the death of its entry VM: two VMs, the
-// one that accepted the submission and runs it is killed, the other ends it.
+// Demo shows the failover of a kept submission. Of two entry VMs, the one that accepted
+// the submission and runs it is killed, and the other completes it.
 func Demo(ctx context.Context, out io.Writer) error {
-	oplog.Start(io.Discard, 0) // the lines below tell the story
+	oplog.Start(io.Discard, 0) // discard the operation log: the lines of logf are the output
 	start := time.Now()
 	logf := func(format string, args ...any) {
 		fmt.Fprintf(out, "%6.2fs  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
@@ -228,8 +229,9 @@
 	return demonstrateFailover(ctx, s, vms, endpoints, logf)
 }
 
-// FreeAddress returns a loopback address that nothing listens on, with an IP of its own:
-// on a shared one another socket may be given the port before it is used.
+// FreeAddress returns a loopback address that nothing listens on. Each call uses another
+// IP, since on a shared one the system may give the port to another socket before the
+// caller uses it.
 func FreeAddress() (string, error) {
 	pid := os.Getpid()
 	ip := net.IPv4(127, byte(64+pid>>8&63), byte(pid), byte(1+addressCount.Add(1)%250))
@@ -241,7 +243,7 @@
 	return l.Addr().String(), nil
 }
 
-var addressCount atomic.Uint32 // given out by this process
+var addressCount atomic.Uint32 // number of addresses that this process has returned
 
 const readyTimeout = 10 * time.Second
 
@@ -260,9 +262,9 @@
 
 const demoKey = "crew-0001"
 
-// outlive submits at the holder of the shard, kills it, and waits for the end at the
-// other VM.
-func demonstrateFailover(ctx context.Context, s *Site, vms map[string]*daemon.Daemon, endpoints map[string]string, say func(string, ...any)) error {
+// demonstrateFailover submits to the holder of the shard, kills that VM, and waits for the
+// end of the submission at the other VM.
+func demonstrateFailover(ctx context.Context, s *Site, vms map[string]*daemon.Daemon, endpoints map[string]string, logf func(string, ...any)) error {
 	killed, survivor := "k1", "k2"
 	if vms["k2"].VM.HoldsShard("hall/0") {
 		killed, survivor = survivor, killed
@@ -284,22 +286,22 @@
 	if _, err := first.Submit(ctx, work); err != nil {
 		return err
 	}
-	say("%s has accepted submission %s of 6 tasks, 0.9 s each: it is stored", killed, demoKey)
+	logf("%s has accepted submission %s of 6 tasks, 0.9 s each: it is stored", killed, demoKey)
 	time.Sleep(300 * time.Millisecond)
 	vms[killed].Kill()
 	delete(vms, killed)
-	say("%s, which holds the workers, is killed", killed)
+	logf("%s, which holds the workers, is killed", killed)
 	state, err := second.Wait(ctx, demoKey)
 	if err != nil {
 		return err
 	}
 	starts := s.Fleet.Starts(demoKey)
-	say("at %s it is %s; its 6 tasks were started %d times", survivor, state, starts)
+	logf("at %s it is %s; its 6 tasks were started %d times", survivor, state, starts)
 	if state != client.StateDone {
 		return &Violation{"an accepted submission ends"}
 	}
-	if faults := s.Fleet.Violations(); len(faults) > 0 {
-		return &Violation{"no task runs twice at once: " + faults[0]}
+	if violations := s.Fleet.Violations(); len(violations) > 0 {
+		return &Violation{"no task runs twice at once: " + violations[0]}
 	}
 	return nil
 }
--- a/internal/tool/keys/keys.go
+++ b/internal/tool/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys makes client accounts' keys and the hashes that go into the
-// configuration.
+// Package keys generates the keys of client accounts and computes the key hashes
+// that go into the configuration.
 package keys
 
 import (
@@ -19,7 +19,7 @@
 	randomBytes = 32
 )
 
-// New prints a new key and its hash.
+// New generates a random key and prints it with its hash.
 func New(w io.Writer) error {
 	var random [randomBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -32,8 +32,9 @@
 
 var errNoKey = errors.New("no key on standard input")
 
-// Hash reads a key from a line and prints its hash. The key is not an argument:
-// other users of the machine could read it there.
+// Hash reads a key from the first line of r and prints its hash. The key is not
+// taken from the command line, since other users of the machine can read the
+// arguments of a process.
 func Hash(r io.Reader, w io.Writer) error {
 	line, err := bufio.NewReader(r).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/tool/standin/standin.go
+++ b/internal/tool/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin runs the platform's and the workers' stand-ins for trying
-// daemons by hand.
+// Package standin runs a simulated platform and simulated workers, so that daemons
+// can be tried by hand.
 package standin
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/tool/workload"
 )
 
-// Options of the stand-ins.
+// Options of the simulated platform and workers.
 type Options struct {
 	Deployment string
 	Workers    int
@@ -23,7 +23,7 @@
 	Out        io.Writer
 }
 
-// Run runs the stand-ins until ctx ends.
+// Run runs the platform and the workers until ctx ends.
 func Run(ctx context.Context, opt Options) error {
 	profile, err := workload.Load(opt.Deployment)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// EntryError says that an entry VM was not given as it has to be.
+// EntryError reports an invalid value of the --entry flag.
 type EntryError struct {
 	Given, Allowed string
 }
@@ -66,8 +66,8 @@
 	return fmt.Sprintf("--entry %q: allowed is %s", e.Given, e.Allowed)
 }
 
-// parseEntries reads name,domain,host:port. The incarnation is left open: a
-// daemon takes its own at each start.
+// parseEntries parses entry VMs of the form name,domain,host:port. The incarnation
+// stays unset, since a daemon chooses its own at each start.
 func parseEntries(entries, domains []string) ([]*pb.VM, error) {
 	var vms []*pb.VM
 	for _, entry := range entries {
--- a/internal/tool/submit/submit.go
+++ b/internal/tool/submit/submit.go
@@ -1,4 +1,5 @@
-// Package submit is what the command-line tool does for callers.
+// Package submit implements the caller commands of the command-line tool:
+// submitting and cancelling jobs, and getting tickets.
 package submit
 
 import (
@@ -18,13 +19,13 @@
 type Options struct {
 	Client client.Options
 	Job    client.Job
-	// Ticket under which the job is put; empty: a new one.
+	// Ticket to submit the job under; empty: get a new one.
 	Ticket  string
-	Timeout time.Duration // until the answer is given up
+	Timeout time.Duration // bounds the whole submission, with retries
 	Out     io.Writer
 }
 
-// answer is what is printed.
+// printedAnswer is the answer in the form in which it is printed.
 type printedAnswer struct {
 	Ticket   string            `json:"ticket"`
 	Outcome  client.Outcome    `json:"outcome"`
@@ -35,10 +36,10 @@
 	Requests int               `json:"requests"`
 }
 
-var errNoTasks = errors.New("no tasks: give a JSON array, or JSON values one after the other")
+var errNoTasks = errors.New("no tasks: expected a JSON array, or a sequence of JSON values")
 
-// ReadTasks reads the tasks of a job: one JSON array, or JSON values one after
-// the other, each of them a task.
+// ReadTasks reads the tasks of a job: either one JSON array whose elements are
+// the tasks, or a sequence of JSON values, each of them a task.
 func ReadTasks(r io.Reader) ([]json.RawMessage, error) {
 	var values []json.RawMessage
 	d := json.NewDecoder(r)
@@ -66,8 +67,8 @@
 	return values, nil
 }
 
-// Run submits a job, prints its answer, and returns an error with the exit code
-// of any other outcome than complete.
+// Run submits a job and prints its answer. If the outcome is not complete, it
+// returns an error that carries the exit code of the outcome.
 func Run(ctx context.Context, opt Options) error {
 	c, err := client.New(opt.Client)
 	if err != nil {
@@ -93,10 +94,11 @@
 	return c.Submit(ctx, opt.Job)
 }
 
-// explainError gives an error without an answer its exit code.
+// explainError adds advice and the exit code to an error of a submission that got
+// no answer.
 func explainError(err error) error {
 	var (
-		none       *client.NoTicketError
+		noTicket   *client.NoTicketError
 		unresolved *client.UnresolvedError
 		refused    *client.RefusedError
 	)
@@ -105,7 +107,7 @@
 		message = exit.WithAdvice(message, refused.Reason)
 	}
 	switch {
-	case errors.As(err, &none):
+	case errors.As(err, &noTicket):
 		return &exit.Error{Code: exit.NotRun, Err: errors.New(message)}
 	case errors.As(err, &unresolved):
 		return &exit.Error{Code: exit.Unknown, Err: fmt.Errorf("%s\n  what to do: submit the same tasks again with --ticket %s", message, unresolved.Ticket)}
@@ -139,7 +141,7 @@
 	return e.Encode(v)
 }
 
-// Tickets prints new tickets, one a line.
+// Tickets gets count new tickets and prints one per line.
 func Tickets(ctx context.Context, opt client.Options, count int, w io.Writer) error {
 	c, err := client.New(opt)
 	if err != nil {
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// Cancel gives a job up.
+// Cancel cancels the job of a ticket.
 func Cancel(ctx context.Context, opt client.Options, ticket string) error {
 	c, err := client.New(opt)
 	if err != nil {
--- a/internal/tool/submit/submit_test.go
+++ b/internal/tool/submit/submit_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// Scripts rely on the exit codes, and people on being told what to do.
+// Each outcome has its own exit code, on which scripts rely, and its error says
+// what to do.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer, says string
--- a/internal/tool/verdict/draw.go
+++ b/internal/tool/verdict/draw.go
@@ -7,28 +7,29 @@
 	"github.com/pumiceyard/pumiceyard/internal/standin/site"
 )
 
-// DrawInterval is the time between two samples of a site's draw.
+// DrawInterval is the time between two samples of a site's power draw.
 const DrawInterval = 5 * time.Millisecond
 
-// Draw is the highest and the mean draw of a span of samples, in milliwatts.
+// Draw sums up samples of a site's power draw, in milliwatts.
 type Draw struct {
 	Peak    uint64
 	Sum     uint64 // over the samples
-	Samples int    // samples
+	Samples int    // number of samples
 }
 
-// Add takes in one sample.
+// Add adds one sample.
 func (d *Draw) Add(milliwatts uint64) {
 	d.Peak = max(d.Peak, milliwatts)
 	d.Sum += milliwatts
 	d.Samples++
 }
 
-// Mean is the mean draw in milliwatts.
+// Mean returns the mean draw in milliwatts, or 0 without samples.
 func (d *Draw) Mean() float64 { return float64(d.Sum) / float64(max(d.Samples, 1)) }
 
-// SampleDraw gives a sample of the site's draw to add, until the function that
-// it returns is called. Add is called from one goroutine.
+// SampleDraw passes a sample of the site's total power draw to add at every
+// DrawInterval, until stop is called. Calls of add come from one goroutine, and
+// none comes after stop has returned.
 func SampleDraw(s *site.Site, add func(milliwatts uint64)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/tool/verdict/verdict_test.go
+++ b/internal/tool/verdict/verdict_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Each broken promise alone turns the verdict; a run at the bounds passes.
+// A single violated guarantee fails the check; a run at the limits passes.
 func TestCheck(t *testing.T) {
 	if err := (Counts{MaxStartsPerTask: 1, PeakToCapRatio: 1}).Check(); err != nil {
-		t.Errorf("a run that kept its promises: %v", err)
+		t.Errorf("a run that kept its guarantees: %v", err)
 	}
 	for _, c := range []Counts{
 		{MaxStartsPerTask: 2},
@@ -18,8 +18,8 @@
 		{Unanswered: 1},
 		{PeakToCapRatio: 1.001},
 	} {
-		var broken *ViolationError
-		if err := c.Check(); !errors.As(err, &broken) || len(broken.Guarantees) != 1 {
+		var violation *ViolationError
+		if err := c.Check(); !errors.As(err, &violation) || len(violation.Guarantees) != 1 {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
