--- a/internal/process/admission/admission_test.go
+++ b/internal/process/admission/admission_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// Symptom: in an overload, callers on the line are refused like bulk work.
-// Sequence: one account queues more than its share; the queue passes the limits.
-// Cause: refusals that do not look at class and account.
+// Guards against load shedding that ignores class and account: when one account
+// queues more than its share, urgent work and other accounts must not be refused
+// like its bulk work.
 func TestBrownOutOrder(t *testing.T) {
 	taken := func(class Class, account string, queued time.Duration) bool {
 		v := quietView()
@@ -88,9 +88,8 @@
 	}
 }
 
-// Symptom: an overload lasts after its cause is gone.
-// Sequence: each refused request comes back at once, and again.
-// Cause: retries without a bound feed the overload.
+// Guards against an overload that outlasts its cause, because refused requests are
+// retried at once and without limit.
 func TestRetryBudget(t *testing.T) {
 	c, v := New(Defaults(), 1), quietView()
 	taken := func(retry bool, tries int) int {
@@ -132,8 +131,8 @@
 	}
 }
 
-// Adding queued work never turns a refusal into an admission, and what is taken
-// in ends by its deadline at the account's share.
+// Checks that more queued work never turns a refusal into an admission, and that an
+// admitted request ends by its deadline at the account's share.
 func TestMoreWorkNeverAdmitsMore(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 2000
--- a/internal/process/claims/claims_test.go
+++ b/internal/process/claims/claims_test.go
@@ -32,10 +32,9 @@
 	return bound
 }
 
-// Symptom: an order lies on the bench twice. Sequence: a caller sends it under
-// its key to one entry VM, hears nothing, and sends it to another. Cause: two
-// entry VMs that each take the key for new, or one that takes its own claim,
-// whose answer was lost, for another's.
+// Guards against running a submission twice. A caller sends it with its key to one
+// entry VM, gets no answer, and sends it to another. Both VMs could treat the key as
+// new, or one could mistake its own claim, whose reply was lost, for another's.
 func TestFirstClaimWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Options{})
@@ -56,8 +55,8 @@
 	})
 }
 
-// What a claim costs the store, and that a claim lapses by itself once it is
-// older than it is kept.
+// Checks how many store calls a claim costs, and that a claim expires by itself after
+// its lifetime.
 func TestClaimCost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Options{})
@@ -82,7 +81,7 @@
 	})
 }
 
-// Claims beyond their rate are refused without a call to the store.
+// Checks that claims above the rate limit are refused without a store call.
 func TestClaimRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Options{})
@@ -102,7 +101,8 @@
 	})
 }
 
-// Claims are refused while the store is out, and made again once it is back.
+// Checks that claims are refused while the store is unavailable and succeed again
+// afterwards.
 func TestClaimsWhileStoreIsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Options{})
@@ -121,8 +121,8 @@
 	})
 }
 
-// The store came back empty, without the lease: the next claim is refused, and
-// the one after it has a new lease.
+// Checks a store that restarts empty, without the lease: the next claim is refused,
+// and the one after it uses a new lease.
 func TestLostLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
--- a/internal/process/distribution/fleet_test.go
+++ b/internal/process/distribution/fleet_test.go
@@ -12,13 +12,13 @@
 	storeTime = 2 * time.Millisecond
 )
 
-// stepper is a node of one of the ways that are weighed.
+// stepper is a node of one of the compared distribution methods.
 type stepper interface {
 	Step(now time.Time, event Event) []Action
 	Held() Snapshot
 }
 
-// fleet is a number of nodes with their network and store.
+// fleet simulates nodes with their network and store.
 type fleet struct {
 	net     *network.Network
 	nodes   map[string]stepper
@@ -170,8 +170,8 @@
 	f.calls = 0
 }
 
-// everywhere reports whether each live node that the filter lets through holds
-// the newest revision.
+// everywhere reports whether each live node that passes the filter has the newest
+// revision.
 func (f *fleet) everywhere(filter func(Peer) bool) bool {
 	for _, p := range f.peers {
 		if filter(p) && !f.dead[p.ID] && f.nodes[p.ID].Held().Revision != f.value.Revision {
--- a/internal/process/distribution/node_test.go
+++ b/internal/process/distribution/node_test.go
@@ -14,8 +14,8 @@
 	small         = 1000 // bytes of a revision
 )
 
-// settled is a fleet of the design size in which the first revision is in force
-// everywhere.
+// settled returns a fleet of the design size in which every node has applied the
+// first revision.
 func settled(t *testing.T, seed uint64, build makeNode) *fleet {
 	t.Helper()
 	f := newFleet(seed, 60, 19, build)
@@ -36,10 +36,9 @@
 	}
 }
 
-// Symptom: a change is in force in all failure domains but one. Sequence: the
-// node that watches for the domain dies; a change is published. Cause: the only
-// watch of the domain died with it. Without repair from other domains only the
-// take-over is left to help.
+// Guards against a failure domain that misses a change: its watcher dies, and with it
+// the domain's only watch, before a change is published. Without repair from other
+// domains, only the takeover by the next node helps.
 func TestWatcherDies(t *testing.T) {
 	for _, build := range []makeNode{chosen, ordinary(Options{NoRepair: true})} {
 		f := settled(t, 1, build)
@@ -49,9 +48,9 @@
 	}
 }
 
-// Symptom: a change is in force nowhere, though the store holds it. Sequence:
-// all open watches go silent, new calls work; a change is published. Cause: a
-// watch without a bound of its own waits for ever.
+// Guards against a change that no node applies although the store holds it: all open
+// watches stop responding while new calls work. A watch without a timeout would wait
+// forever.
 func TestAllWatchesGoSilent(t *testing.T) {
 	f := settled(t, 2, chosen)
 	f.silent = func(Peer) bool { return true }
@@ -60,9 +59,9 @@
 	mustSpread(t, f, anyPeer)
 }
 
-// Symptom: a replaced VM cannot serve, or serves under an old configuration.
-// Sequence: the store goes out; a VM is replaced. Cause: a start that needs the
-// store, though peers hold the configuration.
+// Guards against a replaced VM that cannot serve, or serves an old configuration,
+// during a store outage, because its start needs the store although peers have the
+// configuration.
 func TestVMIsReplacedDuringAnOutage(t *testing.T) {
 	f := settled(t, 3, chosen)
 	f.publish(small)
@@ -84,9 +83,9 @@
 	mustSpread(t, f, anyPeer)
 }
 
-// Symptom: an accepted change reverts. Sequence: a VM is replaced; its first
-// read comes to an old replica of the store. Cause: the store's answer taken as
-// the newest.
+// Guards against an accepted change that is reverted: the first read of a replaced VM
+// reaches an outdated replica of the store, whose answer must not be taken as the
+// newest.
 func TestStaleReadNeverReverts(t *testing.T) {
 	f := settled(t, 4, chosen)
 	f.publish(small)
@@ -104,9 +103,8 @@
 	}
 }
 
-// Symptom: a failure domain that cannot reach the store stays behind. Sequence:
-// the domain loses the store but not its peers; a change is published. Cause:
-// the store as the only source.
+// Guards against a failure domain that misses a change because it cannot reach the
+// store, although it can reach its peers.
 func TestDomainWithoutTheStore(t *testing.T) {
 	f := settled(t, 5, chosen)
 	f.storeDown = func(p Peer) bool { return p.Domain == "d03" }
@@ -114,9 +112,9 @@
 	mustSpread(t, f, anyPeer)
 }
 
-// Symptom: a domain that was cut off serves under the old configuration for
-// long after. Sequence: the domain is cut off from peers and store; a change is
-// published; the cut heals. The others must not wait for it.
+// Guards against a domain that serves an old configuration long after a partition from
+// peers and store has healed, during which a change was published. The other domains
+// must not wait for it.
 func TestDomainCutOffAndHealed(t *testing.T) {
 	f := settled(t, 6, chosen)
 	f.cutOff("d03")
@@ -127,8 +125,8 @@
 	mustSpread(t, f, anyPeer)
 }
 
-// Whatever is lost, whoever dies and however often is published, no node goes
-// back, and the newest revision is in force everywhere in the end.
+// Checks under random message loss, node failures and publications that no node goes
+// back to an older revision and that all nodes finally apply the newest one.
 func TestRevisionsOnlyGrow(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 30
--- a/internal/process/distribution/outage_test.go
+++ b/internal/process/distribution/outage_test.go
@@ -16,10 +16,10 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/publication"
 )
 
-// Symptom: after an outage an operator's change is in force twice, or a new VM
-// serves without it. Sequence: the change is published, its answer is lost and
-// the store goes out; a VM is replaced; the store comes back; the operator
-// publishes the change again. Cause: an unknown end taken for a failure.
+// Guards against an operator's change that is published twice, or that a new VM does
+// not apply, after an outage. The change is published, its reply is lost and the store
+// becomes unavailable; a VM is replaced; the store returns and the operator publishes
+// the change again. An unknown outcome must not be treated as a failure.
 func TestPublishLostItsAnswerInAnOutageAndAVMIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.New(standin.Options{})
@@ -63,8 +63,8 @@
 	})
 }
 
-// lastAnswer lets the store go out as soon as the next head is written, before
-// its answer.
+// lastAnswer makes the store unavailable as soon as the next head is written, before
+// it replies.
 type lastAnswer struct {
 	*connection.Client
 	service *standin.Platform
--- a/internal/process/distribution/ways_test.go
+++ b/internal/process/distribution/ways_test.go
@@ -14,7 +14,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// way is one of the ways to distribute that are weighed.
+// way is one of the compared distribution methods.
 type way struct {
 	name  string
 	build makeNode
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// take adds changes and puts in force what is whole. The store hands a watcher
-// everything up to its revision.
+// take adds changes and applies complete revisions. A watcher gets all changes up to
+// the store's revision.
 func (b *bloomNode) take(changes ...uint64) {
 	for _, change := range changes {
 		b.changes[change] = true
@@ -192,7 +192,7 @@
 	}
 }
 
-// figures are what one way measured.
+// figures are the measurements of one distribution method.
 type figures struct {
 	last, lastCut                  time.Duration // to the last node; after a cut healed
 	idleCalls, calls               float64       // of the store, a second; while changing
--- a/internal/process/entry/fleet_test.go
+++ b/internal/process/entry/fleet_test.go
@@ -78,7 +78,7 @@
 }
 func (r *rig) AddTaken(int) {}
 
-// offer hands over one task that may run on the worker.
+// offer submits one task that may run on the worker.
 func (r *rig) offer(counter uint64) {
 	r.vm.holder.Offer(r, []*pb.RunGroup{{
 		Submission:       &pb.SubmissionID{Incarnation: 1, Counter: counter},
@@ -97,10 +97,10 @@
 	return starts
 }
 
-// Symptom: a leaving worker gets work, which is lost when it goes. Sequence: a
-// task runs there; one sign of leaving comes, whichever; work is offered that only
-// that worker may run. Cause would be a holder that waits for the list, or for the
-// running task, before it stops placing.
+// Guards against placing tasks on a leaving worker, where they would be lost. While a
+// task runs there, one of the signs of leaving arrives, and work is offered that only
+// this worker may run. The holder must stop placing at once, without waiting for the
+// VM list or the running task.
 func TestLeavingWorkerGetsNoNewWork(t *testing.T) {
 	fact := membership.Fact{Role: membership.Worker, ID: "w1", Incarnation: 7, Domain: "d", Address: "w1:1", State: membership.Leaving}
 	signs := map[string]func(*VM){
@@ -132,10 +132,10 @@
 	}
 }
 
-// Symptom: a VM that was paused starts tasks on workers that others hold by now.
-// Sequence: the VM stands still; it wakes, and work is offered before it has heard
-// from anybody. Cause would be a holder that acts before the membership has
-// noticed the pause, or while it asks.
+// Guards against a VM that was paused and starts tasks on workers that others hold by
+// now. Work is offered after it resumes and before it has heard from any peer. The
+// holder must not act before the membership has detected the pause, or while the
+// membership still asks its peers.
 func TestPausedVMPlacesNothingUntilItKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
--- a/internal/process/entry/peers_test.go
+++ b/internal/process/entry/peers_test.go
@@ -14,12 +14,11 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/membership"
 )
 
-// Symptom: four workers of a failure domain are held by nobody for good, seen by
-// demo --scenario store-outage in about one run of three. Sequence: an entry VM is
-// killed while the platform is out; the one that replaces it starts by a peer's
-// list, which still names the dead one, and speaks for it; the platform comes back
-// and its list drops the dead one. Cause: what another member said kept the dead
-// entry VM live, so its workers were left to it.
+// Guards against workers that no entry VM ever holds again. An entry VM is killed while
+// the platform is unavailable; its replacement starts from a peer's list, which still
+// names the dead VM, and reports it as live; the platform returns and its list omits
+// the dead VM. The report of the other member must not keep the dead VM live, or its
+// workers would be left to it. (demo --scenario store-outage can produce this.)
 func TestNobodySpeaksForAnUnlistedVM(t *testing.T) {
 	vm := &VM{settings: Settings{Name: "e7", Domain: "khan-uul", SilenceMillis: 1500}, fleet: fleet.New()}
 	dead := membership.Fact{ID: "e3", Domain: "khan-uul", State: membership.Present}
@@ -38,10 +37,10 @@
 	}
 }
 
-// Symptom: an account is held below its quota, and shares are reckoned with slots
-// that are gone, for good. Sequence: an entry VM that accounts use leaves the
-// membership; its link is closed from this side. Cause: a link closed from here
-// told the home of the loss and not those who add up what others offer.
+// Guards against stale usage that keeps an account below its quota and counts lost
+// slots in the shares for good. An entry VM that accounts use leaves the membership,
+// and its link is closed from this side. The loss must be reported not only to the
+// home but also to the sums of what the other entry VMs offer.
 func TestClosedLinkGivesUpItsShare(t *testing.T) {
 	vm := &VM{settings: Settings{Name: "e1"}, home: home.New(home.Config{Settings: home.Defaults()})}
 	vm.shares = newShares(holder.New(holder.Config{Settings: holder.Defaults()}))
--- a/internal/process/entry/plan_store_test.go
+++ b/internal/process/entry/plan_store_test.go
@@ -6,10 +6,10 @@
 	"github.com/pumiceyard/pumiceyard/internal/process/power"
 )
 
-// Symptom: a site above its cap while its division changes. Sequence: a document
-// lowers one failure domain's part and raises another's; the second domain's plan
-// is made first, or the first domain is cut off. Cause would be watts that are
-// given out again before every worker of the first domain has given them up.
+// Guards against a site that exceeds its power cap while the division of the cap
+// changes. A configuration lowers one failure domain's part and raises another's; the
+// second domain's plan is made first, or the first domain is partitioned. Power must
+// not be reassigned before every worker of the first domain has given it up.
 func TestPartIsRaisedAfterAnotherGaveUp(t *testing.T) {
 	const siteCap = 100
 	var s storedSite
@@ -41,8 +41,8 @@
 	}
 }
 
-// A lowered cap takes nothing from a domain that holds more than it: the domain's
-// own plan does, and until then no part is raised.
+// Checks that a lowered cap does not by itself reduce what a domain holds. Only the
+// domain's own next plan does, and until then no other part is raised.
 func TestLoweredCapRaisesNothing(t *testing.T) {
 	s := storedSite{Domains: map[string]domainPart{"a": {1, 60, 60}, "b": {1, 40, 40}}}
 	if got := s.allowed("b", 50, 80); got != 40 {
--- a/internal/process/entry/settings_test.go
+++ b/internal/process/entry/settings_test.go
@@ -11,7 +11,7 @@
 const goodSettings = `{"name":"e1","domain":"d1","platform":"http://127.0.0.1:7000",
 	"ticket_key":"0123456789abcdef","peer_token":"0123456789abcdef"}`
 
-// Settings that are accepted pass Validate and read back as themselves.
+// Checks that accepted settings pass Validate and survive encoding and decoding.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range []string{
 		goodSettings,
@@ -41,8 +41,8 @@
 	})
 }
 
-// Every setting that can not be used is named at once, with what is allowed,
-// and no message shows a secret.
+// Checks that all invalid settings are reported together, with the allowed values,
+// and that no message contains a secret.
 func TestSettingErrors(t *testing.T) {
 	const short = "short-secret"
 	_, err := ParseSettings([]byte(`{"name":"e1","domain":"","platform":"","ticket_key":"` + short + `","peer_token":"0123456789abcdef","beat_millis":5}`))
--- a/internal/process/entry/tls_test.go
+++ b/internal/process/entry/tls_test.go
@@ -18,7 +18,7 @@
 	"github.com/pumiceyard/pumiceyard/internal/version/document"
 )
 
-// upWithin bounds the start of the site.
+// upWithin is the time limit for the start of the site.
 const (
 	upWithin = 20 * time.Second
 	poll     = 20 * time.Millisecond
@@ -36,9 +36,9 @@
 	return files
 }
 
-// Symptom: one path between entry VMs goes on in the clear, or none works, once
-// tls is set. Links, the exchange of membership and the operators' listener of a
-// site of two are up over TLS, callers connect as before.
+// Guards against a path between entry VMs that stays unencrypted, or does not work,
+// with TLS configured. In a site of two, links, membership exchange and the operator
+// listener must work over TLS, and callers connect as before.
 func TestSiteOverTLS(t *testing.T) {
 	files := newFiles(t)
 	opt := site.Defaults([]string{"d1", "d2"})
@@ -110,8 +110,9 @@
 	return v.Status == nil || len(v.Status.Peers) != 1 || v.Status.Isolated || len(v.Status.Suspected) > 0
 }
 
-// Symptom: operators' or peers' listeners are open to other hosts in the clear;
-// or a daemon with a file that can not be used starts. Each is refused by name.
+// Guards against operator or peer listeners that accept unencrypted connections from
+// other hosts, and against starting with an unusable TLS file. The error must name
+// the setting.
 func TestTLSSettings(t *testing.T) {
 	files := newFiles(t)
 	cases := map[string]struct {
--- a/internal/process/estimate/estimate_test.go
+++ b/internal/process/estimate/estimate_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Symptom: a template draws three times what it is charged. Sequence: it ran
-// small for long, then its input changed. Cause: old samples hide new ones.
+// Guards against a template that uses three times the power it is charged: after many
+// small samples its input changes, and the old samples must not hide the new ones.
 func TestRiseAndFallAreFollowed(t *testing.T) {
 	e := New(DefaultSettings())
 	learn(e, 1000, 500)
@@ -75,9 +75,9 @@
 	t.Logf("rise followed after %d samples, fall after %d", rise, fall)
 }
 
-// Symptom: draw passes the charge after a throttle. Sequence: a worker runs at
-// half speed, its tasks show half the draw, twice as many are started. Cause:
-// samples of a slowed worker taken as they are.
+// Guards against power above the charge after throttling. Tasks of a worker at half
+// speed show half the power; if its samples were not scaled to full speed, twice as
+// many tasks would be started.
 func TestSlowedSamplesAreScaled(t *testing.T) {
 	e := New(DefaultSettings())
 	half := sample(500)
@@ -129,8 +129,8 @@
 	properties.TestingRun(t)
 }
 
-// Symptom: an entry VM grows until it is killed. Sequence: accounts and
-// templates come and go. Cause: a key for each pair ever seen.
+// Guards against unbounded memory: as accounts and templates come and go, the estimator
+// must not keep a key for every pair ever seen.
 func TestKeysAndMemoryAreBounded(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/process/fairness/queue_model_test.go
+++ b/internal/process/fairness/queue_model_test.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// next starts or parks a pick. When there is none, each job must be parked, over
-// quota or held back.
+// next starts or parks a pick. If there is none, each job must be parked, over quota
+// or held back.
 func (m *model) next(q *Queue[int], s step, now time.Time) error {
 	pick, found := q.Next(now)
 	if !found {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Whatever the calls, no task is picked twice or lost, quotas hold, and a task
-// that nothing stands in the way of is offered.
+// Checks for random calls that no task is picked twice or lost, that quotas hold, and
+// that a task that is allowed to start is picked.
 func TestQueueAgreesWithModel(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 300
--- a/internal/process/fairness/queue_test.go
+++ b/internal/process/fairness/queue_test.go
@@ -51,7 +51,7 @@
 	m.q.Push(at(m.now), j, tasks)
 }
 
-// fill starts tasks until no slot is free or nothing is offered.
+// fill starts tasks until no slot is free or Next has no pick.
 func (m *machine) fill() {
 	for m.free > 0 {
 		pick, found := m.q.Next(at(m.now))
@@ -107,8 +107,8 @@
 	}
 }
 
-// Each account is given its due under full load, whatever the length of its
-// tasks and whatever it declares.
+// Checks that each account gets its share under full load, regardless of the length
+// of its tasks and of what it declares.
 func TestSharesByWeightUnderFullLoad(t *testing.T) {
 	q := newQueue(
 		Account{Name: "a", Weight: 1}, Account{Name: "b", Weight: 2},
@@ -130,9 +130,9 @@
 	within(t, "d", serviceOf(q, "d"), total/3, 0.05)
 }
 
-// Symptom: an account that comes back finds its share lent and stays short.
-// Sequence: b uses the idle share of a with tasks of 500 ms; a returns.
-// Cause: slots are given back only as tasks end, and past loans could count.
+// Guards against an account that stays below its share when it becomes active again: b
+// uses the idle share of a with tasks of 500 ms, then a returns. Slots are returned
+// only as tasks end, and past lending must not count against a.
 func TestLentShareIsRegained(t *testing.T) {
 	q := newQueue(Account{Name: "a", Weight: 1}, Account{Name: "b", Weight: 1})
 	m := newMachine(q)
@@ -177,10 +177,9 @@
 	within(t, "slots of a", float64(36+m.inUse[1]), testSlots, 0.1)
 }
 
-// Symptom: for minutes after using much elsewhere, an account gets nothing here.
-// Sequence: a uses most of the site through other entry VMs while b uses little;
-// then both queue work here.
-// Cause: the lead over the due is repaid without a bound.
+// Guards against an account that gets no service here for minutes after heavy use of
+// other entry VMs: a uses most of the site there while b uses little, then both queue
+// work here. The compensation for service above the share must be bounded.
 func TestLoanIsNotRepaidForEver(t *testing.T) {
 	q := newQueue(Account{Name: "a"}, Account{Name: "b"})
 	m := newMachine(q)
@@ -195,8 +194,8 @@
 	within(t, "slots of a", float64(m.inUse[1]), testSlots/2, 0.1)
 }
 
-// A short job passes a wide one of the same account, also when the wide one
-// claims to be short.
+// Checks that a short job overtakes one with many tasks of the same account, even if
+// that one declares itself short.
 func TestShortJobPassesWideBuild(t *testing.T) {
 	for _, declared := range []time.Duration{time.Second, time.Millisecond} {
 		q := newQueue(Account{Name: "a"})
@@ -226,9 +225,9 @@
 	}
 }
 
-// Symptom: a build stands still although its account gets service.
-// Sequence: shorter jobs of the same account arrive without a pause.
-// Cause: levels in strict order starve the deepest one.
+// Guards against starvation of a long job while its account gets service: shorter jobs
+// of the same account arrive continuously, and strict priority of the levels would
+// starve the lowest one.
 func TestAgeingFeedsTheDeepestLevel(t *testing.T) {
 	q := newQueue(Account{Name: "a"})
 	m := newMachine(q)
@@ -245,9 +244,9 @@
 	}
 }
 
-// Symptom: an account's urgent work is slow from the day it reached its quota.
-// Sequence: the quota keeps its short urgent jobs back; its running task ends.
-// Cause: the jobs come back into the fair order and not into the urgent one.
+// Guards against urgent work that stays slow once its account has reached its quota:
+// the quota blocks its short urgent jobs, and when a running task ends, these jobs
+// must return to the urgent order and not only to the fair order.
 func TestUrgentWorkPassesAgainAfterQuota(t *testing.T) {
 	q := newQueue(Account{Name: "a", QuotaSlots: 1})
 	j := task(1, "a", 50*time.Millisecond)
@@ -263,9 +262,9 @@
 	}
 }
 
-// Symptom: a job that needs a whole worker never starts.
-// Sequence: it is parked at each attempt, and small tasks take each freed slot.
-// Cause: there is never a moment with enough free slots in one place.
+// Guards against starvation of a job that needs a whole worker: it is parked at each
+// attempt while small tasks take each freed slot, so that no worker ever has enough
+// free slots.
 func TestParkedJobIsNotStarved(t *testing.T) {
 	q := newQueue()
 	large := task(1, "a", time.Second)
