--- a/internal/process/entry/control.go
+++ b/internal/process/entry/control.go
@@ -158,8 +158,8 @@
 // listPause is the minimum time between two reads of the VM list.
 const listPause = 200 * time.Millisecond
 
-// pollList reads the platform's list of VMs when the membership asks for it, and
-// at the interval of the settings, if there is one.
+// pollList reads the platform's VM list when the membership requests it and, if
+// configured, every Settings.ListPollMillis.
 func (vm *VM) pollList(ctx context.Context) {
 	var due <-chan time.Time
 	if every := millis(vm.settings.ListPollMillis); every > 0 {
--- a/internal/process/entry/peers.go
+++ b/internal/process/entry/peers.go
@@ -34,13 +34,13 @@
 	up    bool
 	drain bool      // it admits no new work and releases its leases
 	since time.Time // the link was opened
-	// answering is the incarnation that answered last. The list may leave it
-	// open with a 0, when VMs take their incarnation themselves.
+	// answering is the incarnation that answered last. It is needed when the
+	// list has incarnation 0, because VMs choose their incarnation themselves.
 	answering uint64
 
-	reporting sync.Mutex // held while the home is told of this link
-	told      bool       // the home was told that it is up
-	ended     bool       // the home is told of nothing any more
+	reporting sync.Mutex // held while events of this link are reported to the home
+	told      bool       // the home was notified that the link is up
+	ended     bool       // no more events are reported to the home
 }
 
 func newPeerSet(vm *VM) *peerSet {
@@ -347,7 +347,7 @@
 	}
 }
 
-// name is this entry VM's, as home and as owner.
+// name returns the name of this entry VM, which is both the home and the owner.
 func (l *localSession) name() string { return l.vm.settings.Name }
 
 // AddTaken implements holder.Session.
--- a/internal/process/entry/plan.go
+++ b/internal/process/entry/plan.go
@@ -43,14 +43,14 @@
 	facts        map[string]workerFacts // by worker
 	holds        map[string]heldWorkers // by peer
 	plan         power.Plan
-	recoverAfter uint64 // revision after which a plan was asked for
+	recoverAfter uint64 // revision after which the ledger requested a plan
 
-	// Of run's goroutine only.
-	began     time.Time // this VM became the maker
-	changed   time.Time // the workers began to differ from the plan
+	// Used only by the goroutine of run.
+	began     time.Time // when this VM became the maker of the plans
+	changed   time.Time // when the workers began to differ from the plan
 	lastTry   time.Time
-	failed    bool   // the last try
-	confirmed uint64 // revision of which the store knows that it is complete
+	failed    bool   // the last attempt to make a plan failed
+	confirmed uint64 // revision that is confirmed in the store
 }
 
 // workerFacts is what is known about a worker that was leased in this domain.
