--- a/internal/standin/site/await.go
+++ b/internal/standin/site/await.go
@@ -28,12 +28,12 @@
 // allotted.
 func (s *Site) awaitLeases(ctx context.Context) error {
 	for {
-		unheld := s.unleasedWorkers()
-		if len(unheld) == 0 {
+		unleasedWorkers := s.unleasedWorkers()
+		if len(unleasedWorkers) == 0 {
 			return s.awaitPower(ctx)
 		}
 		if !pause.For(ctx, awaitPollInterval) {
-			return fmt.Errorf("no entry VM holds the lease of %v: %w", unheld, ctx.Err())
+			return fmt.Errorf("no entry VM holds the lease of %v: %w", unleasedWorkers, ctx.Err())
 		}
 	}
 }
--- a/internal/standin/site/control_bench_test.go
+++ b/internal/standin/site/control_bench_test.go
@@ -18,21 +18,21 @@
 
 // trafficCount counts the traffic in both directions at the listeners of each role.
 type trafficCount struct {
-	bytes map[string]*atomic.Uint64
-	reads map[string]*atomic.Uint64 // calls of Read, about one per message
+	bytes     map[string]*atomic.Uint64
+	readCalls map[string]*atomic.Uint64 // calls of Read, about one per message
 }
 
 func newTrafficCount() *trafficCount {
 	c := &trafficCount{make(map[string]*atomic.Uint64), make(map[string]*atomic.Uint64)}
 	for _, role := range []string{"caller", "operator", "peer", "platform", "worker"} {
-		c.bytes[role], c.reads[role] = new(atomic.Uint64), new(atomic.Uint64)
+		c.bytes[role], c.readCalls[role] = new(atomic.Uint64), new(atomic.Uint64)
 	}
 	return c
 }
 
 // WrapListener implements entry.ListenerWrapper.
 func (c *trafficCount) WrapListener(role string, l net.Listener) net.Listener {
-	return countedListener{l, c.bytes[role], c.reads[role]}
+	return countedListener{l, c.bytes[role], c.readCalls[role]}
 }
 
 type countedListener struct {
@@ -152,7 +152,7 @@
 func snapshot(c *trafficCount) trafficSnapshot {
 	s := trafficSnapshot{make(map[string]uint64), make(map[string]uint64)}
 	for role := range c.bytes {
-		s.bytes[role], s.reads[role] = c.bytes[role].Load(), c.reads[role].Load()
+		s.bytes[role], s.reads[role] = c.bytes[role].Load(), c.readCalls[role].Load()
 	}
 	return s
 }
--- a/internal/standin/worker/power_test.go
+++ b/internal/standin/worker/power_test.go
@@ -54,8 +54,8 @@
 	if r := w.start(now, s.epoch, g, 0); r != nil {
 		t.Fatalf("a start within the allotment gave %v", r)
 	}
-	if draw, peak := w.Draw(); draw != 2000 || peak != 2000 {
-		t.Fatalf("draw %d mW, peak %d mW, want 2000 mW, the allotment, for both", draw, peak)
+	if draw, peakDraw := w.Draw(); draw != 2000 || peakDraw != 2000 {
+		t.Fatalf("draw %d mW, peak %d mW, want 2000 mW, the allotment, for both", draw, peakDraw)
 	}
 	g.Index[0] = 1
 	if r := w.start(now, s.epoch, g, 0); r.GetReason() != string(reason.WorkerBusy) {
--- a/internal/standin/worker/records.go
+++ b/internal/standin/worker/records.go
@@ -54,7 +54,7 @@
 
 // Draw returns the current and the highest draw in milliwatts, idle draw
 // included. A killed worker draws nothing.
-func (w *Worker) Draw() (now, peak uint32) {
+func (w *Worker) Draw() (now, peakDraw uint32) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead {
--- a/internal/standin/worker/service.go
+++ b/internal/standin/worker/service.go
@@ -213,16 +213,16 @@
 // runningLoads lists the tasks that run here, started by earlier holders, so that a
 // new holder accounts for their slots and watts exactly.
 func (w *Worker) runningLoads() []*pb.TaskLoad {
-	var loads []*pb.TaskLoad
+	var runningLoads []*pb.TaskLoad
 	for id, sub := range w.submissions {
 		for index, t := range sub.tasks {
 			if t.state == pb.TaskState_TASK_STATE_RUNNING {
 				ref := &pb.TaskRef{Submission: wire.IDMessage(id), Index: index}
-				loads = append(loads, &pb.TaskLoad{Task: ref, Each: t.each, ChargedMilliwatts: t.charged})
+				runningLoads = append(runningLoads, &pb.TaskLoad{Task: ref, Each: t.each, ChargedMilliwatts: t.charged})
 			}
 		}
 	}
-	return loads
+	return runningLoads
 }
 
 // endStream closes the holder's connection. The caller holds mu.
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -63,23 +63,23 @@
 	cfg Config
 
 	mu              sync.Mutex
-	epoch           uint64
+	epoch           uint64 // of the lease, advanced by each grant
 	holder          uint64 // incarnation of the entry VM that holds the lease, 0: none
 	holderName      string
 	leaseUntil      time.Time
 	ttl             time.Duration
 	stream          *stream // the holder's stream, nil while it is disconnected
 	submissions     map[ticket.ID]*submission
-	running         int
-	milliwatts      uint32
+	running         int    // number of running tasks
+	milliwatts      uint32 // draw of the running tasks at full speed, above idle
 	peakDraw        uint32
 	power           powerState
-	runningTasks    map[taskKey]*task // running
-	retained        []retainedOutput
-	retainBytes     int
+	runningTasks    map[taskKey]*task // those with a timer
+	retained        []retainedOutput  // oldest first
+	retainBytes     int               // total size of the retained outputs
 	dead            bool
 	faults          Faults
-	starts          map[taskKey]int
+	starts          map[taskKey]int // number of starts
 	calls           Calls
 	nextExpiryCheck time.Time
 	traffic         Traffic
@@ -102,8 +102,8 @@
 
 type submission struct {
 	id            ticket.ID
-	minGeneration ticket.Generation
-	closed        string
+	minGeneration ticket.Generation // set by seals; starts under a lower one are refused
+	closed        string            // set by a seal that closes the submission; then all starts are refused
 	expiry        time.Time
 	tasks         map[uint32]*task
 	changed       chan struct{} // closed and replaced when a task ends
@@ -113,16 +113,16 @@
 	state            pb.TaskState
 	output           []byte
 	reason           string
-	run              time.Duration
-	each             *pb.Resources
-	charged          uint32 // milliwatts charged against the allotment
-	draw             uint32 // milliwatts at full speed
+	run              time.Duration // time from start to end
+	each             *pb.Resources // declared resources
+	charged          uint32        // milliwatts charged against the allotment
+	draw             uint32        // milliwatts at full speed
 	started          time.Time
 	timer            *time.Timer
 	remaining        time.Duration // run time at full speed that remained at remainingAt
 	remainingAt      time.Time
 	fullSpeedRunTime time.Duration // run time at full speed
-	slowed           bool
+	slowed           bool          // ran below full speed at some time
 }
 
 type retainedOutput struct {
