--- a/internal/tool/keptsite/keptsite.go
+++ b/internal/tool/keptsite/keptsite.go
@@ -41,8 +41,8 @@
 const (
 	storeCallDelay = 2 * time.Millisecond // added to each call: about the time of a synced write
 	workerCores    = 16
-	workerMemoryMB = 64 << 10 // MB
-	maxBodyBytes   = 16 << 20 // bytes
+	workerMemoryMB = 64 << 10
+	maxBodyBytes   = 16 << 20
 )
 
 // Service is the service that the simulated workers run.
@@ -110,16 +110,16 @@
 	server := runhost.NewServer(info, s.Fleet.ClientFrom(domain))
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }()
-	entry := info
-	if entry.Address, err = advertise(info.Address); err != nil {
+	advertised := info
+	if advertised.Address, err = advertise(info.Address); err != nil {
 		return err
 	}
-	value, err := json.Marshal(entry)
+	value, err := json.Marshal(advertised)
 	if err != nil {
 		return err
 	}
 	s.Store.Put(daemon.WorkerPrefix+id, value)
-	s.advertised.Store(info.Address, entry.Address)
+	s.advertised.Store(info.Address, advertised.Address)
 	return nil
 }
 
--- a/internal/tool/operate/causes_test.go
+++ b/internal/tool/operate/diagnosis_test.go
@@ -233,7 +233,7 @@
 
 // For each of these faults the output of `explain` and `status` alone has to show
 // an operator the cause.
-func TestCauseIsFound(t *testing.T) {
+func TestStatusAndExplainShowCause(t *testing.T) {
 	one, two := []string{"brno"}, []string{"brno", "ostrava"}
 	for _, c := range []struct {
 		name    string
--- a/internal/tool/operate/site.go
+++ b/internal/tool/operate/site.go
@@ -96,8 +96,8 @@
 	return problem
 }
 
-// retryReasons are the refusals after which another entry VM is tried, since it
-// may be able to reach the store.
+// retryReasons are the refusals after which another entry VM is tried, since that
+// one may reach the store, or find out what became of a write.
 var retryReasons = []reason.Code{operator.StoreDown, operator.StoreUnresolved}
 
 // callAny sends a request to the given entry VMs in order until one answers it.
