--- a/internal/connection/operator/doc.go
+++ b/internal/connection/operator/doc.go
@@ -160,18 +160,18 @@
 
 // PublishBody is the request body for publishing a document.
 type PublishBody struct {
-	ChangeID string          `json:"change_id"`
-	Author   string          `json:"author"`
-	Base     uint64          `json:"base"` // the revision that the document was edited from
-	Document json.RawMessage `json:"document"`
+	ChangeID     string          `json:"change_id"`
+	Author       string          `json:"author"`
+	BaseRevision uint64          `json:"base"` // the revision that the document was edited from
+	Document     json.RawMessage `json:"document"`
 }
 
 // RollbackBody is the request body for publishing a stored revision again.
 type RollbackBody struct {
-	ChangeID string `json:"change_id"`
-	Author   string `json:"author"`
-	Base     uint64 `json:"base"`
-	Revision uint64 `json:"revision"`
+	ChangeID     string `json:"change_id"`
+	Author       string `json:"author"`
+	BaseRevision uint64 `json:"base"`
+	Revision     uint64 `json:"revision"`
 }
 
 // History is the list of stored publications, newest first.
--- a/internal/connection/operator/server.go
+++ b/internal/connection/operator/server.go
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	return s.publisher.Publish(r.Context(), publication.Change{
-		ID: body.ChangeID, Author: body.Author, BaseRevision: body.Base, Document: doc,
+		ID: body.ChangeID, Author: body.Author, BaseRevision: body.BaseRevision, Document: doc,
 	})
 }
 
@@ -224,7 +224,7 @@
 		return nil, err
 	}
 	return s.publisher.Rollback(r.Context(), body.Revision, publication.Change{
-		ID: body.ChangeID, Author: body.Author, BaseRevision: body.Base,
+		ID: body.ChangeID, Author: body.Author, BaseRevision: body.BaseRevision,
 	})
 }
 
--- a/internal/tool/operate/publish.go
+++ b/internal/tool/operate/publish.go
@@ -39,7 +39,7 @@
 	if c.ID == "" {
 		c.ID = changeID(text, c.BaseRevision)
 	}
-	body := operator.PublishBody{ChangeID: c.ID, Author: c.Author, Base: c.BaseRevision, Document: text}
+	body := operator.PublishBody{ChangeID: c.ID, Author: c.Author, BaseRevision: c.BaseRevision, Document: text}
 	return s.change(ctx, "/v1/configuration", body, c, w)
 }
 
@@ -48,7 +48,7 @@
 	if c.ID == "" {
 		c.ID = changeID(strconv.AppendUint([]byte("rollback to "), revision, 10), c.BaseRevision)
 	}
-	body := operator.RollbackBody{ChangeID: c.ID, Author: c.Author, Base: c.BaseRevision, Revision: revision}
+	body := operator.RollbackBody{ChangeID: c.ID, Author: c.Author, BaseRevision: c.BaseRevision, Revision: revision}
 	return s.change(ctx, "/v1/rollback", body, c, w)
 }
 
