--- a/internal/tool/standin/standin.go
+++ b/internal/tool/standin/standin.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	domains := workload.Domains(doc)
-	listed, err := parseEntries(opt.Entries, domains)
+	externalEntryVMs, err := parseEntries(opt.Entries, domains)
 	if err != nil {
 		return err
 	}
@@ -42,14 +42,14 @@
 	s.EntryVMs, s.Workers, s.WorkersPerRack = 0, opt.Workers, int(profile.Site.PerRack)
 	s.Behaviour = workload.Behaviour
 	s.PlatformListen = opt.Listen
-	s.ExternalEntryVMs = listed
+	s.ExternalEntryVMs = externalEntryVMs
 	running, err := site.Start(s)
 	if err != nil {
 		return err
 	}
 	defer running.Stop()
 	fmt.Fprintf(opt.Out, "platform  %s\n", running.PlatformURL())
-	for _, vm := range listed {
+	for _, vm := range externalEntryVMs {
 		fmt.Fprintf(opt.Out, "entry VM  %s in %s, peers dial %s\n", vm.Id, vm.Domain, vm.Address)
 	}
 	fmt.Fprintf(opt.Out, "workers   %d in %s\n", opt.Workers, strings.Join(domains, ", "))
